--- a/cmd/kitefall/commands_test.go
+++ b/cmd/dispatcher/commands_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"kitefall/internal/operate"
-	"kitefall/internal/ticket"
-	"kitefall/internal/ticket/store"
+	"kitefall/internal/control"
+	"kitefall/internal/invocation"
+	"kitefall/internal/invocation/store"
 )
 
 // shell runs command lines of the program.
@@ -36,17 +36,17 @@
 	dir := t.TempDir()
 	file, path = filepath.Join(dir, "invoke.toml"), filepath.Join(dir, "tickets.db")
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "listen = '127.0.0.1:1'\nworkload_api = 'x'\nstore = %q\n", path), 0o600))
-	s, err := store.Open(path, store.Options{Retention: time.Hour, MostTickets: 100})
+	s, err := store.Open(path, store.Options{Retention: time.Hour, MaxInvocations: 100})
 	require.NoError(t, err)
 	defer s.Close()
 	now := time.Now()
-	for id, facts := range map[string][]ticket.Event{"open": nil, "served": {ticket.Offer, ticket.Mark, ticket.Answered},
-		"ran": {ticket.Offer, ticket.Mark, ticket.Broke}, "refused": {ticket.Offer, ticket.Turned}} {
-		o := ticket.Order{Tenant: "a", Function: "book", Class: "reserva", Deferred: true, Expires: now.Add(time.Hour)}
-		_, err := s.Create(ticket.New(id, o, now), nil, now)
+	for id, facts := range map[string][]invocation.Event{"open": nil, "served": {invocation.EventSubmit, invocation.EventStart, invocation.EventServed},
+		"ran": {invocation.EventSubmit, invocation.EventStart, invocation.EventFailed}, "refused": {invocation.EventSubmit, invocation.EventRejected}} {
+		o := invocation.Request{Tenant: "a", Function: "book", Class: "reserva", Deferred: true, Expires: now.Add(time.Hour)}
+		_, err := s.Create(invocation.New(id, o, now), nil, now)
 		require.NoError(t, err)
 		for _, f := range facts {
-			_, _, err := s.Apply(id, ticket.Fact{Event: f}, nil, now)
+			_, _, err := s.Apply(id, invocation.Input{Event: f}, nil, now)
 			require.NoError(t, err)
 		}
 	}
@@ -62,20 +62,20 @@
 			if !running {
 				return func() {}
 			}
-			s, err := store.Open(path, store.Options{Retention: time.Hour, MostTickets: 100})
+			s, err := store.Open(path, store.Options{Retention: time.Hour, MaxInvocations: 100})
 			require.NoError(t, err)
-			socket, err := operate.Listen(path+".sock", operate.Store(s, nil))
+			socket, err := control.Listen(path+".sock", control.ForStore(s, nil))
 			require.NoError(t, err)
 			info, err := os.Stat(path + ".sock")
 			require.NoError(t, err)
 			assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "its owner's alone")
-			_, err = operate.Listen(path+".sock", operate.Store(s, nil))
+			_, err = control.Listen(path+".sock", control.ForStore(s, nil))
 			require.Error(t, err, "somebody answers on it")
 			return func() { socket.Close(); s.Close() }
 		}
 		done := held()
 		assert.Contains(t, sh.run(0, "tickets", "list"), "served")
-		var found []operate.Ticket
+		var found []control.Invocation
 		require.NoError(t, json.Unmarshal([]byte(sh.run(0, "tickets", "list", "--dead", "--json")), &found))
 		assert.Len(t, found, 2)
 		assert.Contains(t, sh.run(0, "tickets", "show", "ran"), "may have run, dead")
--- a/cmd/kitefall/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"kitefall/internal/standin"
+	"kitefall/internal/fakes"
 )
 
 // points are the moments at which the process is killed: before and after each commit of the store, and before and
@@ -38,7 +38,7 @@
 }
 
 // serve answers calls: most are served, some turned away, some never answered or cut off.
-func (w *worldOfKills) serve(worker *standin.Worker) {
+func (w *worldOfKills) serve(worker *fakes.Worker) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for k := range worker.Calls {
 		n := r.IntN(20)
@@ -51,7 +51,7 @@
 		w.mu.Unlock()
 		switch {
 		case n == 3:
-			k.Die()
+			k.ResetConn()
 		case n > 4: // else it is never answered
 			k.OK(strconv.Quote("done " + strings.Trim(k.Body, `"`)))
 		}
@@ -118,7 +118,7 @@
 	program := filepath.Join(dir, "kitefall")
 	out, err := exec.Command("go", "build", "-tags", "failpoint", "-o", program, ".").CombinedOutput()
 	require.NoError(t, err, string(out))
-	ca, worker := standin.NewAuthority(t), standin.NewWorker(t)
+	ca, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
 	w := &worldOfKills{t: t, ran: map[string]int{}, answers: map[string]map[string]bool{}, tickets: map[string]string{}}
 	go w.serve(worker)
 	addr, path := free(t), filepath.Join(dir, "config.json")
@@ -130,8 +130,8 @@
 	look = strings.NewReplacer("reserva", "consulta", "7f3a9c21e0b4d655", "0000007c55d20a01").Replace(look)
 	more := "[deferred]\nbackoff = \"10ms\"\nmost_backoff = \"100ms\"\nretry_per_second = 200.0\nmost_runs = 100\n"
 	require.NoError(t, os.WriteFile(invokeFile, []byte(string(book)+look+more), 0o600))
-	desk := ca.Client(standin.Domain + "/desk/a")
-	desk.Transport.(*http.Transport).DisableKeepAlives = true
+	client := ca.Client(fakes.Domain + "/desk/a")
+	client.Transport.(*http.Transport).DisableKeepAlives = true
 
 	r, filed, byPoint := rand.New(rand.NewPCG(uint64(kills), 9)), 0, map[string]int{}
 	start := func(point string) (*exec.Cmd, chan error) {
@@ -160,7 +160,7 @@
 			if r.IntN(3) == 0 {
 				function, body = "look", fmt.Sprintf(`"l%d"`, filed)
 			}
-			devices.Go(func() { w.device(ctx, desk, url, function, body, async) })
+			devices.Go(func() { w.device(ctx, client, url, function, body, async) })
 		}
 		select {
 		case <-ended: // the kill at its point
@@ -181,7 +181,7 @@
 		require.Eventually(t, func() bool {
 			q, _ := http.NewRequestWithContext(ctx, http.MethodGet, url+where, nil)
 			q.Header.Set("Prefer", "wait=5")
-			a, err := desk.Do(q)
+			a, err := client.Do(q)
 			if err != nil {
 				return false
 			}
--- a/cmd/kitefall/main.go
+++ b/cmd/dispatcher/main.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
+	"kitefall/internal/balancer"
 	"kitefall/internal/config"
-	"kitefall/internal/front/invoke"
-	"kitefall/internal/ticket"
-	"kitefall/rules"
+	"kitefall/internal/frontend/invoke"
+	"kitefall/internal/invocation"
 )
 
 // The exit codes. They stay as they are: scripts look at them.
@@ -49,11 +49,11 @@
 	switch {
 	case errors.Is(err, errUsage):
 		return exitUsage
-	case errors.Is(err, ticket.ErrUnknown), errors.Is(err, ticket.ErrExpired):
+	case errors.Is(err, invocation.ErrNotFound), errors.Is(err, invocation.ErrExpired):
 		return exitUnknown
-	case errors.Is(err, ticket.ErrNotDead), errors.Is(err, ticket.ErrUnsure), errors.Is(err, ticket.ErrAskedFor):
+	case errors.Is(err, invocation.ErrNotDeadLetter), errors.Is(err, invocation.ErrNotConfirmed), errors.Is(err, invocation.ErrSuperseded):
 		return exitRefused
-	case errors.Is(err, ticket.ErrStore):
+	case errors.Is(err, invocation.ErrStorage):
 		return exitStore
 	default:
 		return exitFailed
@@ -125,7 +125,7 @@
 	var relay string
 	check := &cobra.Command{Use: "check FILE", Short: "Check an operator's file, all of it, and say what it means",
 		Args: usage(cobra.ExactArgs(1)), RunE: func(c *cobra.Command, args []string) error {
-			settings := rules.Settings{}
+			settings := balancer.Settings{}
 			if relay != "" {
 				conf, err := config.Read(relay)
 				if err != nil {
--- a/cmd/kitefall/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"kitefall/internal/standin"
+	"kitefall/internal/fakes"
 )
 
 // free is an address that nothing listens at.
@@ -27,7 +27,7 @@
 	return ln.Addr().String()
 }
 
-func configure(t *testing.T, path, addr, board string, w *standin.Worker) {
+func configure(t *testing.T, path, addr, board string, w *fakes.Worker) {
 	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, `{"name":"n1","listen":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"board":%q,
 		"known":{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[{"uid":"s-1","endpoint":%q,"state":"active"}]}}]},
@@ -45,12 +45,12 @@
 		c, err = net.Dial("tcp", addr)
 		return err == nil
 	}, 5e9, 1e6)
-	require.NoError(t, c.SetDeadline(standin.By()))
+	require.NoError(t, c.SetDeadline(fakes.Deadline()))
 	return c
 }
 
-// edge sets the invoke front up, for one desk and one function.
-func edge(t *testing.T, ca *standin.Authority) (file, url string) {
+// edge sets the invoke front up, for one client and one function.
+func edge(t *testing.T, ca *fakes.Authority) (file, url string) {
 	addr, file := free(t), filepath.Join(t.TempDir(), "invoke.toml")
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "listen = %q\nworkload_api = %q\nstore = %q\n"+
 		"[tenants]\n\"spiffe://turnos.example/desk/a\" = \"a\"\n[functions.book]\nclass = \"reserva\"\n"+
@@ -62,10 +62,10 @@
 // SIGHUP: a broken file changes nothing, a good one moves the watcher to its board, and the program goes on. A
 // ticket that is pending meanwhile gets its answer.
 func TestReloadFollowsTheNewBoard(t *testing.T) {
-	w, addr, path := standin.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
-	ca := standin.NewAuthority(t)
+	w, addr, path := fakes.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
+	ca := fakes.NewAuthority(t)
 	invokeFile, url := edge(t, ca)
-	desk := ca.Client(standin.Domain + "/desk/a")
+	client := ca.Client(fakes.Domain + "/desk/a")
 	polls := make(chan string, 64)
 	serve := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	q.Header.Set("Prefer", "respond-async")
 	q.Header.Set("Content-Type", "application/json")
-	taken, err := desk.Do(q)
+	taken, err := client.Do(q)
 	require.NoError(t, err)
 	taken.Body.Close()
 	require.Equal(t, 202, taken.StatusCode)
@@ -100,7 +100,7 @@
 	q, err = http.NewRequest(http.MethodGet, url+taken.Header.Get("Location"), nil)
 	require.NoError(t, err)
 	q.Header.Set("Prefer", "wait=5")
-	told, err := desk.Do(q)
+	told, err := client.Do(q)
 	require.NoError(t, err)
 	answer, err := io.ReadAll(told.Body)
 	require.NoError(t, err)
@@ -112,8 +112,8 @@
 
 // A planned restart: what is open is answered, and what still comes is taken, before the program ends.
 func TestEndsAfterItHasAnswered(t *testing.T) {
-	w := standin.NewWorker(t)
-	addr, ca, path := free(t), standin.NewAuthority(t), filepath.Join(t.TempDir(), "config.json")
+	w := fakes.NewWorker(t)
+	addr, ca, path := free(t), fakes.NewAuthority(t), filepath.Join(t.TempDir(), "config.json")
 	invokeFile, url := edge(t, ca)
 	configure(t, path, addr, "127.0.0.1:1", w)
 	ended := make(chan error, 1)
@@ -125,7 +125,7 @@
 			len(body), body)
 	}
 	before := connect()
-	none, err := ca.Client(standin.Domain + "/desk/a").Get(url + "/v1/invocations/none")
+	none, err := ca.Client(fakes.Domain + "/desk/a").Get(url + "/v1/invocations/none")
 	require.NoError(t, err)
 	none.Body.Close()
 	assert.Equal(t, 404, none.StatusCode, "the invoke front is up before the platform's")
@@ -161,9 +161,9 @@
 	_, err = listen(open(0), time.Now(), ended)
 	assert.ErrorIs(t, err, syscall.EADDRINUSE)
 	ended <- syscall.SIGTERM
-	_, err = listen(open(0), standin.By(), ended)
+	_, err = listen(open(0), fakes.Deadline(), ended)
 	assert.ErrorIs(t, err, syscall.EADDRINUSE)
-	ln, err := listen(open(3), standin.By(), ended)
+	ln, err := listen(open(3), fakes.Deadline(), ended)
 	require.NoError(t, err)
 	ln.Close()
 	assert.Equal(t, 3, tries)
@@ -182,7 +182,7 @@
 // the word to end is followed too, since drains must be heard of until the last call; what the file cannot be used for
 // changes nothing, and the program does not go back to serving.
 func TestReadyWithoutDiscoveryAndReloadedWhileItEnds(t *testing.T) {
-	w, addr, path := standin.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
+	w, addr, path := fakes.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
 	polls := make(chan string, 64)
 	next := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		polls <- r.URL.Query().Get("watch")
@@ -220,7 +220,7 @@
 
 // Told to end before the list is known, with nothing open: it ends.
 func TestEndsWhileItStarts(t *testing.T) {
-	w, addr, path := standin.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
+	w, addr, path := fakes.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
 	configure(t, path, addr, "127.0.0.1:1", w)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -238,7 +238,7 @@
 // Idle clients take all the connections that they can get while discovery is down: new clients, and the workers, are
 // reached all the same.
 func TestIdleClientsLeaveRoomForCalls(t *testing.T) {
-	w, addr, path := standin.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
+	w, addr, path := fakes.NewWorker(t), free(t), filepath.Join(t.TempDir(), "config.json")
 	configure(t, path, addr, "127.0.0.1:1", w)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/cmd/kitefall/measure_test.go
+++ b/cmd/dispatcher/measure_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"kitefall/internal/standin"
-	"kitefall/internal/ticket"
-	"kitefall/internal/ticket/store"
+	"kitefall/internal/fakes"
+	"kitefall/internal/invocation"
+	"kitefall/internal/invocation/store"
 )
 
 // bareSync is the median time of a write and sync of so many bytes to a file that is there already.
@@ -59,8 +59,8 @@
 }
 
 func measure(t *testing.T, turn int, program string) {
-	ca, worker := standin.NewAuthority(t), standin.NewWorker(t)
-	worker.Serve(func(k *standin.Call) { k.OK(`"done"`) })
+	ca, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
+	worker.Serve(func(k *fakes.Call) { k.OK(`"done"`) })
 	addr, path := free(t), filepath.Join(t.TempDir(), "config.json")
 	configure(t, path, addr, "127.0.0.1:1", worker)
 	invokeFile, url := edge(t, ca)
@@ -77,13 +77,13 @@
 		p.Wait()
 	}()
 	connect(t, addr).Close()
-	desk := ca.Client(standin.Domain + "/desk/a")
-	desk.Transport.(*http.Transport).ForceAttemptHTTP2 = true
+	client := ca.Client(fakes.Domain + "/desk/a")
+	client.Transport.(*http.Transport).ForceAttemptHTTP2 = true
 	call := func(function, body string) int {
 		q, err := http.NewRequest(http.MethodPost, url+"/v1/functions/"+function+"/invocations", strings.NewReader(body))
 		require.NoError(t, err)
 		q.Header.Set("Content-Type", "application/json")
-		a, err := desk.Do(q)
+		a, err := client.Do(q)
 		require.NoError(t, err)
 		io.Copy(io.Discard, a.Body)
 		a.Body.Close()
@@ -132,7 +132,7 @@
 		open, body int
 	}{{"empty", -1, 0}, {"100,000 kept, 1,000 of them open, bodies of 300 bytes", 1000, 300},
 		{"100,000 waiting, bodies of 300 bytes", 100000, 300}, {"100,000 waiting, bodies of 2,000 bytes", 100000, 2000}} {
-		ca, worker := standin.NewAuthority(t), standin.NewWorker(t)
+		ca, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
 		addr, path := free(t), filepath.Join(t.TempDir(), "config.json")
 		configure(t, path, addr, "127.0.0.1:1", worker)
 		invokeFile, url := edge(t, ca)
@@ -146,9 +146,9 @@
 		p.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 		begin := time.Now()
 		require.NoError(t, p.Start())
-		desk := ca.Client(standin.Domain + "/desk/a")
+		client := ca.Client(fakes.Domain + "/desk/a")
 		require.Eventually(t, func() bool {
-			a, err := desk.Get(url + "/v1/invocations/none")
+			a, err := client.Get(url + "/v1/invocations/none")
 			if err == nil {
 				a.Body.Close()
 			}
@@ -179,7 +179,7 @@
 
 // fillStore makes a store with so many tickets, of which some wait for a time far off.
 func fillStore(t *testing.T, path string, n, open, body int) {
-	s, err := store.Open(path, store.Options{Retention: 24 * time.Hour, MostTickets: 1 << 30})
+	s, err := store.Open(path, store.Options{Retention: 24 * time.Hour, MaxInvocations: 1 << 30})
 	require.NoError(t, err)
 	defer s.Close()
 	now := time.Now()
@@ -188,11 +188,11 @@
 		work.Go(func() {
 			for i := g; i < n; i += 64 {
 				id := rand.Text()
-				o := ticket.Order{Tenant: "a", Key: id, Fingerprint: make([]byte, 32), Function: "book", Class: "reserva", Deferred: true,
-					Urgency: 3, NotBefore: now.Add(time.Hour), Expires: now.Add(20 * time.Hour), Patience: time.Second, Body: make([]byte, body)}
-				_, err := s.Create(ticket.New(id, o, now), nil, now)
+				o := invocation.Request{Tenant: "a", IdempotencyKey: id, Fingerprint: make([]byte, 32), Function: "book", Class: "reserva", Deferred: true,
+					Urgency: 3, NotBefore: now.Add(time.Hour), Expires: now.Add(20 * time.Hour), RunTimeout: time.Second, Body: make([]byte, body)}
+				_, err := s.Create(invocation.New(id, o, now), nil, now)
 				if err == nil && i >= open {
-					_, _, err = s.Apply(id, ticket.Fact{Event: ticket.GiveUp}, nil, now)
+					_, _, err = s.Apply(id, invocation.Input{Event: invocation.EventCancel}, nil, now)
 				}
 				if !assert.NoError(t, err) {
 					return
--- a/cmd/kitefall/serve.go
+++ b/cmd/dispatcher/serve.go
@@ -16,16 +16,16 @@
 
 	"github.com/spiffe/go-spiffe/v2/workloadapi"
 
-	"kitefall/internal/board"
 	"kitefall/internal/config"
+	"kitefall/internal/control"
+	"kitefall/internal/discovery"
 	"kitefall/internal/dispatch"
-	"kitefall/internal/front/invoke"
-	"kitefall/internal/front/resp"
-	"kitefall/internal/life"
-	"kitefall/internal/operate"
-	"kitefall/internal/steady"
-	"kitefall/internal/ticket/desk"
-	"kitefall/internal/ticket/store"
+	"kitefall/internal/frontend/invoke"
+	"kitefall/internal/frontend/resp"
+	"kitefall/internal/invocation/executor"
+	"kitefall/internal/invocation/store"
+	"kitefall/internal/lifecycle"
+	"kitefall/internal/monotonic"
 	"kitefall/internal/worker"
 )
 
@@ -59,23 +59,23 @@
 	if err != nil {
 		return err
 	}
-	phases := life.New()
+	phases := lifecycle.New()
 	debug.SetMemoryLimit(conf.MemoryLimit())
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(conf.Limits.Cores))))
-	one, all := conf.WorkerConnections()
-	core, err := dispatch.New(dispatch.Config{Settings: conf.Settings, Seed: conf.Seed, MostOpen: conf.MostOpen(),
-		MostHeld: conf.MostHeld(), Links: worker.Config{DialTimeout: conf.Settings.DialTimeout,
-			IdleClose: conf.Connections.IdleClose, Streams: conf.Connections.Streams, Connections: one, Room: worker.NewRoom(all),
-			Wear: worker.NewWear(conf.Connections.Handshake)}})
+	one, all := conf.MaxWorkerConns()
+	core, err := dispatch.New(dispatch.Config{Settings: conf.Settings, Seed: conf.Seed, MaxInFlight: conf.MaxInFlight(),
+		MaxBodyBytes: conf.MaxBodyBytes(), Pool: worker.Config{DialTimeout: conf.Settings.DialTimeout,
+			IdleTimeout: conf.Connections.IdleClose, MaxStreams: conf.Connections.Streams, MaxConns: one, ConnLimit: worker.NewConnLimit(all),
+			BreakRate: worker.NewBreakRate(conf.Connections.Handshake)}})
 	if err != nil {
 		return err
 	}
 	go core.Run()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	watcher := board.NewWatcher(conf.Board, core.News)
+	watcher := discovery.NewWatcher(conf.DiscoveryAddr, core.UpdateEndpoints)
 	go func() {
-		watcher.Known(conf.Known)
+		watcher.Seed(conf.InitialEndpoints)
 		watcher.Run(ctx)
 	}()
 	failed := make(chan error, 2)
@@ -90,13 +90,13 @@
 		return err
 	}
 	ready := func() bool {
-		if core.Known() {
-			phases.Enter(life.Serving)
+		if core.EndpointsKnown() {
+			phases.Enter(lifecycle.Serving)
 		}
-		return phases.Phase().Up()
+		return phases.Phase().Ready()
 	}
-	front := &resp.Server{Core: core, Ready: ready, Settings: conf.Settings, Patience: resp.Usual}
-	go func() { failed <- front.Serve(ln, conf.ClientConnections()) }()
+	front := &resp.Server{Core: core, Ready: ready, Settings: conf.Settings, Timeouts: resp.DefaultTimeouts}
+	go func() { failed <- front.Serve(ln, conf.MaxClientConns()) }()
 	slog.Info("listening", "name", conf.Name, "addr", conf.Listen)
 	go func() {
 		for range again {
@@ -109,16 +109,16 @@
 		return err
 	case <-ended:
 	}
-	phases.Enter(life.Draining)
+	phases.Enter(lifecycle.Draining)
 	time.Sleep(linger)
 	ln.Close()
-	front.Finish()
+	front.Drain()
 	edge.finish()
-	for core.Open() > 0 || front.Clients() > 0 {
+	for core.InFlight() > 0 || front.ActiveConns() > 0 {
 		time.Sleep(look)
 	}
 	err = edge.close()
-	phases.Enter(life.Stopped)
+	phases.Enter(lifecycle.Stopped)
 	return err
 }
 
@@ -140,27 +140,27 @@
 
 // reload reads the configuration again and follows the board that it names, in whatever phase the program is: a
 // drain must be heard of also by one that ends. A file that cannot be used changes nothing.
-func reload(path string, old *config.Config, watcher *board.Watcher, phases *life.Life) {
-	if phases.Enter(life.Reloading) {
-		defer phases.Enter(life.Serving)
+func reload(path string, old *config.Config, watcher *discovery.Watcher, phases *lifecycle.Lifecycle) {
+	if phases.Enter(lifecycle.Reloading) {
+		defer phases.Enter(lifecycle.Serving)
 	}
 	conf, err := config.Read(path)
 	if err != nil {
 		slog.Error("reload: the settings stay as they were", "err", err)
 		return
 	}
-	if !conf.SameBut(old) {
+	if !conf.EqualExceptReloadable(old) {
 		slog.Warn("reload: other settings than the board have changed: they count from the next start on")
 	}
-	watcher.Move(conf.Board)
-	slog.Info("reload: the board has moved", "addr", conf.Board)
+	watcher.SetAddress(conf.DiscoveryAddr)
+	slog.Info("reload: the board has moved", "addr", conf.DiscoveryAddr)
 }
 
 // invokeFront is the invoke front and what stands behind it; empty if it is off.
 type invokeFront struct {
 	server   *invoke.Server
-	desk     *desk.Desk
-	control  *operate.Socket
+	desk     *executor.Executor
+	control  *control.Server
 	identity *workloadapi.X509Source
 	core     *dispatch.Core
 }
@@ -173,33 +173,33 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(identityBy))
 	defer cancel()
 	f := &invokeFront{core: core}
-	if f.identity, err = invoke.Identify(ctx, c.WorkloadAPI); err != nil {
+	if f.identity, err = invoke.WaitForIdentity(ctx, c.WorkloadAPI); err != nil {
 		return nil, err
 	}
-	kept := c.Kept()
-	kept.Durable.LockBy = time.Now().Add(storeBy)
-	kept.Durable.Check = true
+	kept := c.StoreOptions()
+	kept.Durable.LockDeadline = time.Now().Add(storeBy)
+	kept.Durable.VerifyOnOpen = true
 	tickets, err := store.Open(c.Store, kept)
 	if err != nil {
 		return nil, err
 	}
-	latest, err := tickets.Seen(time.Now())
+	latest, err := tickets.AdvanceClock(time.Now())
 	if err != nil {
 		return nil, err
 	}
 	if ahead := time.Until(latest); ahead > clockAhead {
 		slog.Warn("tickets: the last run's clock was ahead of this one's; times go on from there", "ahead", ahead.Round(time.Second))
 	}
-	if f.desk, err = desk.New(tickets, core, c, c.Plan(), steady.Start(latest)); err != nil {
+	if f.desk, err = executor.New(tickets, core, c, c.SchedulerConfig(), monotonic.Start(latest)); err != nil {
 		return nil, err
 	}
 	// The invoke front may hold 100,000 tickets that wait: small objects that stay. Half as much garbage beside them is
 	// worth the collector's time; while the front is off nothing changes.
 	debug.SetGCPercent(gcPercent)
-	if err := f.desk.Resume(); err != nil {
+	if err := f.desk.Recover(); err != nil {
 		return nil, err
 	}
-	if f.control, err = operate.Listen(c.Control, operate.Store(tickets, f.desk.Redrive)); err != nil {
+	if f.control, err = control.Listen(c.Control, control.ForStore(tickets, f.desk.Redrive)); err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen("tcp", c.Listen)
@@ -219,7 +219,7 @@
 // finish takes no new calls: else a busy edge would never come to its end.
 func (f *invokeFront) finish() {
 	if f.server != nil {
-		f.server.Finish()
+		f.server.Drain()
 	}
 }
 
--- a/cmd/kitefall/tickets.go
+++ b/cmd/dispatcher/tickets.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"kitefall/internal/front/invoke"
-	"kitefall/internal/operate"
-	"kitefall/internal/ticket/store"
+	"kitefall/internal/control"
+	"kitefall/internal/frontend/invoke"
+	"kitefall/internal/invocation/store"
 )
 
 // ticketsCommand is what the commands about tickets share.
@@ -25,24 +25,24 @@
 
 // open finds the tickets: a running dispatcher's by its control socket, else those of the file. With look, nothing is
 // written to the file.
-func (t *ticketsCommand) open(look bool) (operate.Tickets, func() error, error) {
+func (t *ticketsCommand) open(look bool) (control.Operations, func() error, error) {
 	c, err := t.places()
 	if err != nil {
 		return nil, nil, err
 	}
-	if running, ok := operate.Dial(c.Control); ok {
+	if running, ok := control.Dial(c.Control); ok {
 		return running, func() error { return nil }, nil
 	}
-	kept := c.Kept()
-	kept.Durable.LockBy = time.Now().Add(time.Second)
-	return operate.File(c.Store, kept, look)
+	kept := c.StoreOptions()
+	kept.Durable.LockDeadline = time.Now().Add(time.Second)
+	return control.OpenFile(c.Store, kept, look)
 }
 
 func (t *ticketsCommand) places() (*invoke.Config, error) {
 	if t.invokeFile == "" {
 		return nil, fmt.Errorf("%w: --invoke names the operator's file that says where the store is", errUsage)
 	}
-	c, err := invoke.Read(t.invokeFile)
+	c, err := invoke.ReadUnchecked(t.invokeFile)
 	if err == nil && c.Store == "" {
 		err = fmt.Errorf("%s: no store", t.invokeFile)
 	}
@@ -50,7 +50,7 @@
 }
 
 // with carries out a command on the tickets.
-func (t *ticketsCommand) with(look bool, do func(c *cobra.Command, tickets operate.Tickets, args []string) error) func(*cobra.Command, []string) error {
+func (t *ticketsCommand) with(look bool, do func(c *cobra.Command, tickets control.Operations, args []string) error) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
 		tickets, done, err := t.open(look)
 		if err != nil {
@@ -82,7 +82,7 @@
 	return group
 }
 
-func stateOf(v operate.Ticket) string {
+func stateOf(v control.Invocation) string {
 	s := v.State
 	if v.End != "" {
 		s = v.End
@@ -106,7 +106,7 @@
 func (t *ticketsCommand) list() *cobra.Command {
 	f := store.Filter{}
 	c := &cobra.Command{Use: "list", Short: "List tickets", Args: usage(cobra.NoArgs),
-		RunE: t.with(true, func(c *cobra.Command, tickets operate.Tickets, _ []string) error {
+		RunE: t.with(true, func(c *cobra.Command, tickets control.Operations, _ []string) error {
 			found, err := tickets.List(f)
 			if err != nil {
 				return err
@@ -121,14 +121,14 @@
 			})
 		})}
 	c.Flags().StringVar(&f.Tenant, "tenant", "", "those of one tenant")
-	c.Flags().BoolVar(&f.Dead, "dead", false, "dead letters alone")
-	c.Flags().BoolVar(&f.Open, "open", false, "open ones alone")
-	c.Flags().IntVar(&f.Most, "most", 100, "so many at most; 0: all")
+	c.Flags().BoolVar(&f.DeadLetters, "dead", false, "dead letters alone")
+	c.Flags().BoolVar(&f.Incomplete, "open", false, "open ones alone")
+	c.Flags().IntVar(&f.Limit, "most", 100, "so many at most; 0: all")
 	c.MarkFlagsMutuallyExclusive("dead", "open")
 	return c
 }
 
-func (t *ticketsCommand) tell(c *cobra.Command, v operate.Ticket) error {
+func (t *ticketsCommand) tell(c *cobra.Command, v control.Invocation) error {
 	return t.say(c, v, func(w io.Writer) {
 		fmt.Fprintf(w, "ticket    %s of %s\nfunction  %s, %s\nstate     %s after %d runs\ncreated   %s\nexpires   %s\n", v.ID,
 			v.Tenant, v.Function, v.Class, stateOf(v), v.Runs, when(v.Created), when(v.Expires))
@@ -146,7 +146,7 @@
 
 func (t *ticketsCommand) show() *cobra.Command {
 	return &cobra.Command{Use: "show TICKET", Short: "Show a ticket and its history", Args: usage(cobra.ExactArgs(1)),
-		RunE: t.with(true, func(c *cobra.Command, tickets operate.Tickets, args []string) error {
+		RunE: t.with(true, func(c *cobra.Command, tickets control.Operations, args []string) error {
 			v, err := tickets.Show(args[0])
 			if err != nil {
 				return err
@@ -163,7 +163,7 @@
 
 One that may have run and must not run twice is refused, unless --checked says that it was found not to have run, and
 --reason how.`,
-		RunE: t.with(false, func(c *cobra.Command, tickets operate.Tickets, args []string) error {
+		RunE: t.with(false, func(c *cobra.Command, tickets control.Operations, args []string) error {
 			if checked && strings.TrimSpace(reason) == "" {
 				return fmt.Errorf("%w: --checked needs a --reason", errUsage)
 			}
@@ -182,7 +182,7 @@
 	var all bool
 	var older time.Duration
 	c := &cobra.Command{Use: "purge [TICKET...]", Short: "Forget dead letters", Args: usage(cobra.ArbitraryArgs),
-		RunE: t.with(false, func(c *cobra.Command, tickets operate.Tickets, args []string) error {
+		RunE: t.with(false, func(c *cobra.Command, tickets control.Operations, args []string) error {
 			if all == (len(args) > 0) {
 				return fmt.Errorf("%w: name tickets, or say --all", errUsage)
 			}
@@ -199,7 +199,7 @@
 
 func (t *ticketsCommand) snapshot() *cobra.Command {
 	return &cobra.Command{Use: "snapshot FILE", Short: "Write a copy of the store to a new file", Args: usage(cobra.ExactArgs(1)),
-		RunE: t.with(false, func(c *cobra.Command, tickets operate.Tickets, args []string) error {
+		RunE: t.with(false, func(c *cobra.Command, tickets control.Operations, args []string) error {
 			to, err := filepath.Abs(args[0])
 			if err != nil {
 				return err
@@ -227,7 +227,7 @@
 
 func (t *ticketsCommand) verify() *cobra.Command {
 	return &cobra.Command{Use: "verify", Short: "Read all that is kept and check it", Args: usage(cobra.NoArgs),
-		RunE: t.with(false, func(c *cobra.Command, tickets operate.Tickets, _ []string) error {
+		RunE: t.with(false, func(c *cobra.Command, tickets control.Operations, _ []string) error {
 			n, err := tickets.Verify()
 			if err != nil {
 				return err
@@ -238,7 +238,7 @@
 
 func (t *ticketsCommand) compact() *cobra.Command {
 	return &cobra.Command{Use: "compact", Short: "Write the store's file anew, without its gaps", Args: usage(cobra.NoArgs),
-		RunE: t.with(false, func(c *cobra.Command, tickets operate.Tickets, _ []string) error {
+		RunE: t.with(false, func(c *cobra.Command, tickets control.Operations, _ []string) error {
 			before, after, err := tickets.Compact()
 			if err != nil {
 				return err
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"kitefall/internal/wire"
-	"kitefall/rules"
+	"kitefall/internal/balancer"
+	"kitefall/internal/simwire"
 )
 
 func main() {
@@ -22,8 +22,8 @@
 
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	decoder, encoder := wire.NewDecoder(), &wire.Encoder{}
-	instances := map[int64]*rules.Balancer{}
+	decoder, encoder := simwire.NewDecoder(), &simwire.Encoder{}
+	instances := map[int64]*balancer.Balancer{}
 	for {
 		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
@@ -39,7 +39,7 @@
 		for _, e := range batch.Events {
 			switch {
 			case e.Up != nil:
-				b, err := rules.New(e.Up.Settings, e.Up.Seed)
+				b, err := balancer.New(e.Up.Settings, e.Up.Seed)
 				if err != nil {
 					return fmt.Errorf("dispatcher %d: %w", e.Dispatcher, err)
 				}
--- a/docs/measure/lives.sh
+++ b/docs/measure/lives.sh
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"kitefall/internal/ticket"
+	"kitefall/internal/invocation"
 )
 
 func BenchmarkLives(b *testing.B) {
--- a/rules/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 import (
 	"fmt"
@@ -34,15 +34,15 @@
 func TestEveryOrderOfWhatMayCross(t *testing.T) {
 	for _, rationed := range []bool{false, true} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
-			for _, status := range []Status{OK, Failed, Full, Miss, Reset, TimedOut, ConnectFailed, Moot} {
-				if rationed && status != Miss && status != Full { // else it orders nothing
+			for _, status := range []Status{OK, Failed, Rejected, Miss, Reset, TimedOut, ConnectFailed, NotSent} {
+				if rationed && status != Miss && status != Rejected { // else it orders nothing
 					continue
 				}
 				orders(6, func(order []int) {
 					s := testSettings()
-					s.Step = sweepEvery // the module looks no oftener
+					s.MinEventInterval = sweepEvery // the module looks no oftener
 					if rationed {
-						s.LoadWindow, s.LoadFree, s.LoadShare = 10*time.Second, 2, 0.15
+						s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 2, 0.15
 					}
 					f := newFleet(t, s, 1)
 					f.list(3)
@@ -65,16 +65,16 @@
 							}
 						case 1:
 							w.State = Draining
-							f.change(ListChange, w)
+							f.change(ScopeDelta, w)
 						case 2:
 							w.State, w.Started = Ready, f.now+ms
-							f.change(ListChange, w)
+							f.change(ScopeDelta, w)
 						case 3:
 							f.answerOrders(OK)
 						case 4:
 							if !f.open[id].answered {
 								gone, f.open[id].answered = true, true
-								f.event(GoneEvent{ID: id})
+								f.event(ClientGoneEvent{ID: id})
 							}
 						case 5:
 							f.to(f.now + 3*sweepEvery)
--- a/rules/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 import (
 	"fmt"
@@ -13,17 +13,17 @@
 // testSettings has one class of each effect and every ordinary permission.
 func testSettings() Settings {
 	return Settings{
-		Peers: 2, Zone: "z0", Zones: []string{"z0", "z1"}, Step: 2 * ms,
+		Dispatchers: 2, Zone: "z0", Zones: []string{"z0", "z1"}, MinEventInterval: 2 * ms,
 		Classes: []Class{
-			{Name: "safe", Worth: 2, LateWorth: 0.2, Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Safe},
-			{Name: "keyed", Worth: 3, LateWorth: 0.2, Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed,
-				Group: GroupCell, KeyWindow: time.Second},
-			{Name: "unsafe", Worth: 3, LateWorth: 0.2, Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Unsafe},
+			{Name: "safe", Weight: 2, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: Idempotent},
+			{Name: "keyed", Weight: 3, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentWithKey,
+				DedupScope: DedupCell, DedupWindow: time.Second},
+			{Name: "unsafe", Weight: 3, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: NotIdempotent},
 		},
-		OverShareWorth: 0.1, Cancel: true, SecondCopies: true, MaxAttempts: 3, MaxOpen: 1000,
-		DialTimeout: 250 * ms, AnswerSlack: 8 * ms, DrainGrace: 250 * ms,
-		ColdFrom: 0.2, ColdRamp: 10 * time.Second, FallMultiple: 2, FallSpan: time.Second,
-		Orders: true, Keep: 8 * time.Second, OrderTimeout: 10 * time.Second, TellsCrowd: true,
+		OverQuotaWeight: 0.1, CanCancel: true, Hedging: true, MaxAttempts: 3, MaxInFlight: 1000,
+		DialTimeout: 250 * ms, AnswerGrace: 8 * ms, DrainGrace: 250 * ms,
+		SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second,
+		LoadOrders: true, IdleTTL: 8 * time.Second, LoadTimeout: 10 * time.Second, ReportsQueueDepth: true,
 	}
 }
 
@@ -39,7 +39,7 @@
 	orders   []Load
 	ordered  []time.Duration
 	taken    []time.Duration
-	wakes    []Wake
+	wakes    []SetTimer
 	wakeAt   []time.Duration
 	log      []string
 	sent     []Send
@@ -82,18 +82,18 @@
 		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%2), Cell: i % 2,
 			Weight: 1})
 	}
-	f.change(ListFull, list...)
+	f.change(ScopeFull, list...)
 }
 
-func (f *fleet) change(scope ListScope, list ...Worker) {
-	if scope == ListFull {
+func (f *fleet) change(scope UpdateScope, list ...Worker) {
+	if scope == ScopeFull {
 		clear(f.state)
 	}
 	for _, w := range list {
 		f.state[w.ID] = w.State
 		f.workers[w.ID] = w
 	}
-	f.event(ListEvent{Scope: scope, Workers: list})
+	f.event(EndpointsEvent{Scope: scope, Workers: list})
 }
 
 func (f *fleet) request(class, function string, left time.Duration) RequestID {
@@ -104,7 +104,7 @@
 		}
 	}
 	f.taken = append(f.taken, f.now)
-	f.event(RequestEvent{ID: f.lastID, Class: class, Function: FunctionID(function), TimeLeft: left, Lanes: 1,
+	f.event(RequestEvent{ID: f.lastID, Class: class, Function: FunctionID(function), TimeLeft: left, Concurrency: 1,
 		LoadTime: 300 * ms})
 	return f.lastID
 }
@@ -135,35 +135,35 @@
 			f.t.Fatalf("more attempts than allowed for %d", a.ID)
 		}
 		for _, s := range r.sends {
-			if s.pending && !f.set.SecondCopies {
+			if s.pending && !f.set.Hedging {
 				f.t.Fatalf("rule 2: two attempts of %d at a time", a.ID)
 			}
 			if !s.pending && !s.maybe {
 				continue
 			}
-			switch r.class.Effect {
-			case Unsafe:
+			switch r.class.Idempotency {
+			case NotIdempotent:
 				f.t.Fatalf("rule 2: unsafe %d sent again", a.ID)
-			case Keyed:
+			case IdempotentWithKey:
 				x, y := f.workers[s.w], f.workers[a.Worker]
-				if f.now-s.at >= r.class.KeyWindow {
+				if f.now-s.at >= r.class.DedupWindow {
 					f.t.Fatalf("rule 2: keyed %d sent again after its window", a.ID)
 				}
-				if r.class.Group == GroupCell && x.Cell != y.Cell || r.class.Group == GroupZone && x.Zone != y.Zone {
+				if r.class.DedupScope == DedupCell && x.Cell != y.Cell || r.class.DedupScope == DedupZone && x.Zone != y.Zone {
 					f.t.Fatalf("rule 2: keyed %d sent outside its group", a.ID)
 				}
 			}
 		}
 		due := r.deadline
-		if a.Limit > 0 {
-			due = min(due, f.now+a.Limit)
+		if a.Timeout > 0 {
+			due = min(due, f.now+a.Timeout)
 		}
 		r.sends = append(r.sends, &sendState{w: a.Worker, at: f.now, due: due, pending: true})
 		f.sent = append(f.sent, a)
 		f.sentTo[a.Worker]++
-	case Refuse, Fail:
+	case Reject, Fail:
 		id, refused := RequestID(0), false
-		if x, ok := a.(Refuse); ok {
+		if x, ok := a.(Reject); ok {
 			id, refused = x.ID, true
 		} else {
 			id = a.(Fail).ID
@@ -173,13 +173,13 @@
 			f.t.Fatalf("rule 1: second final answer for %d", id)
 		}
 		r.answered = true
-		if f.now > r.deadline+f.set.AnswerSlack {
+		if f.now > r.deadline+f.set.AnswerGrace {
 			f.t.Fatalf("rule 1: answer to %d after its deadline", id)
 		}
 		if refused {
 			f.refused[id] = true
 			for _, s := range r.sends {
-				harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll
+				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet
 				if (s.pending || s.maybe) && !harmless {
 					f.t.Fatalf("rule 2: %d refused though it may have run", id)
 				}
@@ -202,22 +202,22 @@
 					}
 					return n
 				}
-				if float64(count(f.ordered)) > f.set.LoadFree+f.set.LoadShare*float64(count(f.taken)) {
+				if float64(count(f.ordered)) > f.set.LoadBurst+f.set.LoadRatio*float64(count(f.taken)) {
 					f.t.Fatal("rule 5: more orders than the ration")
 				}
 			}
 		}
-		if !f.set.Orders || a.Function == "" {
+		if !f.set.LoadOrders || a.Function == "" {
 			f.t.Fatal("order that is not allowed")
 		}
 		f.orders = append(f.orders, a)
 		f.loads = append(f.loads, a)
 	case Cancel:
-		if r := f.open[a.ID]; !f.set.Cancel || r == nil || a.Attempt >= len(r.sends) {
+		if r := f.open[a.ID]; !f.set.CanCancel || r == nil || a.Attempt >= len(r.sends) {
 			f.t.Fatal("cancel of what was never sent, or not allowed")
 		}
 		f.canceled++
-	case Wake:
+	case SetTimer:
 		f.wakes = append(f.wakes, a)
 		f.wakeAt = append(f.wakeAt, f.now+a.After)
 	}
@@ -228,11 +228,11 @@
 	r := f.open[id]
 	s := r.sends[n]
 	s.pending = false
-	s.maybe = status != Full && status != Miss && status != ConnectFailed && status != Moot
+	s.maybe = status != Rejected && status != Miss && status != ConnectFailed && status != NotSent
 	if status == OK {
 		r.answered = true
 	}
-	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.w, Status: status, Took: f.now - s.at, Closed: r.answered})
+	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.w, Status: status, Elapsed: f.now - s.at, Answered: r.answered})
 }
 
 // answerOrders lets all pending orders stand.
@@ -240,15 +240,15 @@
 	pending := f.orders
 	f.orders = nil
 	for _, l := range pending {
-		f.event(LoadedEvent{Worker: l.Worker, Function: l.Function, Status: status, Took: 200 * ms, Copies: l.Copies})
+		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Status: status, Elapsed: 200 * ms, Copies: l.Copies})
 	}
 }
 
 // to moves the clock, step by step, with timers and time-outs.
 func (f *fleet) to(now time.Duration) {
 	for f.now < now {
-		f.now = min(now, f.now+f.set.Step)
-		var due []Wake
+		f.now = min(now, f.now+f.set.MinEventInterval)
+		var due []SetTimer
 		for i := 0; i < len(f.wakes); {
 			if f.wakeAt[i] <= f.now {
 				due = append(due, f.wakes[i])
@@ -259,7 +259,7 @@
 			i++
 		}
 		for _, w := range due {
-			f.event(WakeEvent{Ref: w.Ref})
+			f.event(TimerEvent{TimerID: w.TimerID})
 		}
 		for _, id := range f.ids() {
 			r := f.open[id]
@@ -268,7 +268,7 @@
 					f.outcome(id, n, TimedOut)
 				}
 			}
-			if !r.answered && f.now > r.deadline+f.set.AnswerSlack {
+			if !r.answered && f.now > r.deadline+f.set.AnswerGrace {
 				f.t.Fatalf("rule 1: no answer to %d in time", id)
 			}
 		}
@@ -289,20 +289,20 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := testSettings()
 	coin := func() bool { return rng.IntN(2) == 0 }
-	s.SecondCopies, s.Cancel, s.Orders, s.LoadOnMiss = coin(), coin(), rng.IntN(4) > 0, rng.IntN(4) == 0
-	s.MaxAttempts, s.TellsCrowd, s.AskList = 1+rng.IntN(5), coin(), coin()
-	s.Classes[1].Group = Group(rng.IntN(3))
-	s.Peers = []int{1, 3, 100, 300}[rng.IntN(4)]
-	s.MarksRepeats, s.LiveWeights = coin(), coin()
+	s.Hedging, s.CanCancel, s.LoadOrders, s.LoadOnMiss = coin(), coin(), rng.IntN(4) > 0, rng.IntN(4) == 0
+	s.MaxAttempts, s.ReportsQueueDepth, s.PollEndpoints = 1+rng.IntN(5), coin(), coin()
+	s.Classes[1].DedupScope = DedupScope(rng.IntN(3))
+	s.Dispatchers = []int{1, 3, 100, 300}[rng.IntN(4)]
+	s.ClientsMarkRetries, s.LiveWeights = coin(), coin()
 	if coin() {
-		s.LoadWindow, s.LoadFree, s.LoadShare = time.Second, 2, 0.3
+		s.LoadWindow, s.LoadBurst, s.LoadRatio = time.Second, 2, 0.3
 	}
 	if coin() {
-		s.Tenants = []Tenant{{Name: "a", Share: 0.5, Allowance: 5}}
+		s.Tenants = []Tenant{{Name: "a", Quota: 0.5, RateQuota: 5}}
 	}
 	f := newFleet(t, s, seed)
 	f.list(6)
-	statuses := []Status{OK, OK, OK, OK, OK, Miss, Full, Failed, Reset, ConnectFailed, Moot}
+	statuses := []Status{OK, OK, OK, OK, OK, Miss, Rejected, Failed, Reset, ConnectFailed, NotSent}
 	for range 1500 {
 		f.to(f.now + time.Duration(rng.IntN(8))*ms)
 		switch k := rng.IntN(20); {
@@ -318,28 +318,28 @@
 				}
 			}
 		case k < 16:
-			f.answerOrders([]Status{OK, OK, OK, Full, Failed, TimedOut, Reset}[rng.IntN(7)])
+			f.answerOrders([]Status{OK, OK, OK, Rejected, Failed, TimedOut, Reset}[rng.IntN(7)])
 		case k == 16:
 			w := f.workers[WorkerID(fmt.Sprintf("w%02d", rng.IntN(6)))]
 			w.State = WorkerState(rng.IntN(3))
 			if w.State == Ready && coin() {
 				w.Started = f.now
 			}
-			f.change(ListChange, w)
+			f.change(ScopeDelta, w)
 		case k == 17:
 			if ids := f.ids(); len(ids) > 0 {
 				id := ids[rng.IntN(len(ids))]
 				f.open[id].answered = true
-				f.event(GoneEvent{ID: id})
+				f.event(ClientGoneEvent{ID: id})
 			}
 		case k == 18: // what is late, repeated or unknown
 			f.event(OutcomeEvent{ID: RequestID(rng.IntN(2000)), Attempt: 7, Worker: "nobody", Status: Status(rng.IntN(12))})
-			f.event(LoadedEvent{Worker: "nobody", Function: "f1", Status: OK, Copies: 1})
-			f.event(WakeEvent{Ref: int64(rng.IntN(5000))})
-			f.event(StartedEvent{ID: 1 << 40})
+			f.event(LoadEndedEvent{Worker: "nobody", Function: "f1", Status: OK, Copies: 1})
+			f.event(TimerEvent{TimerID: int64(rng.IntN(5000))})
+			f.event(StreamStartedEvent{ID: 1 << 40})
 		case k == 19 && rng.IntN(10) == 0:
-			f.change(ListFull)
-			f.event(ListEvent{Scope: ListFailed})
+			f.change(ScopeFull)
+			f.event(EndpointsEvent{Scope: ScopeFailed})
 		case k == 19 && len(f.state) < 3:
 			f.list(6)
 		}
--- a/rules/health.go
+++ b/internal/balancer/health.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 // What is believed of workers and of their zones: who fails, who is slow, who keeps silent.
 
--- a/rules/health_test.go
+++ b/internal/balancer/health_test.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 // calm has a dispatcher of a large fleet see calls answered by all its workers, a few each, and returns the fleet.
 func calm(t *testing.T, workers int) *fleet {
 	s := testSettings()
-	s.Peers, s.Zones = 80, []string{"z0", "z1", "z2"}
-	s.LoadWindow, s.LoadFree, s.LoadShare = 10*time.Second, 6, 0.15
+	s.Dispatchers, s.Zones = 80, []string{"z0", "z1", "z2"}
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
 	f := newFleet(t, s, 1)
 	var list []Worker
 	for i := range workers {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Weight: 1})
 	}
-	f.change(ListFull, list...)
+	f.change(ScopeFull, list...)
 	for i := range 3 * workers {
 		f.to(f.now + 50*ms)
 		f.answer(f.request("safe", fmt.Sprintf("fn%d", i), time.Second), OK, 50*ms)
--- a/rules/many_test.go
+++ b/internal/balancer/many_test.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 	t.Helper()
 	m := &many{rng: rand.New(rand.NewPCG(7, 7)), due: map[time.Duration][]func(){},
 		sends: map[WorkerID][]time.Duration{}}
-	s.Peers = balancers
+	s.Dispatchers = balancers
 	var list []Worker
 	for i := range workers {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: "z0", Cell: i / 4, Weight: 1})
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		m.b = append(m.b, b)
-		m.event(i, ListEvent{Scope: ListFull, Workers: list})
+		m.event(i, EndpointsEvent{Scope: ScopeFull, Workers: list})
 	}
 	return m
 }
@@ -56,16 +56,16 @@
 			m.sends[a.Worker] = append(m.sends[a.Worker], m.now)
 			n := len(m.b[i].requests[a.ID].attempts) - 1 // one send of a request at a time
 			m.after(150*ms, func() {
-				m.event(i, OutcomeEvent{ID: a.ID, Attempt: n, Worker: a.Worker, Status: OK, Took: 150 * ms,
-					Closed: true})
+				m.event(i, OutcomeEvent{ID: a.ID, Attempt: n, Worker: a.Worker, Status: OK, Elapsed: 150 * ms,
+					Answered: true})
 			})
 		case Load:
 			m.loads++
 			m.after(manyStep, func() {
-				m.event(i, LoadedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Took: manyStep, Copies: 1})
+				m.event(i, LoadEndedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Elapsed: manyStep, Copies: 1})
 			})
-		case Wake:
-			m.after(a.After, func() { m.event(i, WakeEvent{Ref: a.Ref}) })
+		case SetTimer:
+			m.after(a.After, func() { m.event(i, TimerEvent{TimerID: a.TimerID}) })
 		}
 	}
 }
@@ -85,7 +85,7 @@
 				f = 0
 			}
 			m.event(m.rng.IntN(len(m.b)), RequestEvent{ID: RequestID(m.rng.Int64N(1 << 40)), Class: "safe",
-				Function: FunctionID(fmt.Sprintf("fn%d", f)), TimeLeft: 2 * time.Second, Lanes: 4, LoadTime: 300 * ms})
+				Function: FunctionID(fmt.Sprintf("fn%d", f)), TimeLeft: 2 * time.Second, Concurrency: 4, LoadTime: 300 * ms})
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // Guards rule 4 where hundreds of dispatchers each see a call a second: one call each was a flood.
 func TestManyDispatchersDoNotPushAColdWorkerOver(t *testing.T) {
 	slow := testSettings()
-	slow.ColdFrom, slow.ColdRamp = 0.1, 20*time.Second
+	slow.SlowStartFloor, slow.SlowStartDuration = 0.1, 20*time.Second
 	m := newMany(t, slow, 200, 10)
 	m.play(12*time.Second, 400)
 	cold, capacity := WorkerID("w00"), 400/10/0.6 // a warm worker is busy for 0.6 of its time
@@ -104,23 +104,23 @@
 	}
 	started := m.now
 	for i := range m.b {
-		m.event(i, ListEvent{Scope: ListChange, Workers: []Worker{{ID: cold, Zone: "z0", Weight: 1, Started: started}}})
+		m.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: []Worker{{ID: cold, Zone: "z0", Weight: 1, Started: started}}})
 	}
 	m.sends[cold] = nil
 	m.play(12*time.Second, 400)
 	s := m.b[0].set
 	early := 0
 	for i, at := range m.sends[cold] {
-		if at >= started+s.ColdRamp {
+		if at >= started+s.SlowStartDuration {
 			break
 		}
 		n := 0
-		for j := i; j >= 0 && m.sends[cold][j] > at-s.FallSpan; j-- {
+		for j := i; j >= 0 && m.sends[cold][j] > at-s.OverloadWindow; j-- {
 			n++
 		}
-		warm := s.ColdFrom + (1-s.ColdFrom)*float64(at-started)/float64(s.ColdRamp)
-		if most := s.FallMultiple * warm * capacity * s.FallSpan.Seconds(); float64(n) > most {
-			t.Fatalf("%v after its start: %d calls within %v, at most %.0f", at-started, n, s.FallSpan, most)
+		warm := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(at-started)/float64(s.SlowStartDuration)
+		if most := s.OverloadMultiple * warm * capacity * s.OverloadWindow.Seconds(); float64(n) > most {
+			t.Fatalf("%v after its start: %d calls within %v, at most %.0f", at-started, n, s.OverloadWindow, most)
 		}
 		early++
 	}
@@ -133,7 +133,7 @@
 func (m *many) restart(t testing.TB, part float64, list []Worker) {
 	for i := range m.b {
 		if m.rng.Float64() >= part {
-			m.event(i, ListEvent{Scope: ListChange, Workers: list})
+			m.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: list})
 			continue
 		}
 		b, err := New(m.b[i].set, uint64(i)+m.rng.Uint64())
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 		m.b[i] = b
-		m.event(i, ListEvent{Scope: ListStale, Workers: list})
+		m.event(i, EndpointsEvent{Scope: ScopeStale, Workers: list})
 	}
 }
 
@@ -152,7 +152,7 @@
 		for _, part := range []float64{0.1, 0.7, 1} {
 			t.Run(fmt.Sprintf("%d, of which %v restart", peers, part), func(t *testing.T) {
 				s := testSettings()
-				s.ColdFrom, s.ColdRamp, s.FallSpan = 0.27, 16*time.Second, 3*time.Second
+				s.SlowStartFloor, s.SlowStartDuration, s.OverloadWindow = 0.27, 16*time.Second, 3*time.Second
 				const workers, rate = 10, 300
 				m := newMany(t, s, peers, workers)
 				m.play(12*time.Second, rate)
@@ -171,13 +171,13 @@
 				for _, w := range list[:cold] {
 					for i, at := range m.sends[w.ID] {
 						n := 0
-						for j := i; j >= 0 && m.sends[w.ID][j] > at-s.FallSpan; j-- {
+						for j := i; j >= 0 && m.sends[w.ID][j] > at-s.OverloadWindow; j-- {
 							n++
 						}
-						warm := s.ColdFrom + (1-s.ColdFrom)*float64(at-started)/float64(s.ColdRamp)
-						most := s.FallMultiple * warm * rate / workers / 0.6 * s.FallSpan.Seconds()
+						warm := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(at-started)/float64(s.SlowStartDuration)
+						most := s.OverloadMultiple * warm * rate / workers / 0.6 * s.OverloadWindow.Seconds()
 						if most += 2*math.Sqrt(most) + 2; float64(n) > most {
-							t.Fatalf("%v after its start: %d calls within %v, at most %.0f", at-started, n, s.FallSpan, most)
+							t.Fatalf("%v after its start: %d calls within %v, at most %.0f", at-started, n, s.OverloadWindow, most)
 						}
 					}
 				}
--- a/rules/rules.go
+++ b/internal/balancer/rules.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 // Types are in api.go (settings, events, actions) and state.go (what is kept). What decides is here, and in
 // health.go as far as it judges workers.
@@ -48,25 +48,25 @@
 // Handle takes one event at time now and returns what to do, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now, b.did = now, nil
-	if b.set.AskList && !b.asked && (b.wakeRef == 0 || b.now-b.askAt > askAgain) {
+	if b.set.PollEndpoints && !b.asked && (b.wakeRef == 0 || b.now-b.askAt > askAgain) {
 		b.asked, b.askAt = true, b.now
 		b.do(Watch{On: true})
 	}
 	switch e := e.(type) {
-	case ListEvent:
+	case EndpointsEvent:
 		b.onList(e)
 	case RequestEvent:
 		b.onRequest(e)
 	case OutcomeEvent:
 		b.onOutcome(e)
-	case StartedEvent:
+	case StreamStartedEvent:
 		b.close(b.requests[e.ID], true)
-	case GoneEvent:
+	case ClientGoneEvent:
 		b.close(b.requests[e.ID], false)
-	case LoadedEvent:
+	case LoadEndedEvent:
 		b.onLoaded(e)
-	case WakeEvent:
-		if e.Ref == b.wakeRef {
+	case TimerEvent:
+		if e.TimerID == b.wakeRef {
 			b.wakeAt = 0
 			b.sweep()
 		}
@@ -86,16 +86,16 @@
 	if b.wakeAt == 0 || b.wakeAt > b.now+after {
 		b.wakeAt = b.now + after
 		b.wakeRef++
-		b.do(Wake{After: after, Ref: b.wakeRef})
+		b.do(SetTimer{After: after, TimerID: b.wakeRef})
 	}
 }
 
-func (b *Balancer) onList(e ListEvent) {
-	if e.Scope == ListFailed {
+func (b *Balancer) onList(e EndpointsEvent) {
+	if e.Scope == ScopeFailed {
 		b.asked, b.askAt = false, b.now
 		return
 	}
-	if e.Scope != ListChange {
+	if e.Scope != ScopeDelta {
 		for _, w := range b.workers {
 			b.left(w, Removed)
 		}
@@ -146,7 +146,7 @@
 
 // load is the requests at a worker, by this dispatcher's knowledge, for its present capacity.
 func (b *Balancer) load(w *worker) float64 {
-	return float64(len(w.out)) * float64(b.set.Peers) / b.capacity(w)
+	return float64(len(w.out)) * float64(b.set.Dispatchers) / b.capacity(w)
 }
 
 func (b *Balancer) capacity(w *worker) float64 {
@@ -188,7 +188,7 @@
 		}
 	}
 	for id, w := range b.workers { // one that comes back by now would be warm, or have a new start
-		if w.State == Removed && len(w.out) == 0 && b.now-w.leftAt > b.set.ColdRamp+b.set.FallSpan {
+		if w.State == Removed && len(w.out) == 0 && b.now-w.leftAt > b.set.SlowStartDuration+b.set.OverloadWindow {
 			b.forget(id)
 		}
 	}
@@ -225,11 +225,11 @@
 // heat tells whether a function is hot and the size of its group, by own counts and the crowds its calls met.
 func (b *Balancer) heat(f *function) {
 	was, prior := f.hot, 0.0
-	if b.set.TellsCrowd {
+	if b.set.ReportsQueueDepth {
 		prior = crowdWeight
 	}
 	part := (math.Max(0, f.count.n-1) + prior*f.need) / math.Max(b.share+prior, 1e-6)
-	f.hot = len(b.list) > 0 && f.count.n*float64(b.set.Peers) >= hotLeast &&
+	f.hot = len(b.list) > 0 && f.count.n*float64(b.set.Dispatchers) >= hotLeast &&
 		(part >= hotEnter || was && part >= hotEnter/2)
 	if !f.hot {
 		f.start, f.size = 0, 1
@@ -244,7 +244,7 @@
 
 // thin tells that own calls are too few to judge single workers by, and only a small part of all.
 func (b *Balancer) thin() bool {
-	return b.share < ownEnough && b.set.Peers >= manyPeers
+	return b.share < ownEnough && b.set.Dispatchers >= manyPeers
 }
 
 // leastLoaded finds the place of a group with the least hot load; ties within the noise of counts go by home.
@@ -270,14 +270,14 @@
 
 // used tells that all dispatchers' calls must keep a copy at each worker of the group, where own are few.
 func (b *Balancer) used(f *function) bool {
-	own := math.Max(f.count.n-1, smooth) * b.set.Keep.Seconds() / countWindow.Seconds() / float64(f.size)
-	return b.thin() && (f.hot || own*float64(b.set.Peers) >= sureUse)
+	own := math.Max(f.count.n-1, smooth) * b.set.IdleTTL.Seconds() / countWindow.Seconds() / float64(f.size)
+	return b.thin() && (f.hot || own*float64(b.set.Dispatchers) >= sureUse)
 }
 
 // lastTry tells that a request's next attempt is its last: four misses in a few ms would end it at once, so
 // that one is kept for a place where a copy stands or has been ordered.
 func (b *Balancer) lastTry(r *request) bool {
-	return b.set.Orders && !b.set.LoadOnMiss && len(r.attempts) > 0 && len(r.attempts)+1 >= b.set.MaxAttempts
+	return b.set.LoadOrders && !b.set.LoadOnMiss && len(r.attempts) > 0 && len(r.attempts)+1 >= b.set.MaxAttempts
 }
 
 // strange tells that nobody knows a function, as far as this dispatcher has heard: its calls and loads met
@@ -296,19 +296,19 @@
 
 // ordersFirst tells whether a copy not believed to stand is ordered before a request goes there.
 func (b *Balancer) ordersFirst(p *placed) bool {
-	return b.set.Orders && !b.set.LoadOnMiss && (b.set.LoadWindow == 0 || p.missed)
+	return b.set.LoadOrders && !b.set.LoadOnMiss && (b.set.LoadWindow == 0 || p.missed)
 }
 
 // order is the one place that emits Load. It keeps the drain rule and the ration, and paces by the window.
 func (b *Balancer) order(f *function, p *placed, copies int, allowed float64) bool {
-	if p.ordered || !b.set.Orders || b.strange(f) || f.id == "" || p.w.State != Ready || b.now < p.avoid ||
+	if p.ordered || !b.set.LoadOrders || b.strange(f) || f.id == "" || p.w.State != Ready || b.now < p.avoid ||
 		float64(b.loads) >= allowed {
 		return false
 	}
 	if b.set.LoadWindow > 0 {
 		b.orders = within(b.orders, b.now-b.set.LoadWindow-b.underWay())
 		b.taken = within(b.taken, b.now-b.set.LoadWindow+b.underWay())
-		if float64(len(b.orders)+1) > b.set.LoadFree+b.set.LoadShare*float64(len(b.taken)) {
+		if float64(len(b.orders)+1) > b.set.LoadBurst+b.set.LoadRatio*float64(len(b.taken)) {
 			return false
 		}
 		b.orders = append(b.orders, b.now)
@@ -316,7 +316,7 @@
 	f.users++
 	p.ordered, p.orderAt = true, b.now
 	b.loads++
-	b.do(Load{Worker: p.w.ID, Function: f.id, Copies: min(copies, 16), Within: b.underWay()})
+	b.do(Load{Worker: p.w.ID, Function: f.id, Copies: min(copies, 16), StartWithin: b.underWay()})
 	return true
 }
 
@@ -331,7 +331,7 @@
 	b.taken = slices.Insert(b.taken, i, r.came())
 }
 
-func (b *Balancer) onLoaded(e LoadedEvent) {
+func (b *Balancer) onLoaded(e LoadEndedEvent) {
 	f, w := b.functions[e.Function], b.workers[e.Worker]
 	if f == nil || w == nil || !f.where(w).ordered {
 		return
@@ -341,7 +341,7 @@
 	f.users--
 	b.loads--
 	p.copies = e.Copies
-	took, usual := e.Took.Seconds(), f.loadTime
+	took, usual := e.Elapsed.Seconds(), f.loadTime
 	slow := (e.Status != Failed || b.erred(f)) && (e.Status != OK || took > loadSlow*usual)
 	if e.Status == OK {
 		b.heard(w)
@@ -402,19 +402,19 @@
 	}
 	c := b.classes[e.Class]
 	if c == nil {
-		c = &Class{Name: e.Class, Worth: 1, Aim: e.TimeLeft, Deadline: e.TimeLeft, Effect: Unsafe}
+		c = &Class{Name: e.Class, Weight: 1, LatencyObjective: e.TimeLeft, Deadline: e.TimeLeft, Idempotency: NotIdempotent}
 	}
 	f := b.functions[e.Function]
 	if f == nil {
 		f = &function{id: e.Function, epoch: -1, size: 1, at: map[WorkerID]*placed{}}
 		b.functions[e.Function] = f
 	}
-	f.lanes = max(1, e.Lanes)
+	f.lanes = max(1, e.Concurrency)
 	if f.loadTime == 0 {
 		f.loadTime = cmp.Or(e.LoadTime.Seconds(), loadUsual)
 	}
 	part := 1.0 // a call counts by its work, where that is told
-	if work := e.Work.Seconds(); work > 0 {
+	if work := e.WorkEstimate.Seconds(); work > 0 {
 		b.work += (work - b.work) * firstOr(b.work, smooth/4)
 		part = min(work/b.work, 1/smooth)
 	}
@@ -423,18 +423,18 @@
 	b.heat(f)
 	f.users++
 	f.turn++
-	r := &request{RequestEvent: e, class: c, f: f, turn: f.turn, deadline: b.now + e.TimeLeft, worth: c.Worth,
+	r := &request{RequestEvent: e, class: c, f: f, turn: f.turn, deadline: b.now + e.TimeLeft, worth: c.Weight,
 		avoid: map[WorkerID]bool{}}
-	r.aim = b.now + min(e.TimeLeft, c.Aim+time.Duration(c.AimStretch*float64(e.Work)))
+	r.aim = b.now + min(e.TimeLeft, c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(e.WorkEstimate)))
 	if t, most := b.shares[e.Tenant], b.allowed[e.Tenant]; most > 0 &&
-		t.add(b.now, 1, countWindow)/countWindow.Seconds()*float64(b.set.Peers) > most {
-		r.worth *= b.set.OverShareWorth
+		t.add(b.now, 1, countWindow)/countWindow.Seconds()*float64(b.set.Dispatchers) > most {
+		r.worth *= b.set.OverQuotaWeight
 	}
 	b.longest[c.Name] = max(b.longest[c.Name], e.TimeLeft)
-	if e.Repeat { // what the first try waited is not told; most likely the aim has passed
-		r.worth *= (1 + c.LateWorth) / 2
+	if e.Retry { // what the first try waited is not told; most likely the aim has passed
+		r.worth *= (1 + c.LateWeight) / 2
 	}
-	if (e.Repeat || !b.set.MarksRepeats) && e.TimeLeft < b.longest[c.Name]*31/32 { // the deadline cut it short
+	if (e.Retry || !b.set.ClientsMarkRetries) && e.TimeLeft < b.longest[c.Name]*31/32 { // the deadline cut it short
 		r.aim -= c.Deadline - e.TimeLeft
 	}
 	b.tokens = math.Min(retryBurst, b.tokens+retryShare)
@@ -448,8 +448,8 @@
 // place finds a request without a pending attempt its next step: a send, a wait for an order, or its end.
 func (b *Balancer) place(r *request) {
 	if len(r.attempts) >= b.set.MaxAttempts || b.over(r) || b.strange(r.f) ||
-		(r.mayHaveRun() && r.class.Effect == Unsafe) ||
-		r.Repeat && b.now+sec(r.f.answer) > r.deadline { // its client would be gone before the usual answer
+		(r.mayHaveRun() && r.class.Idempotency == NotIdempotent) ||
+		r.Retry && b.now+sec(r.f.answer) > r.deadline { // its client would be gone before the usual answer
 		b.end(r)
 		return
 	}
@@ -476,7 +476,7 @@
 	held, used, seen, least := false, b.used(f), 0, 0.0
 	for i := range b.list {
 		w := b.member(f, r.turn, i)
-		if w.isCold && b.set.Peers >= manyPeers && (f.size == 1 || i+len(r.attempts) > 0) { // beyond the lot
+		if w.isCold && b.set.Dispatchers >= manyPeers && (f.size == 1 || i+len(r.attempts) > 0) { // beyond the lot
 			continue
 		}
 		if !b.mayGo(r, w) || !b.sound(r, w) {
@@ -523,7 +523,7 @@
 // skip tells that a worker is passed over for now: it answered full, or holds many requests for its size.
 func (b *Balancer) skip(w *worker) bool {
 	return b.now < w.fullUntil || float64(len(w.out)) >= w.window || b.slow(w) > slowOver ||
-		b.load(w) > skipOver*b.mean+skipSlack*float64(b.set.Peers)/b.capacity(w)
+		b.load(w) > skipOver*b.mean+skipSlack*float64(b.set.Dispatchers)/b.capacity(w)
 }
 
 // sound leaves out who fails more of the class than the fleet or turns all of it away. A suspect gets one
@@ -531,23 +531,23 @@
 func (b *Balancer) sound(r *request, w *worker) bool {
 	class := r.class.Name
 	limit := b.badLimit()
-	if r.class.Effect == Unsafe {
+	if r.class.Idempotency == NotIdempotent {
 		limit *= badUnsafe
 	}
 	return !r.avoid[w.ID] && b.now >= w.shut[class] && w.bad[class] <= limit &&
-		(!b.silent(w) || b.panicky || r.class.Effect == Safe && b.now >= max(w.trialAt, w.zone.trialAt) &&
+		(!b.silent(w) || b.panicky || r.class.Idempotency == Idempotent && b.now >= max(w.trialAt, w.zone.trialAt) &&
 			len(w.out) == 0 && len(r.attempts)+1 < b.set.MaxAttempts)
 }
 
 // mayGo holds the rules on what may be sent where: drains, repeats, cold workers, attempts and time.
 func (b *Balancer) mayGo(r *request, w *worker) bool {
 	if r.closed || w.State != Ready || len(r.attempts) >= b.set.MaxAttempts || b.over(r) ||
-		r.out > 0 && !b.set.SecondCopies || r.class.Effect == Unsafe && r.mayHaveRun() {
+		r.out > 0 && !b.set.Hedging || r.class.Idempotency == NotIdempotent && r.mayHaveRun() {
 		return false
 	}
 	for _, a := range r.attempts {
-		if r.class.Effect == Keyed && (a.pending || a.maybe) &&
-			(b.now-a.at >= r.class.KeyWindow || !sameGroup(r.class.Group, a.w, w)) {
+		if r.class.Idempotency == IdempotentWithKey && (a.pending || a.maybe) &&
+			(b.now-a.at >= r.class.DedupWindow || !sameGroup(r.class.DedupScope, a.w, w)) {
 			return false
 		}
 	}
@@ -558,16 +558,16 @@
 // present capacity, judged by what warm workers answer, less a margin for chance. A share below one is dealt
 // by lot, among all requests that all dispatchers are likely to send there.
 func (b *Balancer) coldRoom(r *request, w *worker) bool {
-	warm, peers, span := b.warm(w), float64(b.set.Peers), b.set.FallSpan.Seconds()
+	warm, peers, span := b.warm(w), float64(b.set.Dispatchers), b.set.OverloadWindow.Seconds()
 	if warm >= 1 {
 		return true
 	}
-	w.coldSends = within(w.coldSends, b.now-b.set.FallSpan)
-	rate := 1 / math.Max(cmp.Or(b.answer, r.class.Aim.Seconds()), smooth*smooth)
+	w.coldSends = within(w.coldSends, b.now-b.set.OverloadWindow)
+	rate := 1 / math.Max(cmp.Or(b.answer, r.class.LatencyObjective.Seconds()), smooth*smooth)
 	if b.warmSize > 0 {
 		rate = math.Max(rate, peers*b.answers.add(b.now, 0, countWindow)/countWindow.Seconds()*w.size/b.warmSize)
 	}
-	budget := b.set.FallMultiple * warm * rate * span
+	budget := b.set.OverloadMultiple * warm * rate * span
 	budget += coldMargin * (coldMargin/2 - math.Sqrt(budget+coldMargin*coldMargin/4)) // what chance may add
 	if float64(len(w.coldSends)+1) > math.Max(1, budget/peers) {
 		return false
@@ -587,16 +587,16 @@
 	}
 	var limit, within time.Duration
 	for _, a := range r.attempts { // it may wait for a connection: by then a repeat would run
-		if left := a.at + r.class.KeyWindow - b.now; r.class.Effect == Keyed && (a.pending || a.maybe) &&
+		if left := a.at + r.class.DedupWindow - b.now; r.class.Idempotency == IdempotentWithKey && (a.pending || a.maybe) &&
 			(within == 0 || left < within) {
 			within = left
 		}
 	}
-	if r.class.Effect != Unsafe && !b.set.SecondCopies && !b.set.Cancel {
+	if r.class.Idempotency != NotIdempotent && !b.set.Hedging && !b.set.CanCancel {
 		limit = (r.deadline - b.now) / 2
 	}
 	a := &attempt{n: len(r.attempts), w: w, at: b.now, pending: true, usual: b.answer}
-	if work := r.Work.Seconds(); work > 0 {
+	if work := r.WorkEstimate.Seconds(); work > 0 {
 		a.usual *= (1 + work/b.work) / 2
 	}
 	if b.silent(w) {
@@ -612,7 +612,7 @@
 		w.coldSends = append(w.coldSends, b.now)
 	}
 	r.f.where(w).inflight++
-	b.do(Send{ID: r.ID, Worker: w.ID, Limit: limit, Within: within})
+	b.do(Send{ID: r.ID, Worker: w.ID, Timeout: limit, StartWithin: within})
 }
 
 // end is the one place that emits Refuse, where that is harmless, and Fail; not while an attempt is out.
@@ -620,8 +620,8 @@
 	if r.closed || r.out > 0 {
 		return
 	}
-	if !r.mayHaveRun() || r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Group == GroupAll) {
-		b.do(Refuse{ID: r.ID, RetryAfter: b.comeBack(r)})
+	if !r.mayHaveRun() || r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet) {
+		b.do(Reject{ID: r.ID, RetryAfter: b.comeBack(r)})
 	} else {
 		b.do(Fail{ID: r.ID})
 	}
@@ -630,7 +630,7 @@
 
 // comeBack is the advice of a refusal: by then the copy that was lacking usually stands.
 func (b *Balancer) comeBack(r *request) time.Duration {
-	if !b.set.RetryAfter {
+	if !b.set.SendRetryAfter {
 		return 0
 	}
 	return min(sec(2*r.f.loadTime), b.set.MaxRetryAfter)
@@ -649,7 +649,7 @@
 	}
 	if r.out == 0 {
 		delete(b.requests, r.ID)
-	} else if b.set.Cancel && !r.started {
+	} else if b.set.CanCancel && !r.started {
 		for _, a := range r.attempts {
 			if a.pending {
 				b.do(Cancel{ID: r.ID, Attempt: a.n})
@@ -670,7 +670,7 @@
 	p.inflight--
 	w.out = without(w.out, a)
 	class := r.class.Name
-	took := e.Took.Seconds()
+	took := e.Elapsed.Seconds()
 	if e.Status == OK || took > a.usual && (e.Status == TimedOut || e.Status == Cancelled) {
 		w.took.add(b.now, took, slowSpan)
 		w.usual.add(b.now, a.usual, slowSpan)
@@ -683,19 +683,19 @@
 	if e.Status == Failed { // quick or not, it is there
 		b.heard(w)
 	} else if e.Status == ConnectFailed || e.Status == TimedOut {
-		w.zone.lost += b.owed(w.zone, e.Took)
+		w.zone.lost += b.owed(w.zone, e.Elapsed)
 	}
-	a.unseen = e.Status == ConnectFailed || e.Status == Moot
-	a.maybe = !a.unseen && e.Status != Full && e.Status != Miss
-	if e.Status == OK || e.Status == Full || e.Status == Miss {
+	a.unseen = e.Status == ConnectFailed || e.Status == NotSent
+	a.maybe = !a.unseen && e.Status != Rejected && e.Status != Miss
+	if e.Status == OK || e.Status == Rejected || e.Status == Miss {
 		b.earn(r)
 	}
 	switch e.Status {
 	case OK:
 		b.answered(r, p, e)
-	case Full:
+	case Rejected:
 		b.alive(w)
-		b.crowded(r.f, e.Crowd)
+		b.crowded(r.f, e.QueueDepth)
 		if w.turned[class]++; w.turned[class] < turnedMost {
 			w.fullUntil = b.now + sec(b.answer/2)
 			b.shrink(w)
@@ -704,13 +704,13 @@
 		}
 	case Miss:
 		b.alive(w)
-		if p.copies > 0 && e.Warmth != LoadFailed { // released anew or unloaded: the other copies are in doubt
+		if p.copies > 0 && e.Warmth != WarmthLoadFailed { // released anew or unloaded: the other copies are in doubt
 			for _, o := range r.f.at {
 				o.until = min(o.until, b.now)
 			}
 		}
 		p.copies, p.missed, p.until, p.absent = 0, true, 0, b.now+sec(2*r.f.loadTime)
-		if !b.set.Orders || e.Warmth == LoadFailed {
+		if !b.set.LoadOrders || e.Warmth == WarmthLoadFailed {
 			p.avoid = b.now + sec(r.f.loadTime)
 		} else if r.f.hot && r.f.size > 1 {
 			b.order(r.f, p, 1, b.window)
@@ -718,11 +718,11 @@
 	case ConnectFailed:
 		b.suspect(w)
 	case TimedOut, Cancelled: // a client that soon takes its request back says nothing of the worker
-		if b.now-w.heard > e.Took && e.Took >= sec(silentAfter*b.answer) && (b.answer > 0 || e.Status == TimedOut) {
+		if b.now-w.heard > e.Elapsed && e.Elapsed >= sec(silentAfter*b.answer) && (b.answer > 0 || e.Status == TimedOut) {
 			b.suspect(w)
 		}
 	}
-	if r.called = false; e.Closed || r.closed {
+	if r.called = false; e.Answered || r.closed {
 		b.close(r, false)
 		return
 	}
@@ -752,28 +752,28 @@
 	}
 	f.known, f.doubts = true, nil
 	p.copies, p.missed, p.until, p.absent = max(p.copies, 1), false, b.now+b.trust(), 0
-	took := e.Took.Seconds()
+	took := e.Elapsed.Seconds()
 	f.answer, b.answer = cmp.Or(f.answer, took), cmp.Or(b.answer, took)
 	w.ratio += (math.Min(took/math.Max(f.answer, 1e-6), 10) - w.ratio) * smooth
 	f.answer += (took - f.answer) * smooth
 	b.answer += (took - b.answer) * smooth / 4
 	b.answers.add(b.now, 1, countWindow)
-	w.late += (took/math.Max(r.class.Aim.Seconds(), 1e-6) - w.late) * smooth
+	w.late += (took/math.Max(r.class.LatencyObjective.Seconds(), 1e-6) - w.late) * smooth
 	if w.late > lateTarget {
 		b.shrink(w)
 	} else if float64(len(w.out)+2) >= w.window {
 		w.window += 1 / w.window
 	}
-	b.crowded(f, e.Crowd)
-	if b.set.TellsCrowd && e.Crowd >= f.lanes*p.copies && p.copies < 16 && b.stands(p) {
+	b.crowded(f, e.QueueDepth)
+	if b.set.ReportsQueueDepth && e.QueueDepth >= f.lanes*p.copies && p.copies < 16 && b.stands(p) {
 		b.order(f, p, p.copies+1, b.window)
 	}
 }
 
 // crowded learns how many workers a function needs from the calls for it that a worker held.
 func (b *Balancer) crowded(f *function, crowd int) {
-	each := b.share / countWindow.Seconds() * float64(b.set.Peers) * b.answer // held by a worker on average
-	if b.set.TellsCrowd && each > 0 {
+	each := b.share / countWindow.Seconds() * float64(b.set.Dispatchers) * b.answer // held by a worker on average
+	if b.set.ReportsQueueDepth && each > 0 {
 		f.need += (float64(f.size*crowd)/each - f.need) / float64(1+f.size) // the wider, the noisier
 	}
 }
@@ -833,7 +833,7 @@
 
 // value is what an answer would earn for each second of work, if sent now.
 func (b *Balancer) value(r *request) float64 {
-	if b.set.WorthByWork {
+	if b.set.WeightByWork {
 		return r.worth
 	}
 	return r.worth / cmp.Or(r.f.answer, 1)
@@ -842,17 +842,17 @@
 // second sends another copy for a request whose worker is suspect, or calls the first off; not if it is long.
 func (b *Balancer) second(r *request) {
 	a := r.attempts[len(r.attempts)-1]
-	if r.started || r.called || r.out != 1 || r.class.Effect == Unsafe || b.tokens < 1 || !a.pending ||
+	if r.started || r.called || r.out != 1 || r.class.Idempotency == NotIdempotent || b.tokens < 1 || !a.pending ||
 		!b.silent(a.w) || len(r.attempts) >= b.set.MaxAttempts || b.over(r) || (b.now-a.at).Seconds() < r.f.answer {
 		return
 	}
 	r.avoid[a.w.ID] = true
-	if b.set.SecondCopies {
+	if b.set.Hedging {
 		if w, ready := b.pick(r, true); ready {
 			b.tokens--
 			b.send(r, w)
 		}
-	} else if b.set.Cancel && (r.class.Effect == Safe || b.now-a.at < r.class.KeyWindow) {
+	} else if b.set.CanCancel && (r.class.Idempotency == Idempotent || b.now-a.at < r.class.DedupWindow) {
 		r.called = true
 		b.do(Cancel{ID: r.ID, Attempt: a.n})
 	}
--- a/rules/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 		t.Error("no classes: no error")
 	}
 	s := testSettings()
-	s.Keep = -1
+	s.IdleTTL = -1
 	if _, err := New(s, 1); err == nil {
 		t.Error("negative time: no error")
 	}
@@ -62,7 +62,7 @@
 		f.list(6)
 		home := f.served("safe", name)
 		lost := WorkerID("w03")
-		f.change(ListChange, Worker{ID: lost, State: Removed, Weight: 1})
+		f.change(ScopeDelta, Worker{ID: lost, State: Removed, Weight: 1})
 		f.to(f.now + 20*time.Second) // let the copy be forgotten
 		if now := f.served("safe", name); home != lost && now != home {
 			t.Errorf("%s moved from %s to %s though %s was lost", name, home, now, lost)
@@ -100,7 +100,7 @@
 // Where loads are rationed, requests try places unasked. Four misses within a few milliseconds ended them.
 func TestLastAttemptWaitsForACopy(t *testing.T) {
 	s := testSettings()
-	s.MaxAttempts, s.LoadWindow, s.LoadFree, s.LoadShare = 4, 10*time.Second, 6, 0.15
+	s.MaxAttempts, s.LoadWindow, s.LoadBurst, s.LoadRatio = 4, 10*time.Second, 6, 0.15
 	f := newFleet(t, s, 1)
 	f.list(6)
 	id := f.request("safe", "fn", 2*time.Second)
@@ -135,7 +135,7 @@
 		if i == len(orders)-1 { // the others have widened the window by a third
 			took = time.Second
 		}
-		f.event(LoadedEvent{Worker: l.Worker, Function: l.Function, Took: took, Status: OK, Copies: 1})
+		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Elapsed: took, Status: OK, Copies: 1})
 	}
 	if slow := ask("b"); slow < 2 || slow > usual*3/4 {
 		t.Errorf("%d orders in flight after a slow load, %d before", slow, usual)
@@ -161,7 +161,7 @@
 		f := newFleet(t, testSettings(), 1)
 		f.list(2)
 		home := f.served("safe", "fn")
-		f.change(ListChange, Worker{ID: home, State: state, Weight: 1})
+		f.change(ScopeDelta, Worker{ID: home, State: state, Weight: 1})
 		if now := f.served("safe", "fn"); now == home {
 			t.Errorf("state %d: still sent to %s", state, home)
 		}
@@ -180,7 +180,7 @@
 			t.Errorf("status %d: sends %d, failed %v", status, len(f.open[id].sends), f.failed[id])
 		}
 	}
-	for _, status := range []Status{Full, ConnectFailed, Moot} {
+	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
 		f := newFleet(t, testSettings(), 1)
 		f.list(4)
 		f.served("unsafe", "fn")
@@ -228,7 +228,7 @@
 	f.outcome(id, 0, Failed)
 	f.answerOrders(OK)
 	again := f.sent[len(f.sent)-1]
-	if first.ID != id || first.Within != 0 || again.ID != id || again == first || again.Within != 100*ms {
+	if first.ID != id || first.StartWithin != 0 || again.ID != id || again == first || again.StartWithin != 100*ms {
 		t.Errorf("sent %+v, then %+v", first, again)
 	}
 }
@@ -255,7 +255,7 @@
 	s := testSettings()
 	f := newFleet(t, s, 1)
 	f.now = 20 * time.Second
-	f.change(ListFull, Worker{ID: "cold", Weight: 1, Started: f.now})
+	f.change(ScopeFull, Worker{ID: "cold", Weight: 1, Started: f.now})
 	for i := range 50 {
 		f.request("safe", fmt.Sprintf("f%d", i%3), 900*ms)
 		f.answerOrders(OK)
@@ -270,7 +270,7 @@
 
 func TestLoadsAreRationed(t *testing.T) {
 	s := testSettings()
-	s.LoadWindow, s.LoadFree, s.LoadShare = time.Second, 1, 0.1
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = time.Second, 1, 0.1
 	f := newFleet(t, s, 1)
 	f.list(6)
 	for i := range 30 {
@@ -292,8 +292,8 @@
 // within that, no window holds more than the ration.
 func TestRationHoldsForOrdersThatArriveLate(t *testing.T) {
 	s := testSettings()
-	s.LoadWindow, s.LoadFree, s.LoadShare = 10*time.Second, 6, 0.15
-	s.Step = 5 * ms
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
+	s.MinEventInterval = 5 * ms
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := newFleet(t, s, seed)
@@ -308,8 +308,8 @@
 				}
 			}
 			for _, l := range f.orders {
-				if l.Within <= 0 || l.Within > 2*s.DialTimeout {
-					t.Fatalf("an order may begin within %v", l.Within)
+				if l.StartWithin <= 0 || l.StartWithin > 2*s.DialTimeout {
+					t.Fatalf("an order may begin within %v", l.StartWithin)
 				}
 				arrived = append(arrived, f.now+time.Duration(rng.Int64N(int64(2*s.DialTimeout))))
 			}
@@ -326,7 +326,7 @@
 					taken++
 				}
 			}
-			if float64(within) > s.LoadFree+s.LoadShare*float64(taken) {
+			if float64(within) > s.LoadBurst+s.LoadRatio*float64(taken) {
 				t.Fatalf("seed %d: %d orders arrived within %v of %v, and %d requests", seed, within, s.LoadWindow, at, taken)
 			}
 		}
@@ -341,7 +341,7 @@
 // earns, at the time when it came.
 func TestRequestsThatNoWorkerHasTakenEarnNoOrders(t *testing.T) {
 	s := testSettings()
-	s.LoadWindow, s.LoadFree, s.LoadShare = 10*time.Second, 6, 0.15
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
 	for name, status := range map[string]Status{"taken back": Cancelled, "unknown": Failed} {
 		f := newFleet(t, s, 1)
 		f.list(12)
@@ -349,7 +349,7 @@
 			id := f.request("unsafe", fmt.Sprintf("flood%d", i%20), time.Second)
 			if status == Cancelled {
 				f.open[id].answered = true
-				f.event(GoneEvent{ID: id})
+				f.event(ClientGoneEvent{ID: id})
 			}
 			for n := range f.open[id].sends {
 				if f.open[id].sends[n].pending {
@@ -415,7 +415,7 @@
 
 func TestNoSecondCopyWhereNotAllowed(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies = false
+	s.Hedging = false
 	f := newFleet(t, s, 1)
 	f.list(4)
 	for range 40 {
@@ -438,7 +438,7 @@
 func TestLateTriesLeaveRoomForFreshOnes(t *testing.T) {
 	for _, marks := range []bool{false, true} {
 		s := testSettings()
-		s.MarksRepeats = marks
+		s.ClientsMarkRetries = marks
 		f := newFleet(t, s, 1)
 		f.list(1)
 		f.served("safe", "fn")
@@ -447,8 +447,8 @@
 		}
 		f.to(f.now + 20*ms)
 		f.outcome(f.sent[len(f.sent)-1].ID, 0, OK) // room for one
-		f.b.Handle(f.now, RequestEvent{ID: 9999, Class: "safe", Function: "fn", TimeLeft: time.Second, Lanes: 1,
-			Repeat: marks})
+		f.b.Handle(f.now, RequestEvent{ID: 9999, Class: "safe", Function: "fn", TimeLeft: time.Second, Concurrency: 1,
+			Retry: marks})
 		if r := f.b.requests[9999]; r.out > 0 {
 			t.Errorf("marks %v: a try whose aim has passed took the only room", marks)
 		}
@@ -549,7 +549,7 @@
 	r := f.b.requests[id]
 	f.b.did = nil
 	f.b.send(r, f.b.workers["w00"]) // its first attempt is still out
-	f.change(ListChange, Worker{ID: home, State: Draining, Weight: 1})
+	f.change(ScopeDelta, Worker{ID: home, State: Draining, Weight: 1})
 	fresh := &request{RequestEvent: RequestEvent{ID: 77}, class: r.class, f: r.f, deadline: f.now + time.Second}
 	f.b.did = nil
 	f.b.send(fresh, f.b.workers[home])
@@ -594,7 +594,7 @@
 	f.to(f.now + 50*ms)
 	id := f.request("safe", "fn", time.Second)
 	f.to(f.now + ms)
-	f.event(GoneEvent{ID: id})
+	f.event(ClientGoneEvent{ID: id})
 	f.outcome(id, 0, Cancelled)
 	if f.b.workers[home].suspect {
 		t.Error("suspect after 1 ms of silence")
@@ -606,7 +606,7 @@
 func TestRequestTakenBackBeforeAnyAnswerSaysNothing(t *testing.T) {
 	for status, suspect := range map[Status]bool{Cancelled: false, TimedOut: true} {
 		s := testSettings()
-		s.Orders = false
+		s.LoadOrders = false
 		f := newFleet(t, s, 1)
 		f.now = time.Second
 		f.list(1)
@@ -625,11 +625,11 @@
 	f.list(1)
 	for i := range 20 {
 		id := WorkerID(fmt.Sprintf("v%02d", i))
-		f.change(ListChange, Worker{ID: id, Weight: 1})
+		f.change(ScopeDelta, Worker{ID: id, Weight: 1})
 		f.served("safe", fmt.Sprintf("fn%d", i%3))
-		f.change(ListChange, Worker{ID: id, Weight: 1, State: Removed})
+		f.change(ScopeDelta, Worker{ID: id, Weight: 1, State: Removed})
 	}
-	f.to(f.now + f.set.ColdRamp + f.set.FallSpan + time.Second)
+	f.to(f.now + f.set.SlowStartDuration + f.set.OverloadWindow + time.Second)
 	at := 0
 	for _, fn := range f.b.functions {
 		at += len(fn.at)
@@ -649,7 +649,7 @@
 	if len(f.open[loading].sends) != 1 {
 		t.Errorf("%d sends to where its load is under way", len(f.open[loading].sends))
 	}
-	f.change(ListFull)
+	f.change(ScopeFull)
 	none := f.request("unsafe", "other", 600*ms)
 	f.to(f.now + 310*ms)
 	if !f.refused[none] {
@@ -661,14 +661,14 @@
 // loaded meanwhile. So one request in two load times asks where it was missing.
 func TestWithoutAnOrderAMissingCopyIsAskedForAgain(t *testing.T) {
 	s := testSettings()
-	s.LoadWindow, s.LoadFree = 10*time.Second, 1
+	s.LoadWindow, s.LoadBurst = 10*time.Second, 1
 	f := newFleet(t, s, 1)
 	f.list(1)
 	f.outcome(f.request("safe", "fn", 3*time.Second), 0, Miss) // its order is the only one to be had
 	f.answerOrders(OK)
 	gone := f.request("safe", "other", 3*time.Second)
 	f.outcome(gone, 0, Miss)
-	f.event(GoneEvent{ID: gone})
+	f.event(ClientGoneEvent{ID: gone})
 	f.to(f.now + 700*ms) // two load times
 	first, second := f.request("safe", "other", 3*time.Second), f.request("safe", "other", 3*time.Second)
 	if len(f.open[first].sends) != 1 || len(f.open[second].sends) != 0 {
@@ -688,10 +688,10 @@
 		id := f.request("safe", "fn", time.Minute)
 		f.to(f.now + 50*ms)
 		if n := len(f.open[id].sends); n > 0 && f.open[id].sends[n-1].pending {
-			f.outcome(id, n-1, Full)
+			f.outcome(id, n-1, Rejected)
 			turned++
 		}
-		f.event(GoneEvent{ID: id})
+		f.event(ClientGoneEvent{ID: id})
 	}
 	if turned > turnedMost+4 {
 		t.Errorf("asked %d times in two seconds", turned)
--- a/rules/state.go
+++ b/internal/balancer/state.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 import (
 	"errors"
@@ -209,25 +209,25 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unseen })
 }
 
-func sameGroup(g Group, a, w *worker) bool {
-	return g == GroupAll || (g == GroupZone && a.Zone == w.Zone) || (g == GroupCell && a.Cell == w.Cell)
+func sameGroup(g DedupScope, a, w *worker) bool {
+	return g == DedupFleet || (g == DedupZone && a.Zone == w.Zone) || (g == DedupCell && a.Cell == w.Cell)
 }
 
 // New returns the balancer of one dispatcher, or an error for settings that can't work.
 func New(s Settings, seed uint64) (*Balancer, error) {
-	s.MaxAttempts, s.Peers = max(1, s.MaxAttempts), max(1, s.Peers)
+	s.MaxAttempts, s.Dispatchers = max(1, s.MaxAttempts), max(1, s.Dispatchers)
 	b := &Balancer{set: s, rng: seed, bad: map[string]float64{}, classes: map[string]*Class{},
 		allowed: map[string]float64{}, shares: map[string]*decayed{}, longest: map[string]time.Duration{},
 		workers: map[WorkerID]*worker{}, zones: map[string]*zone{}, functions: map[FunctionID]*function{},
 		requests: map[RequestID]*request{}, window: loadStart, tokens: retryBurst}
-	least := min(s.Step, s.AnswerSlack, s.DrainGrace, s.ColdRamp, s.FallSpan, s.Keep, s.OrderTimeout,
-		s.LoadWindow, s.AskWithin, s.MaxRetryAfter, s.DialTimeout)
+	least := min(s.MinEventInterval, s.AnswerGrace, s.DrainGrace, s.SlowStartDuration, s.OverloadWindow, s.IdleTTL, s.LoadTimeout,
+		s.LoadWindow, s.PollTimeout, s.MaxRetryAfter, s.DialTimeout)
 	for _, c := range s.Classes {
-		least = min(least, c.Aim, c.Deadline, c.KeyWindow)
+		least = min(least, c.LatencyObjective, c.Deadline, c.DedupWindow)
 		b.classes[c.Name] = &c
 	}
 	for _, t := range s.Tenants {
-		b.allowed[t.Name], b.shares[t.Name] = t.Allowance, &decayed{}
+		b.allowed[t.Name], b.shares[t.Name] = t.RateQuota, &decayed{}
 	}
 	if len(s.Classes) == 0 || least < 0 {
 		return nil, errors.New("rules: the settings name no class, or a negative time")
@@ -283,11 +283,11 @@
 		return 1
 	}
 	age := b.now - w.cold
-	if age >= b.set.ColdRamp || b.set.ColdRamp == 0 {
+	if age >= b.set.SlowStartDuration || b.set.SlowStartDuration == 0 {
 		w.isCold, w.coldSends = false, nil
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*math.Max(0, float64(age))/float64(b.set.ColdRamp)
+	return b.set.SlowStartFloor + (1-b.set.SlowStartFloor)*math.Max(0, float64(age))/float64(b.set.SlowStartDuration)
 }
 
 // underWay is how long an order may take to its worker: one connection that does not come up in time, and another. The
@@ -295,6 +295,6 @@
 // taken in its first part may have left it.
 func (b *Balancer) underWay() time.Duration { return min(2*b.set.DialTimeout, b.set.LoadWindow/2) }
 
-func (b *Balancer) trust() time.Duration { return time.Duration(keepTrust * float64(b.set.Keep)) }
+func (b *Balancer) trust() time.Duration { return time.Duration(keepTrust * float64(b.set.IdleTTL)) }
 
-func (b *Balancer) firstWindow() float64 { return math.Max(2, windowStart/float64(b.set.Peers)) }
+func (b *Balancer) firstWindow() float64 { return math.Max(2, windowStart/float64(b.set.Dispatchers)) }
--- a/internal/verdict/verdict_test.go
+++ b/internal/citest/citest_test.go
@@ -1,5 +1,5 @@
 // Package verdict tests the script that gives the verdict on all tests: a check that cannot fail is none.
-package verdict
+package citest
 
 import (
 	"os"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"kitefall/internal/board"
-	"kitefall/internal/wire"
-	"kitefall/rules"
+	"kitefall/internal/balancer"
+	"kitefall/internal/discovery"
+	"kitefall/internal/settings"
 )
 
 // The shares of the limits.
@@ -37,14 +37,14 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Board   string          `json:"board"`
-	Known   board.Notices   `json:"known"`
-	SeedHex string          `json:"seed"`
-	Raw     json.RawMessage `json:"settings"`
+	DiscoveryAddr    string                  `json:"board"`
+	InitialEndpoints discovery.WatchResponse `json:"known"`
+	SeedHex          string                  `json:"seed"`
+	RawSettings      json.RawMessage         `json:"settings"`
 
-	Seed        uint64           `json:"-"`
-	Settings    rules.Settings   `json:"-"`
-	Connections wire.Connections `json:"-"`
+	Seed        uint64            `json:"-"`
+	Settings    balancer.Settings `json:"-"`
+	Connections settings.Conns    `json:"-"`
 }
 
 // Read reads a configuration file.
@@ -60,13 +60,13 @@
 	if c.Seed, err = strconv.ParseUint(c.SeedHex, 16, 64); err != nil {
 		return nil, fmt.Errorf("%s: seed: %w", path, err)
 	}
-	if c.Settings, err = wire.Settings(c.Raw); err != nil {
+	if c.Settings, err = settings.Parse(c.RawSettings); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	if c.Connections, err = wire.ReadConnections(c.Raw); err != nil {
+	if c.Connections, err = settings.ParseConns(c.RawSettings); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	if _, _, err := net.SplitHostPort(c.Board); err != nil {
+	if _, _, err := net.SplitHostPort(c.DiscoveryAddr); err != nil {
 		return nil, fmt.Errorf("%s: board: %w", path, err)
 	}
 	c.complete()
@@ -89,8 +89,8 @@
 
 // SameBut tells whether a configuration differs from another in nothing but what a reload takes up or a start
 // draws anew.
-func (c *Config) SameBut(o *Config) bool {
-	return c.Name == o.Name && c.Listen == o.Listen && c.Limits == o.Limits && bytes.Equal(c.Raw, o.Raw)
+func (c *Config) EqualExceptReloadable(o *Config) bool {
+	return c.Name == o.Name && c.Listen == o.Listen && c.Limits == o.Limits && bytes.Equal(c.RawSettings, o.RawSettings)
 }
 
 func (c *Config) memory(share float64) int64 { return int64(c.Limits.MemoryMB * share * (1 << 20)) }
@@ -99,20 +99,20 @@
 func (c *Config) MemoryLimit() int64 { return c.memory(memoryShare) }
 
 // MostHeld is the bytes that the bodies of open calls may hold.
-func (c *Config) MostHeld() int64 { return c.memory(bodiesShare) }
+func (c *Config) MaxBodyBytes() int64 { return c.memory(bodiesShare) }
 
 // MostOpen is how many calls may be open.
-func (c *Config) MostOpen() int {
-	if c.Settings.MaxOpen > 0 {
-		return min(c.Settings.MaxOpen, mostOpen)
+func (c *Config) MaxInFlight() int {
+	if c.Settings.MaxInFlight > 0 {
+		return min(c.Settings.MaxInFlight, mostOpen)
 	}
 	return mostOpen
 }
 
 // ClientConnections is how many connections of clients are held.
-func (c *Config) ClientConnections() int { return int(clientShare * float64(c.Limits.Sockets)) }
+func (c *Config) MaxClientConns() int { return int(clientShare * float64(c.Limits.Sockets)) }
 
 // WorkerConnections is how many connections one worker may have, and all together.
-func (c *Config) WorkerConnections() (one, all int) {
+func (c *Config) MaxWorkerConns() (one, all int) {
 	return workerMost, int(workerShare * float64(c.Limits.Sockets))
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,14 +44,14 @@
 	for _, sockets := range []int{48, 256, 576, 1024} {
 		c := &Config{}
 		c.Limits.Sockets = sockets
-		_, all := c.WorkerConnections()
-		assert.LessOrEqual(t, c.ClientConnections()+all, sockets*3/4+1)
+		_, all := c.MaxWorkerConns()
+		assert.LessOrEqual(t, c.MaxClientConns()+all, sockets*3/4+1)
 		assert.Positive(t, all)
 	}
 	// The first connection of each worker is always allowed. In the smallest of the platform's limits, with the largest of
 	// its fleets, idle clients that take all they can still leave some for the board, the listener and the runtime.
 	c := &Config{}
 	c.Limits.Sockets = 256
-	_, all := c.WorkerConnections()
-	assert.LessOrEqual(t, c.ClientConnections()+max(all, 120)+16, 256)
+	_, all := c.MaxWorkerConns()
+	assert.LessOrEqual(t, c.MaxClientConns()+max(all, 120)+16, 256)
 }
--- a/internal/operate/socket.go
+++ b/internal/control/socket.go
@@ -1,4 +1,4 @@
-package operate
+package control
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"strconv"
 	"time"
 
-	"kitefall/internal/ticket/store"
+	"kitefall/internal/invocation/store"
 )
 
 // The control socket speaks HTTP: one POST an operation, at /v1/NAME, with a request and an answer in JSON. It is a
@@ -31,56 +31,56 @@
 }
 
 type answer struct {
-	Tickets []Ticket `json:"tickets,omitempty"`
-	Count   int      `json:"count,omitempty"`
-	Before  int64    `json:"before,omitempty"`
-	After   int64    `json:"after,omitempty"`
-	Fault   string   `json:"fault,omitempty"`
-	Text    string   `json:"text,omitempty"`
+	Tickets []Invocation `json:"tickets,omitempty"`
+	Count   int          `json:"count,omitempty"`
+	Before  int64        `json:"before,omitempty"`
+	After   int64        `json:"after,omitempty"`
+	Fault   string       `json:"fault,omitempty"`
+	Text    string       `json:"text,omitempty"`
 }
 
-var operations = map[string]func(Tickets, request) (answer, error){
-	"list": func(t Tickets, q request) (a answer, err error) {
+var operations = map[string]func(Operations, request) (answer, error){
+	"list": func(t Operations, q request) (a answer, err error) {
 		a.Tickets, err = t.List(q.Filter)
 		return a, err
 	},
-	"show": func(t Tickets, q request) (answer, error) { return one(t.Show(q.ID)) },
-	"redrive": func(t Tickets, q request) (answer, error) {
+	"show": func(t Operations, q request) (answer, error) { return one(t.Show(q.ID)) },
+	"redrive": func(t Operations, q request) (answer, error) {
 		return one(t.Redrive(q.ID, q.Sure, q.Reason))
 	},
-	"purge": func(t Tickets, q request) (a answer, err error) {
+	"purge": func(t Operations, q request) (a answer, err error) {
 		a.Count, err = t.Purge(q.IDs, q.Before)
 		return a, err
 	},
-	"snapshot": func(t Tickets, q request) (answer, error) {
+	"snapshot": func(t Operations, q request) (answer, error) {
 		if !filepath.IsAbs(q.To) { // the dispatcher's folder is not that of who asks
 			return answer{}, errors.New("the snapshot's path is not absolute")
 		}
 		return answer{}, t.Snapshot(q.To)
 	},
-	"verify": func(t Tickets, _ request) (a answer, err error) {
+	"verify": func(t Operations, _ request) (a answer, err error) {
 		a.Count, err = t.Verify()
 		return a, err
 	},
-	"compact": func(t Tickets, _ request) (a answer, err error) {
+	"compact": func(t Operations, _ request) (a answer, err error) {
 		a.Before, a.After, err = t.Compact()
 		return a, err
 	},
 }
 
-func one(t Ticket, err error) (answer, error) { return answer{Tickets: []Ticket{t}}, err }
+func one(t Invocation, err error) (answer, error) { return answer{Tickets: []Invocation{t}}, err }
 
 const mostRequest = 1 << 20
 
 // Socket is an open control socket.
-type Socket struct {
+type Server struct {
 	server *http.Server
 	path   string
 }
 
 // Listen opens the control socket at path. One that a dispatcher has left behind when it was killed is replaced; one
 // that somebody answers on is not.
-func Listen(path string, t Tickets) (*Socket, error) {
+func Listen(path string, t Operations) (*Server, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("%s: another dispatcher has this control socket", path)
@@ -122,19 +122,19 @@
 			json.NewEncoder(w).Encode(a)
 		})
 	}
-	s := &Socket{server: &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}, path: path}
+	s := &Server{server: &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}, path: path}
 	go s.server.Serve(ln)
 	return s, nil
 }
 
 // Close closes the socket and removes it.
-func (s *Socket) Close() error { return errors.Join(s.server.Close(), os.Remove(s.path)) }
+func (s *Server) Close() error { return errors.Join(s.server.Close(), os.Remove(s.path)) }
 
 // client asks a running dispatcher.
 type client struct{ http *http.Client }
 
 // Dial returns the tickets of the dispatcher at the control socket, if there is one.
-func Dial(path string) (Tickets, bool) {
+func Dial(path string) (Operations, bool) {
 	c, err := net.DialTimeout("unix", path, time.Second)
 	if err != nil {
 		return nil, false
@@ -178,24 +178,24 @@
 	return a, nil
 }
 
-func (c *client) ticket(a answer, err error) (Ticket, error) {
+func (c *client) ticket(a answer, err error) (Invocation, error) {
 	if err == nil && len(a.Tickets) != 1 {
 		err = errors.New("the dispatcher tells of no ticket")
 	}
 	if err != nil {
-		return Ticket{}, err
+		return Invocation{}, err
 	}
 	return a.Tickets[0], nil
 }
 
-func (c *client) List(f store.Filter) ([]Ticket, error) {
+func (c *client) List(f store.Filter) ([]Invocation, error) {
 	a, err := c.ask("list", request{Filter: f})
 	return a.Tickets, err
 }
 
-func (c *client) Show(id string) (Ticket, error) { return c.ticket(c.ask("show", request{ID: id})) }
+func (c *client) Show(id string) (Invocation, error) { return c.ticket(c.ask("show", request{ID: id})) }
 
-func (c *client) Redrive(id string, sure bool, reason string) (Ticket, error) {
+func (c *client) Redrive(id string, sure bool, reason string) (Invocation, error) {
 	return c.ticket(c.ask("redrive", request{ID: id, Sure: sure, Reason: reason}))
 }
 
--- a/internal/board/board.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
 // Package board follows the notice board: the numbered events that tell of the workers.
-package board
+package discovery
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"kitefall/internal/quiet"
-	"kitefall/rules"
+	"kitefall/internal/balancer"
+	"kitefall/internal/logthrottle"
 )
 
 const (
@@ -27,15 +27,15 @@
 )
 
 // Notices is an answer of the board.
-type Notices struct {
-	Rev     int64    `json:"rev"`
-	Notices []Notice `json:"notices"`
+type WatchResponse struct {
+	Revision int64        `json:"rev"`
+	Events   []WatchEvent `json:"notices"`
 }
 
 // Notice is one event: all workers, or those that have changed.
-type Notice struct {
-	Rev  int64 `json:"rev"`
-	Pool struct {
+type WatchEvent struct {
+	Revision int64 `json:"rev"`
+	Pool     struct {
 		All     bool     `json:"all"`
 		Targets []Target `json:"targets"`
 	} `json:"pool"`
@@ -43,41 +43,41 @@
 
 // Target is one worker.
 type Target struct {
-	UID      string   `json:"uid"`
-	Endpoint string   `json:"endpoint"`
-	Zone     string   `json:"az"`
-	Model    string   `json:"model"`
-	Group    int      `json:"pod_group"`
-	State    string   `json:"state"`
-	Hint     *float64 `json:"capacity_hint"`
-	BootMS   int64    `json:"boot_ms"`
+	UID          string   `json:"uid"`
+	Endpoint     string   `json:"endpoint"`
+	Zone         string   `json:"az"`
+	Model        string   `json:"model"`
+	Group        int      `json:"pod_group"`
+	State        string   `json:"state"`
+	CapacityHint *float64 `json:"capacity_hint"`
+	BootMS       int64    `json:"boot_ms"`
 }
 
 // Entry is a worker as the module knows it, and where it listens.
-type Entry struct {
-	rules.Worker
+type Endpoint struct {
+	balancer.Worker
 	Addr string
 }
 
 // List is news of the workers.
-type List struct {
-	Scope   rules.ListScope
-	Entries []Entry
+type Update struct {
+	Scope     balancer.UpdateScope
+	Endpoints []Endpoint
 }
 
-func (t Target) entry() Entry {
-	w := rules.Worker{ID: rules.WorkerID(t.UID), Kind: t.Model, Zone: t.Zone, Cell: t.Group, Weight: 1,
-		Started: time.Duration(t.BootMS) * time.Millisecond, State: rules.Draining}
+func (t Target) entry() Endpoint {
+	w := balancer.Worker{ID: balancer.WorkerID(t.UID), Kind: t.Model, Zone: t.Zone, Cell: t.Group, Weight: 1,
+		Started: time.Duration(t.BootMS) * time.Millisecond, State: balancer.Draining}
 	switch t.State {
 	case "active":
-		w.State = rules.Ready
+		w.State = balancer.Ready
 	case "left":
-		w.State = rules.Removed
+		w.State = balancer.Removed
 	}
-	if t.Hint != nil {
-		w.Weight = *t.Hint
+	if t.CapacityHint != nil {
+		w.Weight = *t.CapacityHint
 	}
-	return Entry{Worker: w, Addr: t.Endpoint}
+	return Endpoint{Worker: w, Addr: t.Endpoint}
 }
 
 // errNothingNew tells of an answer that came before its time and told nothing.
@@ -87,13 +87,13 @@
 var direct = &http.Client{Transport: &http.Transport{}}
 
 // Log lines that a board can cause at will: entries that name no worker, and polls that fail and go well in turn.
-var unnamed, lost, back = quiet.NewLine(), quiet.NewLine(), quiet.NewLine()
+var unnamed, lost, back = logthrottle.New(), logthrottle.New(), logthrottle.New()
 
 // Watcher holds the number of the last event and passes later ones on, each once and in order.
 type Watcher struct {
 	rev  int64
 	seen bool // a whole list has come
-	pass func(List)
+	pass func(Update)
 
 	mu    sync.Mutex
 	addr  string
@@ -101,13 +101,13 @@
 }
 
 // NewWatcher returns a watcher of the board at addr. News go to pass, from the goroutine that calls Known or Run.
-func NewWatcher(addr string, pass func(List)) *Watcher {
+func NewWatcher(addr string, pass func(Update)) *Watcher {
 	return &Watcher{addr: addr, pass: pass, moved: make(chan struct{})}
 }
 
 // Move has the watcher follow the board at addr from now on. The poll in hand is dropped, since the old board
 // may hold it and tell nothing more; the numbers of events go on.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.addr = addr
@@ -122,28 +122,28 @@
 }
 
 // Known takes in the events of the start: they may be old.
-func (w *Watcher) Known(n Notices) { w.take(n, rules.ListStale) }
+func (w *Watcher) Seed(n WatchResponse) { w.take(n, balancer.ScopeStale) }
 
 // take passes on the events that are new, and tells whether there were any. Only what has been told counts as told: the
 // number of the last event, which comes with the answer, may be that of one that has not come.
-func (w *Watcher) take(n Notices, whole rules.ListScope) (news bool) {
-	for _, e := range n.Notices {
+func (w *Watcher) take(n WatchResponse, whole balancer.UpdateScope) (news bool) {
+	for _, e := range n.Events {
 		// A late answer may repeat events: an old one taken again would undo a newer one. A change says
 		// nothing before there is a list that it could change.
-		if e.Rev <= w.rev || !w.seen && !e.Pool.All {
+		if e.Revision <= w.rev || !w.seen && !e.Pool.All {
 			continue
 		}
-		w.rev, news = e.Rev, true
-		l := List{Scope: rules.ListChange}
+		w.rev, news = e.Revision, true
+		l := Update{Scope: balancer.ScopeDelta}
 		if e.Pool.All {
 			l.Scope, w.seen = whole, true
 		}
 		for _, t := range e.Pool.Targets {
 			if t.UID == "" {
-				unnamed.Log(slog.LevelWarn, "board: an entry names no worker", "rev", e.Rev, "addr", t.Endpoint)
+				unnamed.Log(slog.LevelWarn, "board: an entry names no worker", "rev", e.Revision, "addr", t.Endpoint)
 				continue
 			}
-			l.Entries = append(l.Entries, t.entry())
+			l.Endpoints = append(l.Endpoints, t.entry())
 		}
 		w.pass(l)
 	}
@@ -202,11 +202,11 @@
 	if a.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %s", a.Status)
 	}
-	var n Notices
+	var n WatchResponse
 	if err := json.NewDecoder(io.LimitReader(a.Body, mostAnswer)).Decode(&n); err != nil {
 		return err
 	}
-	if !w.take(n, rules.ListFull) && time.Since(asked) < linger/2 {
+	if !w.take(n, balancer.ScopeFull) && time.Since(asked) < linger/2 {
 		return errNothingNew // asked again without a pause, it would be asked without end
 	}
 	return nil
--- a/internal/board/board_test.go
+++ b/internal/discovery/watcher_test.go
@@ -1,4 +1,4 @@
-package board_test
+package discovery_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"kitefall/internal/board"
-	"kitefall/rules"
+	"kitefall/internal/balancer"
+	"kitefall/internal/discovery"
 )
 
 const whole = `{"rev":41,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.9:4100",
@@ -39,20 +39,20 @@
 		answers = answers[min(1, len(answers)):]
 	}))
 	defer server.Close()
-	var news []board.List
-	w := board.NewWatcher(strings.TrimPrefix(server.URL, "http://"), func(l board.List) { news = append(news, l) })
-	var known board.Notices
+	var news []discovery.Update
+	w := discovery.NewWatcher(strings.TrimPrefix(server.URL, "http://"), func(l discovery.Update) { news = append(news, l) })
+	var known discovery.WatchResponse
 	require.NoError(t, json.Unmarshal([]byte(whole), &known))
-	w.Known(known)
+	w.Seed(known)
 	w.Run(ctx)
 	assert.Equal(t, []string{"41", "41", "42"}, []string{<-watches, <-watches, <-watches})
 	require.Len(t, news, 2)
-	assert.Equal(t, rules.ListStale, news[0].Scope)
-	assert.Equal(t, board.Entry{Addr: "10.1.0.9:4100", Worker: rules.Worker{ID: "s-1", Kind: "std", Zone: "east", Cell: 2,
-		Weight: 4, Started: 7e6}}, news[0].Entries[0])
-	assert.Equal(t, rules.ListChange, news[1].Scope)
-	assert.Equal(t, []rules.WorkerState{rules.Draining, rules.Ready},
-		[]rules.WorkerState{news[1].Entries[0].State, news[1].Entries[1].State})
+	assert.Equal(t, balancer.ScopeStale, news[0].Scope)
+	assert.Equal(t, discovery.Endpoint{Addr: "10.1.0.9:4100", Worker: balancer.Worker{ID: "s-1", Kind: "std", Zone: "east", Cell: 2,
+		Weight: 4, Started: 7e6}}, news[0].Endpoints[0])
+	assert.Equal(t, balancer.ScopeDelta, news[1].Scope)
+	assert.Equal(t, []balancer.WorkerState{balancer.Draining, balancer.Ready},
+		[]balancer.WorkerState{news[1].Endpoints[0].State, news[1].Endpoints[1].State})
 }
 
 // The board moves while it holds a poll, and never answers that: the new one is asked at once, from the same
@@ -71,14 +71,14 @@
 		cancel()
 	}))
 	defer next.Close()
-	w := board.NewWatcher(strings.TrimPrefix(old.URL, "http://"), func(board.List) {})
-	var known board.Notices
+	w := discovery.NewWatcher(strings.TrimPrefix(old.URL, "http://"), func(discovery.Update) {})
+	var known discovery.WatchResponse
 	require.NoError(t, json.Unmarshal([]byte(whole), &known))
-	w.Known(known)
+	w.Seed(known)
 	ended := make(chan bool)
 	go func() { w.Run(ctx); close(ended) }()
 	<-held
-	w.Move(strings.TrimPrefix(next.URL, "http://"))
+	w.SetAddress(strings.TrimPrefix(next.URL, "http://"))
 	assert.Equal(t, "41", <-watch)
 	<-ended
 }
@@ -107,11 +107,11 @@
 		watches <- r.URL.Query().Get("watch")
 	}))
 	defer server.Close()
-	var news []board.List
-	w := board.NewWatcher(strings.TrimPrefix(server.URL, "http://"), func(l board.List) { news = append(news, l) })
-	var known board.Notices
+	var news []discovery.Update
+	w := discovery.NewWatcher(strings.TrimPrefix(server.URL, "http://"), func(l discovery.Update) { news = append(news, l) })
+	var known discovery.WatchResponse
 	require.NoError(t, json.Unmarshal([]byte(whole), &known))
-	w.Known(known)
+	w.Seed(known)
 	w.Run(ctx)
 	require.Len(t, asked, most+1)
 	first := <-asked
@@ -122,6 +122,6 @@
 	}
 	assert.Equal(t, []string{"41", "41", "41", "41", "42"}, []string{<-watches, <-watches, <-watches, <-watches, <-watches})
 	require.Len(t, news, 2)
-	require.Len(t, news[1].Entries, 1)
-	assert.Equal(t, rules.WorkerID("s-1"), news[1].Entries[0].ID)
+	require.Len(t, news[1].Endpoints, 1)
+	assert.Equal(t, balancer.WorkerID("s-1"), news[1].Endpoints[0].ID)
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"kitefall/internal/board"
+	"kitefall/internal/balancer"
 	"kitefall/internal/call"
-	"kitefall/internal/quiet"
+	"kitefall/internal/discovery"
+	"kitefall/internal/logthrottle"
 	"kitefall/internal/worker"
-	"kitefall/rules"
 )
 
 const (
@@ -25,21 +25,21 @@
 )
 
 // unmarked is the log line of calls that end before their first attempt: clients cause it by giving up in that moment.
-var unmarked = quiet.NewLine()
+var unmarked = logthrottle.New()
 
 // callID is a call as the workers and the log name it.
 func callID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
 // ErrBusy tells that a call was not taken in: trying again is harmless.
-var ErrBusy = errors.New("too much is open")
+var ErrOverloaded = errors.New("too much is open")
 
 // Config is what the core is told at start.
 type Config struct {
-	Settings rules.Settings
-	Seed     uint64
-	Links    worker.Config
-	MostOpen int   // calls
-	MostHeld int64 // bytes of the bodies of open calls
+	Settings     balancer.Settings
+	Seed         uint64
+	Pool         worker.Config
+	MaxInFlight  int   // calls
+	MaxBodyBytes int64 // bytes of the bodies of open calls
 }
 
 // Core runs the decision module.
@@ -53,21 +53,21 @@
 	known  atomic.Bool
 
 	// The rest belongs to the owner, the goroutine of Run.
-	module interface { // a rules.Balancer, but for tests
-		Handle(now time.Duration, e rules.Event) []rules.Action
+	module interface { // a balancer.Balancer, but for tests
+		Handle(now time.Duration, e balancer.Event) []balancer.Action
 	}
 	now     time.Duration
-	last    rules.RequestID
-	calls   map[rules.RequestID]*open
-	links   map[rules.WorkerID]*link
+	last    balancer.RequestID
+	calls   map[balancer.RequestID]*open
+	links   map[balancer.WorkerID]*link
 	orders  map[orderKey]*order
 	timers  timers
-	backlog []rules.Event
+	backlog []balancer.Event
 }
 
 // link is the way to a worker, and where that goes.
 type link struct {
-	*worker.Link
+	*worker.Pool
 	addr string
 	gone bool // the worker has left
 }
@@ -76,7 +76,7 @@
 type open struct {
 	*call.Call
 	handle   *Handle
-	id       rules.RequestID
+	id       balancer.RequestID
 	attempts []*attempt
 	out      int
 	closed   bool // answered, or given up by its client
@@ -87,26 +87,26 @@
 type attempt struct {
 	*open
 	n      int
-	worker rules.WorkerID
+	worker balancer.WorkerID
 	at     time.Time
 	until  time.Time
 	begin  time.Time // it must not begin after this; zero: while somebody waits
 	over   bool
 	ran    bool // it may have run
 	link   *link
-	job    *worker.Job // nil until the link has it
+	job    *worker.PendingRequest // nil until the link has it
 	due    *timed
 }
 
 type orderKey struct {
-	worker   rules.WorkerID
-	function rules.FunctionID
+	worker   balancer.WorkerID
+	function balancer.FunctionID
 }
 
 type order struct {
 	orderKey
 	at   time.Time
-	job  *worker.Job
+	job  *worker.PendingRequest
 	link *link
 	due  *timed
 }
@@ -114,27 +114,27 @@
 // New returns a core for the settings.
 func New(c Config) (*Core, error) {
 	// Fronts decide whether a client is told when to come back; the module always advises.
-	c.Settings.RetryAfter = true
-	m, err := rules.New(c.Settings, c.Seed)
+	c.Settings.SendRetryAfter = true
+	m, err := balancer.New(c.Settings, c.Seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Core{config: c, module: m, queue: make(chan func(), queueSize), stop: make(chan struct{}),
 		ended: make(chan struct{}),
-		calls: map[rules.RequestID]*open{}, links: map[rules.WorkerID]*link{},
+		calls: map[balancer.RequestID]*open{}, links: map[balancer.WorkerID]*link{},
 		orders: map[orderKey]*order{}}, nil
 }
 
 // Known tells whether the list of workers is known.
-func (c *Core) Known() bool { return c.known.Load() }
+func (c *Core) EndpointsKnown() bool { return c.known.Load() }
 
 // Open is the number of calls accepted and not yet answered.
-func (c *Core) Open() int64 { return c.open.Load() }
+func (c *Core) InFlight() int64 { return c.open.Load() }
 
 // Handle names an accepted call, to give it up by.
 type Handle struct {
 	core *Core
-	id   rules.RequestID
+	id   balancer.RequestID
 	over atomic.Bool // answered or given up: nothing of the call may begin any more, wherever it waits
 }
 
@@ -142,9 +142,9 @@
 func (c *Core) Submit(k *call.Call) (*Handle, error) {
 	// Refused here, at once: past these bounds memory would end the program, and every open call with it.
 	calls, bytes := c.open.Add(1), c.held.Add(int64(len(k.Body)))
-	if calls > int64(c.config.MostOpen) || bytes > c.config.MostHeld {
+	if calls > int64(c.config.MaxInFlight) || bytes > c.config.MaxBodyBytes {
 		c.release(k)
-		return nil, ErrBusy
+		return nil, ErrOverloaded
 	}
 	h := &Handle{core: c}
 	select {
@@ -152,7 +152,7 @@
 		return h, nil
 	default:
 		c.release(k)
-		return nil, ErrBusy
+		return nil, ErrOverloaded
 	}
 }
 
@@ -163,18 +163,18 @@
 
 // GiveUp tells that the client has left: no answer is owed, and Done is not called any more. From this moment on no
 // attempt begins, though the owner may hear of it late.
-func (h *Handle) GiveUp() {
+func (h *Handle) Cancel() {
 	h.over.Store(true)
 	h.core.post(func() {
 		if o := h.core.calls[h.id]; o != nil && !o.closed {
 			h.core.close(o)
-			h.core.feed(rules.GoneEvent{ID: o.id})
+			h.core.feed(balancer.ClientGoneEvent{ID: o.id})
 		}
 	})
 }
 
 // News passes on what the notice board tells.
-func (c *Core) News(l board.List) { c.post(func() { c.onList(l) }) }
+func (c *Core) UpdateEndpoints(l discovery.Update) { c.post(func() { c.onList(l) }) }
 
 // post hands an event to the owner. It waits for room, so the owner itself must not call it.
 func (c *Core) post(f func()) {
@@ -226,7 +226,7 @@
 }
 
 // feed gives the module an event and carries out what it answers. Events that come of that follow in turn.
-func (c *Core) feed(e rules.Event) {
+func (c *Core) feed(e balancer.Event) {
 	c.backlog = append(c.backlog, e)
 	if len(c.backlog) > 1 {
 		return // the call further up the stack goes on with it
@@ -242,27 +242,27 @@
 	c.backlog = nil
 }
 
-func (c *Core) do(a rules.Action) {
+func (c *Core) do(a balancer.Action) {
 	switch a := a.(type) {
-	case rules.Send:
+	case balancer.Send:
 		c.send(a)
-	case rules.Cancel:
+	case balancer.Cancel:
 		if o := c.calls[a.ID]; o != nil && a.Attempt >= 0 && a.Attempt < len(o.attempts) {
-			c.callOff(o.attempts[a.Attempt], rules.Cancelled)
+			c.callOff(o.attempts[a.Attempt], balancer.Cancelled)
 		}
-	case rules.Refuse:
-		c.answer(c.calls[a.ID], call.Answer{Outcome: call.Refused, RetryAfter: a.RetryAfter})
-	case rules.Fail:
+	case balancer.Reject:
+		c.answer(c.calls[a.ID], call.Answer{Outcome: call.Rejected, RetryAfter: a.RetryAfter})
+	case balancer.Fail:
 		c.answer(c.calls[a.ID], call.Answer{Outcome: call.Failed})
-	case rules.Load:
+	case balancer.Load:
 		c.load(a)
-	case rules.Drop:
+	case balancer.Unload:
 		if l := c.links[a.Worker]; l != nil {
-			l.Drop(string(a.Function), time.Now().Add(c.config.Settings.OrderTimeout))
+			l.Unload(string(a.Function), time.Now().Add(c.config.Settings.LoadTimeout))
 		}
-	case rules.Wake:
-		c.at(time.Now().Add(a.After), func() { c.feed(rules.WakeEvent{Ref: a.Ref}) })
-	case rules.Log:
+	case balancer.SetTimer:
+		c.at(time.Now().Add(a.After), func() { c.feed(balancer.TimerEvent{TimerID: a.TimerID}) })
+	case balancer.Log:
 		slog.Info("module: " + a.Text)
 	default: // Watch and Fetch: the board takes neither here
 		slog.Error("core: the module asked for what is not to be had here", "action", fmt.Sprintf("%T", a))
@@ -275,20 +275,20 @@
 		return
 	}
 	c.last++
-	o := &open{Call: k, handle: h, id: c.last, marked: k.MayRun == nil}
+	o := &open{Call: k, handle: h, id: c.last, marked: k.BeforeFirstAttempt == nil}
 	h.id = o.id
 	c.calls[o.id] = o
 	s := &c.config.Settings
 	// Should the module ever stay silent, the core answers in its place, within the rules' slack.
-	o.due = c.at(k.Deadline.Add(time.Duration(answerBefore*float64(s.AnswerSlack))), func() {
+	o.due = c.at(k.Deadline.Add(time.Duration(answerBefore*float64(s.AnswerGrace))), func() {
 		if !o.closed {
 			slog.Error("core: no answer of the module at the deadline", "call", callID(k.ID))
 			c.answer(o, call.Answer{Outcome: call.Failed})
-			c.feed(rules.GoneEvent{ID: o.id})
+			c.feed(balancer.ClientGoneEvent{ID: o.id})
 		}
 	})
-	c.feed(rules.RequestEvent{ID: o.id, Function: rules.FunctionID(k.Function), Class: k.Class, Tenant: k.Tenant,
-		TimeLeft: time.Until(k.Deadline), Memory: k.Memory, Lanes: k.Lanes, LoadTime: k.LoadTime, Work: k.Work})
+	c.feed(balancer.RequestEvent{ID: o.id, Function: balancer.FunctionID(k.Function), Class: k.Class, Tenant: k.Tenant,
+		TimeLeft: time.Until(k.Deadline), MemoryMB: k.MemoryMB, Concurrency: k.Concurrency, LoadTime: k.LoadTime, WorkEstimate: k.WorkEstimate})
 }
 
 // answer gives a call its final answer, once.
@@ -299,7 +299,7 @@
 	for _, t := range o.attempts {
 		a.MayHaveRun = a.MayHaveRun || t.ran || !t.over && t.job != nil
 	}
-	a.Late = !time.Now().Before(o.Deadline)
+	a.DeadlineExceeded = !time.Now().Before(o.Deadline)
 	c.close(o)
 	o.Done(a)
 }
@@ -318,18 +318,18 @@
 	}
 }
 
-func (c *Core) send(a rules.Send) {
+func (c *Core) send(a balancer.Send) {
 	o := c.calls[a.ID]
 	if o == nil {
 		return
 	}
 	now := time.Now()
 	t := &attempt{open: o, n: len(o.attempts), worker: a.Worker, at: now, until: o.Deadline}
-	if a.Limit > 0 && now.Add(a.Limit).Before(t.until) {
-		t.until = now.Add(a.Limit)
+	if a.Timeout > 0 && now.Add(a.Timeout).Before(t.until) {
+		t.until = now.Add(a.Timeout)
 	}
-	if a.Within > 0 {
-		t.begin = now.Add(a.Within)
+	if a.StartWithin > 0 {
+		t.begin = now.Add(a.StartWithin)
 	}
 	o.attempts = append(o.attempts, t)
 	o.out++
@@ -338,7 +338,7 @@
 		return
 	}
 	go func() { // on a goroutine of its own, since it waits for a disk
-		err := o.MayRun()
+		err := o.BeforeFirstAttempt()
 		c.post(func() { c.cleared(t, err) })
 	}()
 }
@@ -347,8 +347,8 @@
 func (c *Core) cleared(t *attempt, err error) {
 	if err != nil && !t.closed {
 		unmarked.Log(slog.LevelWarn, "core: call refused, it could not be put on record", "call", callID(t.ID), "err", err)
-		c.answer(t.open, call.Answer{Outcome: call.Refused})
-		c.feed(rules.GoneEvent{ID: t.id})
+		c.answer(t.open, call.Answer{Outcome: call.Rejected})
+		c.feed(balancer.ClientGoneEvent{ID: t.id})
 	}
 	t.marked = err == nil
 	c.launch(t)
@@ -361,33 +361,33 @@
 		return
 	}
 	if l == nil || t.handle.over.Load() || !time.Now().Before(t.until) {
-		c.outcome(t, worker.Result{Status: rules.Moot})
+		c.outcome(t, worker.Result{Status: balancer.NotSent})
 		return
 	}
-	job, err := l.Call(worker.Attempt{ID: t.ID, Class: t.Class, Function: t.Function, Body: t.Body, Until: t.until,
-		Begin: t.begin, Over: t.handle.over.Load}, func(r worker.Result) {
+	job, err := l.Call(worker.Attempt{ID: t.ID, Class: t.Class, Function: t.Function, Body: t.Body, Deadline: t.until,
+		StartBy: t.begin, Abandoned: t.handle.over.Load}, func(r worker.Result) {
 		c.post(func() { c.outcome(t, r) })
 	})
 	if err != nil { // for want of room on this side, which says nothing of the worker
-		c.outcome(t, worker.Result{Status: rules.Moot})
+		c.outcome(t, worker.Result{Status: balancer.NotSent})
 		return
 	}
 	t.link, t.job = l, job
-	t.due = c.at(t.until, func() { c.callOff(t, rules.TimedOut) })
+	t.due = c.at(t.until, func() { c.callOff(t, balancer.TimedOut) })
 }
 
 // callOff ends the wait for an attempt from this side.
-func (c *Core) callOff(t *attempt, s rules.Status) {
+func (c *Core) callOff(t *attempt, s balancer.Status) {
 	if t.over {
 		return
 	}
-	if t.job == nil || !t.link.GiveUp(t.job) {
-		s = rules.Moot // never written, so it never ran
+	if t.job == nil || !t.link.Cancel(t.job) {
+		s = balancer.NotSent // never written, so it never ran
 	}
 	c.outcome(t, worker.Result{Status: s})
 }
 
-var neverRan = map[rules.Status]bool{rules.Full: true, rules.ConnectFailed: true, rules.Moot: true, rules.Miss: true}
+var neverRan = map[balancer.Status]bool{balancer.Rejected: true, balancer.ConnectFailed: true, balancer.NotSent: true, balancer.Miss: true}
 
 // outcome takes in the end of an attempt, once; an answer that crosses the end of the wait is dropped.
 func (c *Core) outcome(t *attempt, r worker.Result) {
@@ -397,39 +397,39 @@
 	t.over, t.ran = true, !neverRan[r.Status]
 	t.out--
 	c.drop(t.due)
-	if r.Status == rules.OK {
+	if r.Status == balancer.OK {
 		c.answer(t.open, call.Answer{Outcome: call.Served, Body: r.Body})
 	}
 	closed := t.closed
 	c.forget(t.open)
-	c.feed(rules.OutcomeEvent{ID: t.id, Attempt: t.n, Worker: t.worker, Status: r.Status,
-		Took: time.Since(t.at), Closed: closed, Warmth: r.Warmth, Crowd: r.Crowd})
+	c.feed(balancer.OutcomeEvent{ID: t.id, Attempt: t.n, Worker: t.worker, Status: r.Status,
+		Elapsed: time.Since(t.at), Answered: closed, Warmth: r.Warmth, QueueDepth: r.QueueDepth})
 }
 
-func (c *Core) load(a rules.Load) {
+func (c *Core) load(a balancer.Load) {
 	o := &order{orderKey: orderKey{a.Worker, a.Function}, at: time.Now(), link: c.links[a.Worker]}
-	until := o.at.Add(c.config.Settings.OrderTimeout)
+	until := o.at.Add(c.config.Settings.LoadTimeout)
 	begin := until
-	if a.Within > 0 {
-		begin = o.at.Add(a.Within)
+	if a.StartWithin > 0 {
+		begin = o.at.Add(a.StartWithin)
 	}
 	c.orders[o.orderKey] = o
 	if o.link == nil {
-		c.loaded(o, worker.Result{Status: rules.ConnectFailed})
+		c.loaded(o, worker.Result{Status: balancer.ConnectFailed})
 		return
 	}
 	job, err := o.link.Load(string(a.Function), a.Copies, begin, until, func(r worker.Result) {
 		c.post(func() { c.loaded(o, r) })
 	})
 	if err != nil { // as for a call: nothing is said of the worker
-		c.loaded(o, worker.Result{Status: rules.Moot})
+		c.loaded(o, worker.Result{Status: balancer.NotSent})
 		return
 	}
 	o.job = job
 	o.due = c.at(until, func() {
 		if c.orders[o.orderKey] == o {
-			o.link.GiveUp(o.job)
-			c.loaded(o, worker.Result{Status: rules.TimedOut})
+			o.link.Cancel(o.job)
+			c.loaded(o, worker.Result{Status: balancer.TimedOut})
 		}
 	})
 }
@@ -440,14 +440,14 @@
 	}
 	delete(c.orders, o.orderKey)
 	c.drop(o.due)
-	c.feed(rules.LoadedEvent{Worker: o.worker, Function: o.function, Status: r.Status, Took: time.Since(o.at),
+	c.feed(balancer.LoadEndedEvent{Worker: o.worker, Function: o.function, Status: r.Status, Elapsed: time.Since(o.at),
 		Copies: r.Copies})
 }
 
-func (c *Core) onList(l board.List) {
-	named := map[rules.WorkerID]bool{}
-	e := rules.ListEvent{Scope: l.Scope}
-	for _, w := range l.Entries {
+func (c *Core) onList(l discovery.Update) {
+	named := map[balancer.WorkerID]bool{}
+	e := balancer.EndpointsEvent{Scope: l.Scope}
+	for _, w := range l.Endpoints {
 		named[w.ID] = true
 		e.Workers = append(e.Workers, w.Worker)
 		k := c.links[w.ID]
@@ -456,28 +456,28 @@
 		}
 		if k == nil || k.addr != w.Addr {
 			if k != nil { // it came back elsewhere; what is open there may still be answered
-				k.Drain(true)
+				k.MarkUnavailable(true)
 			}
-			k = &link{Link: worker.NewLink(string(w.ID), w.Addr, &c.config.Links), addr: w.Addr}
+			k = &link{Pool: worker.NewPool(string(w.ID), w.Addr, &c.config.Pool), addr: w.Addr}
 			c.links[w.ID] = k
 		}
-		k.gone = w.State == rules.Removed
-		if w.State == rules.Ready {
-			k.Ready(w.Started)
+		k.gone = w.State == balancer.Removed
+		if w.State == balancer.Ready {
+			k.MarkReady(w.Started)
 		} else {
-			k.Drain(k.gone)
+			k.MarkUnavailable(k.gone)
 		}
 	}
 	for id, k := range c.links {
-		if l.Scope != rules.ListChange && !named[id] { // who is absent from a whole list is gone
+		if l.Scope != balancer.ScopeDelta && !named[id] { // who is absent from a whole list is gone
 			k.gone = true
-			k.Drain(true)
+			k.MarkUnavailable(true)
 		}
 		if k.gone && k.Idle() { // the worker will not come back under this uid; else there would be ever more of them
 			delete(c.links, id)
 		}
 	}
-	slog.Info("board: list", "scope", int(l.Scope), "entries", len(l.Entries), "workers", len(c.links))
+	slog.Info("board: list", "scope", int(l.Scope), "entries", len(l.Endpoints), "workers", len(c.links))
 	c.feed(e)
 	c.known.Store(true)
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -23,49 +23,49 @@
 
 // Errors of a DB.
 var (
-	ErrClosed  = errors.New("the store is closed")
-	ErrBehind  = errors.New("the store cannot move its log to the file")
-	ErrFormat  = errors.New("the file is of another format")
-	ErrDamaged = errors.New("the file is damaged")
-	ErrHeld    = errors.New("another process holds the file")
+	ErrClosed           = errors.New("the store is closed")
+	ErrCheckpointBehind = errors.New("the store cannot move its log to the file")
+	ErrFormat           = errors.New("the file is of another format")
+	ErrDamaged          = errors.New("the file is damaged")
+	ErrLocked           = errors.New("another process holds the file")
 )
 
 // Options say how a DB is kept. Zero values stand for the usual ones.
 type Options struct {
-	FS        wal.FS        // of the log
-	Segment   uint32        // bytes of a segment of the log
-	Moves     int64         // bytes that may wait in memory before they move to the file
-	MoveEvery time.Duration // and the longest that they wait
-	MostHeld  int64         // bytes in memory at which changes wait for a move to end, or are refused if moves fail
-	Group     int           // changes that share a sync at most
-	LockBy    time.Time     // how long another process may hold the file
-	ReadOnly  bool          // for a look at a file that no dispatcher holds; nothing is written
-	Check     bool          // look through all pages of the file first
-	Void      func()        // called by the writer when a group of changes came to nothing on the disk
-	Volatile  []string      // buckets, after the others, that end with the process and need no disk
+	FS                 wal.FS        // of the log
+	SegmentBytes       uint32        // bytes of a segment of the log
+	CheckpointBytes    int64         // bytes that may wait in memory before they move to the file
+	CheckpointInterval time.Duration // and the longest that they wait
+	MaxBufferedBytes   int64         // bytes in memory at which changes wait for a move to end, or are refused if moves fail
+	MaxBatch           int           // changes that share a sync at most
+	LockDeadline       time.Time     // how long another process may hold the file
+	ReadOnly           bool          // for a look at a file that no dispatcher holds; nothing is written
+	VerifyOnOpen       bool          // look through all pages of the file first
+	OnRollback         func()        // called by the writer when a group of changes came to nothing on the disk
+	MemoryBuckets      []string      // buckets, after the others, that end with the process and need no disk
 }
 
 func (o *Options) defaults() {
 	if o.FS == nil {
 		o.FS = wal.Disk{}
 	}
-	if o.Segment == 0 {
-		o.Segment = wal.DefaultSegment
+	if o.SegmentBytes == 0 {
+		o.SegmentBytes = wal.DefaultSegment
 	}
-	if o.Moves == 0 {
-		o.Moves = 4 << 20
+	if o.CheckpointBytes == 0 {
+		o.CheckpointBytes = 4 << 20
 	}
-	if o.MoveEvery == 0 {
-		o.MoveEvery = time.Second
+	if o.CheckpointInterval == 0 {
+		o.CheckpointInterval = time.Second
 	}
-	if o.MostHeld == 0 {
-		o.MostHeld = 16 << 20
+	if o.MaxBufferedBytes == 0 {
+		o.MaxBufferedBytes = 16 << 20
 	}
-	if o.Group == 0 {
-		o.Group = 512
+	if o.MaxBatch == 0 {
+		o.MaxBatch = 512
 	}
-	if o.LockBy.IsZero() {
-		o.LockBy = time.Now().Add(time.Second)
+	if o.LockDeadline.IsZero() {
+		o.LockDeadline = time.Now().Add(time.Second)
 	}
 }
 
@@ -155,10 +155,10 @@
 		return nil, err
 	}
 	// Read-only, bbolt would load its list of free pages in the middle of the check, while trimOften looks at the same file.
-	db.file, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Until(o.LockBy), ReadOnly: o.ReadOnly,
+	db.file, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Until(o.LockDeadline), ReadOnly: o.ReadOnly,
 		FreelistType: bolt.FreelistMapType, PreLoadFreelist: true})
 	if errors.Is(err, bolt.ErrTimeout) {
-		return nil, fmt.Errorf("%w: %s", ErrHeld, path)
+		return nil, fmt.Errorf("%w: %s", ErrLocked, path)
 	} else if err != nil {
 		return nil, fmt.Errorf("%w: %s: %v", ErrDamaged, path, err)
 	}
@@ -195,7 +195,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fail(err)
 	}
-	if db.log, err = wal.Open(o.FS, dir, o.Segment, next, end); err != nil {
+	if db.log, err = wal.Open(o.FS, dir, o.SegmentBytes, next, end); err != nil {
 		return fail(err)
 	}
 	db.freeze()
@@ -214,9 +214,9 @@
 	} else if err != nil {
 		return err
 	}
-	f, err := bolt.Open(db.path, 0o600, &bolt.Options{Timeout: time.Until(db.options.LockBy), ReadOnly: true})
+	f, err := bolt.Open(db.path, 0o600, &bolt.Options{Timeout: time.Until(db.options.LockDeadline), ReadOnly: true})
 	if errors.Is(err, bolt.ErrTimeout) {
-		return fmt.Errorf("%w: %s", ErrHeld, db.path)
+		return fmt.Errorf("%w: %s", ErrLocked, db.path)
 	} else if err != nil {
 		return fmt.Errorf("%w: %s: %v", ErrDamaged, db.path, err)
 	}
@@ -246,7 +246,7 @@
 		if name, _ := tx.Cursor().First(); name == nil && !db.options.ReadOnly {
 			return nil // new
 		}
-		if err := look(tx); err != nil || !db.options.Check {
+		if err := look(tx); err != nil || !db.options.VerifyOnOpen {
 			return err
 		}
 		return db.check(tx)
@@ -266,7 +266,7 @@
 
 // Do carries out a change: do reads and writes by the Tx, on the writer's goroutine, and must not wait for anything.
 // When Do returns nil, what it wrote is on the disk. An error of do itself takes back all that it wrote.
-func (db *DB) Do(do func(*Tx) error) error {
+func (db *DB) Update(do func(*Tx) error) error {
 	o := &op{do: do, done: make(chan error, 1)}
 	select {
 	case db.ops <- o:
@@ -289,7 +289,7 @@
 // write is the writer.
 func (db *DB) write() {
 	defer close(db.ended)
-	tick := time.NewTicker(db.options.MoveEvery)
+	tick := time.NewTicker(db.options.CheckpointInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -308,7 +308,7 @@
 			return
 		}
 		db.mu.RLock()
-		full := db.active.size >= db.options.Moves
+		full := db.active.size >= db.options.CheckpointBytes
 		db.mu.RUnlock()
 		if full {
 			db.freeze()
@@ -331,7 +331,7 @@
 			done = append(done, o)
 		}
 		o = nil
-		if len(done) < db.options.Group && tx.bytes < int(db.options.Segment)/4 {
+		if len(done) < db.options.MaxBatch && tx.bytes < int(db.options.SegmentBytes)/4 {
 			select {
 			case o = <-db.ops:
 			default:
@@ -339,8 +339,8 @@
 		}
 	}
 	err := db.publish(tx.writes)
-	if err != nil && db.options.Void != nil {
-		db.options.Void()
+	if err != nil && db.options.OnRollback != nil {
+		db.options.OnRollback()
 	}
 	for _, o := range done {
 		o.done <- err
@@ -403,8 +403,8 @@
 	if db.frozen != nil {
 		held += db.frozen.size
 	}
-	if held > db.options.MostHeld {
-		return ErrBehind
+	if held > db.options.MaxBufferedBytes {
+		return ErrCheckpointBehind
 	}
 	return nil
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -42,18 +42,18 @@
 // Random changes, with moves to the file, restarts, compactions and snapshots between them, beside a plain map.
 func TestAgainstAMap(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.db")
-	small := Options{Segment: 64 << 10, Moves: 2 << 10, MoveEvery: time.Millisecond}
+	small := Options{SegmentBytes: 64 << 10, CheckpointBytes: 2 << 10, CheckpointInterval: time.Millisecond}
 	db, want, r := open(t, path, small), map[string]string{}, rand.New(rand.NewPCG(1, 2))
 	for i := range 3000 {
 		k, v := fmt.Sprintf("key %d", r.IntN(400)), fmt.Sprintf("value %d", i)
 		if r.IntN(3) == 0 {
-			require.NoError(t, db.Do(func(tx *Tx) error { tx.Delete(1, []byte(k)); return nil }))
+			require.NoError(t, db.Update(func(tx *Tx) error { tx.Delete(1, []byte(k)); return nil }))
 			delete(want, k)
 		} else {
-			require.NoError(t, db.Do(func(tx *Tx) error { tx.Put(1, []byte(k), []byte(v)); return nil }))
+			require.NoError(t, db.Update(func(tx *Tx) error { tx.Put(1, []byte(k), []byte(v)); return nil }))
 			want[k] = v
 		}
-		require.Error(t, db.Do(func(tx *Tx) error { // what fails leaves nothing behind
+		require.Error(t, db.Update(func(tx *Tx) error { // what fails leaves nothing behind
 			tx.Put(1, []byte(k), []byte("wrong"))
 			tx.Delete(1, []byte("key 1"))
 			return errors.New("no")
@@ -84,12 +84,12 @@
 // Many at once: each change sees those before it, and what Do has returned for is there after a restart.
 func TestChangesAtOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.db")
-	db := open(t, path, Options{Moves: 4 << 10})
+	db := open(t, path, Options{CheckpointBytes: 4 << 10})
 	var work sync.WaitGroup
 	for range 32 {
 		work.Go(func() {
 			for range 50 {
-				assert.NoError(t, db.Do(func(tx *Tx) error {
+				assert.NoError(t, db.Update(func(tx *Tx) error {
 					tx.Put(0, []byte("n"), bytesOf(number(tx.Get(0, []byte("n")))+1))
 					return nil
 				}))
@@ -98,7 +98,7 @@
 	}
 	work.Wait()
 	require.NoError(t, db.Close())
-	assert.ErrorIs(t, db.Do(func(*Tx) error { return nil }), ErrClosed)
+	assert.ErrorIs(t, db.Update(func(*Tx) error { return nil }), ErrClosed)
 	db = open(t, path, Options{})
 	require.NoError(t, db.View(func(tx *Tx) error {
 		assert.Equal(t, uint64(32*50), number(tx.Get(0, []byte("n"))))
@@ -108,24 +108,24 @@
 
 func TestVolatileBucketsEndWithTheProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.db")
-	db := open(t, path, Options{Volatile: []string{"now"}})
+	db := open(t, path, Options{MemoryBuckets: []string{"now"}})
 	get := func(tx *Tx) string { return string(tx.Get(2, []byte("k"))) }
-	require.NoError(t, db.Do(func(tx *Tx) error { tx.Put(2, []byte("k"), []byte("v")); return nil }))
-	require.NoError(t, db.Do(func(tx *Tx) error { assert.Equal(t, "v", get(tx)); return nil }))
+	require.NoError(t, db.Update(func(tx *Tx) error { tx.Put(2, []byte("k"), []byte("v")); return nil }))
+	require.NoError(t, db.Update(func(tx *Tx) error { assert.Equal(t, "v", get(tx)); return nil }))
 	require.NoError(t, db.Close())
-	db = open(t, path, Options{Volatile: []string{"now"}})
+	db = open(t, path, Options{MemoryBuckets: []string{"now"}})
 	require.NoError(t, db.View(func(tx *Tx) error { assert.Empty(t, get(tx)); return nil }))
 }
 
 // What does not check out is refused with a plain message, and left as it was.
 func TestBrokenStoresAreRefusedAndLeftAlone(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.db")
-	db := open(t, path, Options{Segment: 8 << 10})
+	db := open(t, path, Options{SegmentBytes: 8 << 10})
 	for i := range 300 {
-		require.NoError(t, db.Do(func(tx *Tx) error { tx.Put(0, fmt.Appendf(nil, "%03d", i), make([]byte, 200)); return nil }))
+		require.NoError(t, db.Update(func(tx *Tx) error { tx.Put(0, fmt.Appendf(nil, "%03d", i), make([]byte, 200)); return nil }))
 	}
-	_, err := Open(path, "test 1", nil, Options{LockBy: time.Now().Add(50 * time.Millisecond)})
-	assert.ErrorIs(t, err, ErrHeld)
+	_, err := Open(path, "test 1", nil, Options{LockDeadline: time.Now().Add(50 * time.Millisecond)})
+	assert.ErrorIs(t, err, ErrLocked)
 	require.NoError(t, db.Snapshot(path+".copy"))
 	require.NoError(t, db.Close())
 	_, err = Open(path, "test 2", []string{"a", "b"}, Options{})
@@ -135,9 +135,9 @@
 	try := func(what string, bad []byte) {
 		broken := filepath.Join(t.TempDir(), "broken.db")
 		require.NoError(t, os.WriteFile(broken, bad, 0o600))
-		_, err := Open(broken, "test 1", []string{"a", "b"}, Options{Check: true, ReadOnly: true})
+		_, err := Open(broken, "test 1", []string{"a", "b"}, Options{VerifyOnOpen: true, ReadOnly: true})
 		assert.Error(t, err, what)
-		_, err = Open(broken, "test 1", []string{"a", "b"}, Options{Check: true})
+		_, err = Open(broken, "test 1", []string{"a", "b"}, Options{VerifyOnOpen: true})
 		assert.Error(t, err, what)
 		after, err := os.ReadFile(broken)
 		require.NoError(t, err)
@@ -185,9 +185,9 @@
 
 func TestFullDiskRefusesAndMends(t *testing.T) {
 	path, disk := filepath.Join(t.TempDir(), "x.db"), &fullDisk{}
-	db := open(t, path, Options{FS: disk, Segment: 8 << 10})
+	db := open(t, path, Options{FS: disk, SegmentBytes: 8 << 10})
 	put := func(i int) error {
-		return db.Do(func(tx *Tx) error { tx.Put(0, fmt.Appendf(nil, "%04d", i), make([]byte, 500)); return nil })
+		return db.Update(func(tx *Tx) error { tx.Put(0, fmt.Appendf(nil, "%04d", i), make([]byte, 500)); return nil })
 	}
 	disk.set(true)
 	kept, refused := map[int]bool{}, 0
@@ -212,9 +212,9 @@
 // which the program's own memory lies: bbolt makes the file longer than that.
 func TestTrimKeepsToTheMapping(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.db")
-	db := open(t, path, Options{Moves: 1 << 20})
+	db := open(t, path, Options{CheckpointBytes: 1 << 20})
 	for i := range 230 {
-		require.NoError(t, db.Do(func(tx *Tx) error { tx.Put(0, fmt.Appendf(nil, "%06d", i), make([]byte, 300_000)); return nil }))
+		require.NoError(t, db.Update(func(tx *Tx) error { tx.Put(0, fmt.Appendf(nil, "%06d", i), make([]byte, 300_000)); return nil }))
 		require.NoError(t, db.between(func() error {
 			db.trim()
 			return db.file.View(func(tx *bolt.Tx) error {
@@ -245,7 +245,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			k := bytesOf(rand.Uint64())
-			if err := db.Do(func(tx *Tx) error { tx.Put(0, k, value); return nil }); err != nil {
+			if err := db.Update(func(tx *Tx) error { tx.Put(0, k, value); return nil }); err != nil {
 				b.Error(err)
 			}
 		}
--- a/internal/durable/care.go
+++ b/internal/durable/maintenance.go
@@ -204,7 +204,7 @@
 	if _, err := os.Lstat(LogDir(snapshot)); !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("%s has a log beside it: it is a store in use, not a snapshot", snapshot)
 	}
-	db, err := Open(snapshot, format, nil, Options{ReadOnly: true, Check: true})
+	db, err := Open(snapshot, format, nil, Options{ReadOnly: true, VerifyOnOpen: true})
 	if err != nil {
 		return err
 	}
--- a/internal/standin/identity.go
+++ b/internal/fakes/identity.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"crypto/ecdsa"
--- a/internal/standin/standin.go
+++ b/internal/fakes/worker.go
@@ -1,6 +1,6 @@
 // Package standin holds scripted peers for tests over loopback: workers, and a dispatcher to set between them
 // and clients. What a worker does with a call is the test's to say, call by call; nothing waits for a clock.
-package standin
+package fakes
 
 import (
 	"encoding/binary"
@@ -14,22 +14,22 @@
 
 	"github.com/stretchr/testify/require"
 
-	"kitefall/internal/board"
+	"kitefall/internal/balancer"
+	"kitefall/internal/discovery"
 	"kitefall/internal/dispatch"
 	"kitefall/internal/worker"
-	"kitefall/rules"
 )
 
 // By is a moment by which whatever a test waits for has come, or it never will.
-func By() time.Time { return time.Now().Add(10 * time.Second) }
+func Deadline() time.Time { return time.Now().Add(10 * time.Second) }
 
 // Worker listens like a worker. Orders to load are answered at once; calls wait for the test.
 type Worker struct {
-	t     testing.TB
-	ln    net.Listener
-	Addr  string
-	Calls chan *Call // calls that have arrived whole
-	Gone  chan uint64
+	t         testing.TB
+	ln        net.Listener
+	Addr      string
+	Calls     chan *Call // calls that have arrived whole
+	Cancelled chan uint64
 
 	mu     sync.Mutex
 	runs   map[string]int
@@ -38,14 +38,14 @@
 }
 
 // Empty has the worker hold no copies from now on: it answers 'miss' until an order to load has come.
-func (w *Worker) Empty() {
+func (w *Worker) UnloadAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.copies = map[string]bool{}
 }
 
 // Orders are the times at which orders to load have come.
-func (w *Worker) Orders() []time.Time {
+func (w *Worker) LoadOrderTimes() []time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]time.Time(nil), w.orders...)
@@ -88,7 +88,7 @@
 func NewWorker(t testing.TB) *Worker {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	w := &Worker{t: t, ln: ln, Addr: ln.Addr().String(), Calls: make(chan *Call, 64), Gone: make(chan uint64, 64),
+	w := &Worker{t: t, ln: ln, Addr: ln.Addr().String(), Calls: make(chan *Call, 64), Cancelled: make(chan uint64, 64),
 		runs: map[string]int{}}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
@@ -128,7 +128,7 @@
 			w.mu.Unlock()
 			w.Calls <- call
 		case 49:
-			w.Gone <- call.ID
+			w.Cancelled <- call.ID
 		case 52:
 			w.mu.Lock()
 			w.orders = append(w.orders, time.Now())
@@ -147,28 +147,28 @@
 	select {
 	case c := <-w.Calls:
 		return c
-	case <-time.After(time.Until(By())):
+	case <-time.After(time.Until(Deadline())):
 		require.FailNow(w.t, "no call came to the worker")
 		return nil
 	}
 }
 
 // Either is the next call to arrive at one of two workers, and the other worker.
-func Either(a, b *Worker) (*Call, *Worker) {
+func FirstCallAtEither(a, b *Worker) (*Call, *Worker) {
 	a.t.Helper()
 	select {
 	case c := <-a.Calls:
 		return c, b
 	case c := <-b.Calls:
 		return c, a
-	case <-time.After(time.Until(By())):
+	case <-time.After(time.Until(Deadline())):
 		require.FailNow(a.t, "no call came to either worker")
 		return nil, nil
 	}
 }
 
 // Runs is how often calls with the body have arrived.
-func (w *Worker) Runs(body string) int {
+func (w *Worker) CallCount(body string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[body]
@@ -185,62 +185,62 @@
 }
 
 // Answer writes an answer.
-func (c *Call) Answer(code byte, fields, body string) { c.Raw(Frame(code, c.ID, fields, body)) }
+func (c *Call) Answer(code byte, fields, body string) { c.WriteRaw(Frame(code, c.ID, fields, body)) }
 
 // OK serves the call.
 func (c *Call) OK(body string) { c.Answer(64, "remark=hot", body) }
 
 // Raw writes bytes as they are.
-func (c *Call) Raw(p []byte) { c.conn.Write(p) }
+func (c *Call) WriteRaw(p []byte) { c.conn.Write(p) }
 
 // From is the address that the call came from: one for each connection.
 func (c *Call) From() string { return c.conn.RemoteAddr().String() }
 
 // Die resets the connection, as the kernel does for a process that dies.
-func (c *Call) Die() {
+func (c *Call) ResetConn() {
 	c.conn.(*net.TCPConn).SetLinger(0)
 	c.conn.Close()
 }
 
 // Settings are those of a small site: consulta may repeat, reserva must not.
-func Settings() rules.Settings {
-	return rules.Settings{Peers: 1, Cancel: true, SecondCopies: true, MaxAttempts: 4, Orders: true,
-		Keep: 10 * time.Second, OrderTimeout: 5 * time.Second, DialTimeout: time.Second, DrainGrace: time.Second,
-		MaxRetryAfter: 2 * time.Second, AnswerSlack: 16 * time.Millisecond,
-		Classes: []rules.Class{
-			{Name: "consulta", Worth: 1, Aim: time.Second, Deadline: 4 * time.Second, Effect: rules.Safe},
-			{Name: "reserva", Worth: 2, Aim: time.Second, Deadline: 4 * time.Second, Effect: rules.Unsafe}}}
+func Settings() balancer.Settings {
+	return balancer.Settings{Dispatchers: 1, CanCancel: true, Hedging: true, MaxAttempts: 4, LoadOrders: true,
+		IdleTTL: 10 * time.Second, LoadTimeout: 5 * time.Second, DialTimeout: time.Second, DrainGrace: time.Second,
+		MaxRetryAfter: 2 * time.Second, AnswerGrace: 16 * time.Millisecond,
+		Classes: []balancer.Class{
+			{Name: "consulta", Weight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second, Idempotency: balancer.Idempotent},
+			{Name: "reserva", Weight: 2, LatencyObjective: time.Second, Deadline: 4 * time.Second, Idempotency: balancer.NotIdempotent}}}
 }
 
 // Links are settings for connections to match.
-func Links() worker.Config {
-	return worker.Config{DialTimeout: time.Second, IdleClose: 15 * time.Second, Streams: 32, Connections: 4,
-		Room: worker.NewRoom(64)}
+func PoolConfig() worker.Config {
+	return worker.Config{DialTimeout: time.Second, IdleTimeout: 15 * time.Second, MaxStreams: 32, MaxConns: 4,
+		ConnLimit: worker.NewConnLimit(64)}
 }
 
 // NewCore starts a core that knows the workers. Who calls it stops it.
 func NewCore(t testing.TB, workers ...*Worker) *dispatch.Core {
-	return NewCoreOf(t, Settings(), workers...)
+	return NewCoreWithSettings(t, Settings(), workers...)
 }
 
 // NewCoreOf is NewCore with settings of the test's own.
-func NewCoreOf(t testing.TB, s rules.Settings, workers ...*Worker) *dispatch.Core {
-	c, err := dispatch.New(dispatch.Config{Settings: s, Seed: 1, Links: Links(), MostOpen: 100,
-		MostHeld: 1 << 20})
+func NewCoreWithSettings(t testing.TB, s balancer.Settings, workers ...*Worker) *dispatch.Core {
+	c, err := dispatch.New(dispatch.Config{Settings: s, Seed: 1, Pool: PoolConfig(), MaxInFlight: 100,
+		MaxBodyBytes: 1 << 20})
 	require.NoError(t, err)
 	go c.Run()
 	if len(workers) > 0 {
-		c.News(List(workers...))
+		c.UpdateEndpoints(Endpoints(workers...))
 	}
 	return c
 }
 
 // List is the whole list of workers; each has its address in its uid.
-func List(workers ...*Worker) board.List {
-	l := board.List{Scope: rules.ListFull}
+func Endpoints(workers ...*Worker) discovery.Update {
+	l := discovery.Update{Scope: balancer.ScopeFull}
 	for _, w := range workers {
 		uid := "s-" + strings.ReplaceAll(w.Addr, ":", "-")
-		l.Entries = append(l.Entries, board.Entry{Worker: rules.Worker{ID: rules.WorkerID(uid), Weight: 1},
+		l.Endpoints = append(l.Endpoints, discovery.Endpoint{Worker: balancer.Worker{ID: balancer.WorkerID(uid), Weight: 1},
 			Addr: w.Addr})
 	}
 	return l
--- a/internal/front/invoke/invoke_test.go
+++ b/internal/frontend/invoke/invoke_test.go
@@ -17,12 +17,12 @@
 	"github.com/stretchr/testify/require"
 
 	"kitefall/internal/dispatch"
-	"kitefall/internal/front/invoke"
-	"kitefall/internal/standin"
-	"kitefall/internal/steady"
-	"kitefall/internal/ticket"
-	"kitefall/internal/ticket/desk"
-	"kitefall/internal/ticket/store"
+	"kitefall/internal/fakes"
+	"kitefall/internal/frontend/invoke"
+	"kitefall/internal/invocation"
+	"kitefall/internal/invocation/executor"
+	"kitefall/internal/invocation/store"
+	"kitefall/internal/monotonic"
 )
 
 const operators = `
@@ -55,40 +55,40 @@
 // edge is a dispatcher with an invoke front, which can be restarted on its store.
 type edge struct {
 	t      *testing.T
-	ca     *standin.Authority
+	ca     *fakes.Authority
 	path   string
 	url    string
 	core   *dispatch.Core
 	store  *store.Store
-	desk   *desk.Desk
+	desk   *executor.Executor
 	server *invoke.Server
 	a, b   *http.Client
 }
 
-func newEdge(t *testing.T, workers ...*standin.Worker) *edge {
-	e := &edge{t: t, ca: standin.NewAuthority(t), path: filepath.Join(t.TempDir(), "tickets.db")}
-	e.a, e.b = e.ca.Client(standin.Domain+"/desk/a"), e.ca.Client(standin.Domain+"/desk/b")
+func newEdge(t *testing.T, workers ...*fakes.Worker) *edge {
+	e := &edge{t: t, ca: fakes.NewAuthority(t), path: filepath.Join(t.TempDir(), "tickets.db")}
+	e.a, e.b = e.ca.Client(fakes.Domain+"/desk/a"), e.ca.Client(fakes.Domain+"/desk/b")
 	e.start(workers...)
 	t.Cleanup(func() { e.stop() })
 	return e
 }
 
-func (e *edge) start(workers ...*standin.Worker) {
+func (e *edge) start(workers ...*fakes.Worker) {
 	file := filepath.Join(e.t.TempDir(), "invoke.toml")
 	require.NoError(e.t, os.WriteFile(file, []byte(operators), 0o600))
-	c, err := invoke.ReadConfig(file, standin.Settings())
+	c, err := invoke.ReadConfig(file, fakes.Settings())
 	require.NoError(e.t, err)
-	ctx, cancel := context.WithDeadline(context.Background(), standin.By())
+	ctx, cancel := context.WithDeadline(context.Background(), fakes.Deadline())
 	defer cancel()
-	id, err := invoke.Identify(ctx, e.ca.Addr)
+	id, err := invoke.WaitForIdentity(ctx, e.ca.Addr)
 	require.NoError(e.t, err)
 	e.t.Cleanup(func() { id.Close() })
-	e.core = standin.NewCore(e.t, workers...)
-	e.store, err = store.Open(e.path, c.Kept())
+	e.core = fakes.NewCore(e.t, workers...)
+	e.store, err = store.Open(e.path, c.StoreOptions())
 	require.NoError(e.t, err)
-	e.desk, err = desk.New(e.store, e.core, c, c.Plan(), steady.Start(time.Now()))
+	e.desk, err = executor.New(e.store, e.core, c, c.SchedulerConfig(), monotonic.Start(time.Now()))
 	require.NoError(e.t, err)
-	require.NoError(e.t, e.desk.Resume())
+	require.NoError(e.t, e.desk.Recover())
 	e.server = invoke.New(c, e.desk, id)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(e.t, err)
@@ -167,7 +167,7 @@
 }
 
 func TestSynchronousAndDeferredCalls(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	go func() { w.Next().OK(`"booked"`) }()
 	a := e.post(book, `"slot 1"`)
@@ -191,7 +191,7 @@
 
 // The dispatcher ends while a reserva is at a worker: nobody can tell any more whether it ran.
 func TestReservaPendingAtARestartIsNeverSentAgain(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	d := e.deferred(book, `"slot"`, "Idempotency-Key", "k1")
 	w.Next()
@@ -202,11 +202,11 @@
 		assert.Equal(t, []any{502, "may-have-run", false, true}, []any{a.status, a.problem, a.retry, a.may})
 	}
 	assert.Equal(t, 502, e.post(book, `"slot"`, "Idempotency-Key", "k1").status, "a resend gets the same answer")
-	assert.Equal(t, 1, w.Runs(`"slot"`))
+	assert.Equal(t, 1, w.CallCount(`"slot"`))
 }
 
 func TestConsultaPendingAtARestartGoesAgain(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	d := e.deferred(look, `"day"`)
 	w.Next()
@@ -218,43 +218,43 @@
 
 // Without workers nothing is attempted, so even a reserva goes to the core again after a restart.
 func TestReservaNeverAttemptedRunsOnceAfterARestart(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t)
 	d := e.deferred(book, `"slot"`)
 	e.stop()
 	e.start(w)
 	w.Next().OK(`"booked"`)
 	assert.Equal(t, `"booked"`, e.poll(d.location).body)
-	assert.Equal(t, 1, w.Runs(`"slot"`))
+	assert.Equal(t, 1, w.CallCount(`"slot"`))
 }
 
 // Workers die mid-call and others take their place: no reserva runs twice, each ticket has one answer.
 func TestWorkersDyingMidCall(t *testing.T) {
 	e := newEdge(t)
 	for i := range 8 {
-		w := standin.NewWorker(t)
-		e.core.News(standin.List(w))
+		w := fakes.NewWorker(t)
+		e.core.UpdateEndpoints(fakes.Endpoints(w))
 		body, want := fmt.Sprintf(`"slot %d"`, i), ""
 		d := e.deferred(book, body, "Idempotency-Key", body)
 		if k := w.Next(); i%2 == 0 {
-			k.Die()
+			k.ResetConn()
 			want = "may-have-run"
 		} else {
 			k.OK(`"booked"`)
 		}
 		first := e.poll(d.location)
 		assert.Equal(t, want, first.problem, first.body)
-		heir := standin.NewWorker(t)
-		e.core.News(standin.List(heir)) // it would take the call, were it sent again
+		heir := fakes.NewWorker(t)
+		e.core.UpdateEndpoints(fakes.Endpoints(heir)) // it would take the call, were it sent again
 		again := e.post(book, body, "Idempotency-Key", body)
 		assert.Equal(t, []any{first.status, first.body}, []any{again.status, again.body})
-		assert.Equal(t, []int{1, 0}, []int{w.Runs(body), heir.Runs(body)})
+		assert.Equal(t, []int{1, 0}, []int{w.CallCount(body), heir.CallCount(body)})
 	}
 }
 
 // The link breaks while a device waits; it resends, and later polls.
 func TestClientThatGaveUpFindsTheAnswer(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	ctx, cancel := context.WithCancel(context.Background())
 	left := make(chan error, 1)
@@ -272,20 +272,20 @@
 	e.start(w)
 	a := e.post(book, `"slot"`, "Idempotency-Key", "k1")
 	assert.Equal(t, []any{200, `"booked"`}, []any{a.status, a.body}, "also after a restart")
-	assert.Equal(t, 1, w.Runs(`"slot"`))
+	assert.Equal(t, 1, w.CallCount(`"slot"`))
 	a = e.post(book, `"other slot"`, "Idempotency-Key", "k1")
 	assert.Equal(t, []any{422, "key-reused"}, []any{a.status, a.problem})
 }
 
 func TestGivenUpTicketKeepsItsFirstAnswer(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	d := e.deferred(book, `"slot"`)
 	k := w.Next()
 	a, err := e.do(e.a, context.Background(), http.MethodDelete, d.location, "")
 	require.NoError(t, err)
 	assert.Equal(t, 204, a.status)
-	assert.Equal(t, k.ID, <-w.Gone)
+	assert.Equal(t, k.ID, <-w.Cancelled)
 	k.OK(`"too late"`)
 	go func() { w.Next().OK(`"next"`) }()
 	assert.Equal(t, `"next"`, e.post(look, `"day"`).body) // on the same connection: the late answer has been read
@@ -294,7 +294,7 @@
 }
 
 func TestDeadlineThenALatePoll(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	d := e.deferred(book, `"slot"`, "Request-Timeout", "0.2")
 	k := w.Next()
@@ -305,7 +305,7 @@
 }
 
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	go func() {
 		for k := range w.Calls {
@@ -319,19 +319,19 @@
 
 // A file that would not do what it says stops the program, rather than run with a bound less.
 func TestOperatorsFile(t *testing.T) {
-	_, err := invoke.ReadConfig("../../../deploy/invoke.toml", standin.Settings())
+	_, err := invoke.ReadConfig("../../../deploy/invoke.toml", fakes.Settings())
 	require.NoError(t, err)
 	for old, wrong := range map[string]string{"most_body = 64": "most_bodies = 64", `"reserva"`: `"reservas"`,
 		`most_deadline = "4s"`: `most_deadline = "5s"`, "7f3a9c21e0b4d655": "a,b=c", "spiffe://": "https://"} {
 		file := filepath.Join(t.TempDir(), "invoke.toml")
 		require.NoError(t, os.WriteFile(file, []byte(strings.Replace(operators, old, wrong, 1)), 0o600))
-		_, err := invoke.ReadConfig(file, standin.Settings())
+		_, err := invoke.ReadConfig(file, fakes.Settings())
 		assert.Error(t, err, wrong)
 	}
 }
 
 func TestBadInput(t *testing.T) {
-	e := newEdge(t, standin.NewWorker(t))
+	e := newEdge(t, fakes.NewWorker(t))
 	for _, c := range []struct {
 		method, path, body string
 		headers            []string
@@ -353,29 +353,29 @@
 		assert.Equal(t, c.status, a.status, c)
 		assert.NotEmpty(t, a.problem, c)
 	}
-	stranger := e.ca.Client(standin.Domain + "/desk/unknown")
+	stranger := e.ca.Client(fakes.Domain + "/desk/unknown")
 	a, err := e.do(stranger, context.Background(), http.MethodPost, book, "")
 	require.NoError(t, err)
 	assert.Equal(t, []any{403, "forbidden"}, []any{a.status, a.problem})
-	foreign := standin.NewAuthority(t).Client(standin.Domain + "/desk/a") // the right name by another authority
+	foreign := fakes.NewAuthority(t).Client(fakes.Domain + "/desk/a") // the right name by another authority
 	_, err = e.do(foreign, context.Background(), http.MethodPost, book, "")
 	assert.Error(t, err)
 }
 
 func TestExpiredTicketAndBrokenStore(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	e := newEdge(t, w)
 	d := e.deferred(book, `"slot"`)
 	w.Next().OK(`"booked"`)
 	require.Equal(t, 200, e.poll(d.location).status)
-	require.NoError(t, e.store.Sweep(time.Now().Add(2*time.Hour)))
+	require.NoError(t, e.store.DeleteExpired(time.Now().Add(2*time.Hour)))
 	a := e.poll(d.location)
 	assert.Equal(t, []any{410, "expired"}, []any{a.status, a.problem})
 	require.NoError(t, e.store.Close()) // from here on nothing can be put on record
 	a = e.post(book, `"slot"`)
 	assert.Equal(t, []any{503, "storage", true}, []any{a.status, a.problem, a.retry})
-	assert.Equal(t, 1, w.Runs(`"slot"`), "what is not on record does not run")
+	assert.Equal(t, 1, w.CallCount(`"slot"`), "what is not on record does not run")
 	require.NoError(t, os.WriteFile(e.path, []byte(strings.Repeat("no database ", 4096)), 0o600))
 	_, err := store.Open(e.path, store.Options{})
-	assert.ErrorIs(t, err, ticket.ErrStore)
+	assert.ErrorIs(t, err, invocation.ErrStorage)
 }
--- a/internal/front/invoke/problem.go
+++ b/internal/frontend/invoke/problem.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"kitefall/internal/ticket"
-	"kitefall/internal/ticket/desk"
+	"kitefall/internal/invocation"
+	"kitefall/internal/invocation/executor"
 )
 
 // problem is an RFC 9457 problem document, with two members of ours.
@@ -65,15 +65,15 @@
 // problemOf words an error of the desk.
 func problemOf(err error) *problem {
 	switch {
-	case errors.Is(err, ticket.ErrUnknown):
+	case errors.Is(err, invocation.ErrNotFound):
 		return notFound()
-	case errors.Is(err, ticket.ErrExpired):
+	case errors.Is(err, invocation.ErrExpired):
 		return newProblem(http.StatusGone, "expired", "The ticket's answer is kept no longer")
-	case errors.Is(err, ticket.ErrMismatch):
+	case errors.Is(err, invocation.ErrKeyReused):
 		return newProblem(http.StatusUnprocessableEntity, "key-reused", "The Idempotency-Key belongs to another request")
-	case errors.Is(err, ticket.ErrFull):
+	case errors.Is(err, invocation.ErrStoreFull):
 		return refused(time.Now().Add(time.Minute)).because("too many tickets are kept")
-	case errors.Is(err, ticket.ErrQuota):
+	case errors.Is(err, invocation.ErrQuotaExceeded):
 		return refused(time.Now().Add(time.Minute)).because("this tenant has too many tickets, or too large ones")
 	default: // nothing was taken on that is not on record
 		p := newProblem(http.StatusServiceUnavailable, "storage", "Calls cannot be put on record at present")
@@ -83,15 +83,15 @@
 }
 
 // problemOfEnd words the end of a ticket that was not served.
-func problemOfEnd(t desk.View, safe bool) *problem {
+func problemOfEnd(t executor.View, safe bool) *problem {
 	var p *problem
 	switch {
-	case t.End == ticket.Refused:
+	case t.Outcome == invocation.OutcomeRejected:
 		p = refused(t.RetryAt)
-	case t.End == ticket.Late:
+	case t.Outcome == invocation.OutcomeDeadlineExceeded:
 		p = newProblem(http.StatusGatewayTimeout, "deadline", "The deadline came before the answer")
 		p.Retryable = safe || !t.MayHaveRun
-	case t.End == ticket.GivenUp:
+	case t.Outcome == invocation.OutcomeCancelled:
 		p = newProblem(http.StatusConflict, "given-up", "The call was given up by its owner")
 		p.Retryable = safe || !t.MayHaveRun
 	case t.MayHaveRun:
@@ -101,11 +101,11 @@
 		p.Retryable = true
 	}
 	p.MayHaveRun = t.MayHaveRun
-	if t.OnRecord {
+	if t.Durable {
 		p.Instance = path(t.ID)
 	}
-	if t.Heir != "" {
-		p.Heir = path(t.Heir)
+	if t.RedrivenAs != "" {
+		p.Heir = path(t.RedrivenAs)
 	}
 	return p
 }
--- a/internal/front/invoke/server.go
+++ b/internal/frontend/invoke/server.go
@@ -23,9 +23,9 @@
 	"github.com/spiffe/go-spiffe/v2/workloadapi"
 	"golang.org/x/net/netutil"
 
-	"kitefall/internal/quiet"
-	"kitefall/internal/ticket"
-	"kitefall/internal/ticket/desk"
+	"kitefall/internal/invocation"
+	"kitefall/internal/invocation/executor"
+	"kitefall/internal/logthrottle"
 )
 
 const (
@@ -42,31 +42,31 @@
 )
 
 // turnedAway is the log line of peers that are nobody's.
-var turnedAway = quiet.NewLine()
+var turnedAway = logthrottle.New()
 
 // Server answers the invoke API.
 type Server struct {
 	config *Config
-	desk   *desk.Desk
+	desk   *executor.Executor
 	http   *http.Server
 	room   chan struct{}
 	ending atomic.Bool
 }
 
 // Identity is where the server's own SVID and the trust bundles come from: the Workload API.
-type Identity interface {
+type IdentitySource interface {
 	x509svid.Source
 	x509bundle.Source
 }
 
 // Identify waits for the first SVID of the Workload API.
-func Identify(ctx context.Context, addr string) (*workloadapi.X509Source, error) {
+func WaitForIdentity(ctx context.Context, addr string) (*workloadapi.X509Source, error) {
 	return workloadapi.NewX509Source(ctx, workloadapi.WithClientOptions(workloadapi.WithAddr(addr)))
 }
 
 // New returns a server; Serve starts it.
-func New(c *Config, d *desk.Desk, id Identity) *Server {
-	s := &Server{config: c, desk: d, room: make(chan struct{}, c.MostOpen)}
+func New(c *Config, d *executor.Executor, id IdentitySource) *Server {
+	s := &Server{config: c, desk: d, room: make(chan struct{}, c.MaxInFlight)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/functions/{function}/invocations", s.methods(map[string]handler{http.MethodPost: s.create}))
 	mux.HandleFunc("/v1/invocations/{ticket}", s.methods(map[string]handler{http.MethodGet: s.poll,
@@ -83,7 +83,7 @@
 
 // Serve answers on ln until Shutdown.
 func (s *Server) Serve(ln net.Listener) error {
-	err := s.http.ServeTLS(netutil.LimitListener(ln, s.config.Connections), "", "")
+	err := s.http.ServeTLS(netutil.LimitListener(ln, s.config.MaxConns), "", "")
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -91,7 +91,7 @@
 }
 
 // Finish refuses new calls from now on, so that those in hand can come to their end.
-func (s *Server) Finish() { s.ending.Store(true) }
+func (s *Server) Drain() { s.ending.Store(true) }
 
 // Shutdown takes no new connections and waits for the requests in hand, until ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
@@ -169,7 +169,7 @@
 		v, err := s.desk.Invoke(ctx, o)
 		return s.tell(w, v, err)
 	}
-	v, err := s.desk.Defer(o)
+	v, err := s.desk.Submit(o)
 	if err == nil {
 		w.Header().Set("Preference-Applied", "respond-async")
 		if until.After(now) {
@@ -189,30 +189,30 @@
 	if err != nil || seconds < 0 {
 		return now, badRequest("Prefer: wait is a whole number of seconds")
 	}
-	return now.Add(min(time.Duration(min(seconds, mostSeconds))*time.Second, s.config.MostWait)), nil
+	return now.Add(min(time.Duration(min(seconds, mostSeconds))*time.Second, s.config.MaxWait)), nil
 }
 
 // order reads and checks a request. What the workers need to know comes from the catalogue alone.
-func (s *Server) order(w http.ResponseWriter, r *http.Request, tenant string, async bool, now time.Time) (ticket.Order, *problem) {
+func (s *Server) order(w http.ResponseWriter, r *http.Request, tenant string, async bool, now time.Time) (invocation.Request, *problem) {
 	name := r.PathValue("function")
 	f := s.config.Functions[name]
 	if f == nil {
-		return ticket.Order{}, notFound()
+		return invocation.Request{}, notFound()
 	}
 	kind, _, err := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	if err != nil || kind != f.ContentType || r.Header.Get("Content-Encoding") != "" {
-		return ticket.Order{}, newProblem(http.StatusUnsupportedMediaType, "media-type",
+		return invocation.Request{}, newProblem(http.StatusUnsupportedMediaType, "media-type",
 			"The function takes "+f.ContentType+" as it is")
 	}
 	key := r.Header.Get(keyHeader)
 	if len(key) > mostKey || len(r.Header.Values(keyHeader)) > 1 {
-		return ticket.Order{}, badRequest(keyHeader + " is too long, or given twice")
+		return invocation.Request{}, badRequest(keyHeader + " is too long, or given twice")
 	}
-	o := ticket.Order{Tenant: tenant, Key: key, Function: name, Class: f.Class, Safe: f.safe, Deferred: async,
-		Urgency: urgency(r), Patience: f.MostTime}
-	life, most := f.Deadline, f.MostTime
+	o := invocation.Request{Tenant: tenant, IdempotencyKey: key, Function: name, Class: f.Class, Idempotent: f.safe, Deferred: async,
+		Urgency: urgency(r), RunTimeout: f.MaxDeadline}
+	life, most := f.Deadline, f.MaxDeadline
 	if async {
-		life, most = f.Life, f.MostLife
+		life, most = f.Lifetime, f.MaxLifetime
 	}
 	asked, p := seconds(r, timeoutHeader)
 	if p != nil {
@@ -235,12 +235,12 @@
 	reading := http.NewResponseController(w)
 	reading.SetReadDeadline(now.Add(readBy))
 	defer reading.SetReadDeadline(time.Time{})
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.MostBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.MaxBody))
 	if large := (*http.MaxBytesError)(nil); errors.As(err, &large) {
-		return ticket.Order{}, newProblem(http.StatusRequestEntityTooLarge, "too-large",
-			fmt.Sprintf("The function takes %d bytes at most", f.MostBody))
+		return invocation.Request{}, newProblem(http.StatusRequestEntityTooLarge, "too-large",
+			fmt.Sprintf("The function takes %d bytes at most", f.MaxBody))
 	} else if err != nil {
-		return ticket.Order{}, badRequest("the body ended early")
+		return invocation.Request{}, badRequest("the body ended early")
 	}
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%q\n", name)
@@ -263,14 +263,14 @@
 }
 
 // urgency reads the u of the Priority header. As RFC 9218, section 4, has it, what cannot be read counts as not there.
-func urgency(r *http.Request) ticket.Urgency {
+func urgency(r *http.Request) invocation.Urgency {
 	for _, part := range strings.Split(strings.Join(r.Header.Values(urgencyHeader), ","), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if n, err := strconv.Atoi(value); name == "u" && err == nil && n >= 0 && n <= 7 {
-			return ticket.Urgency(n)
+			return invocation.Urgency(n)
 		}
 	}
-	return ticket.DefaultUrgency
+	return invocation.DefaultUrgency
 }
 
 func (s *Server) poll(w http.ResponseWriter, r *http.Request, tenant string) *problem {
@@ -282,11 +282,11 @@
 }
 
 func (s *Server) giveUp(w http.ResponseWriter, r *http.Request, tenant string) *problem {
-	v, err := s.desk.GiveUp(tenant, r.PathValue("ticket"))
+	v, err := s.desk.Cancel(tenant, r.PathValue("ticket"))
 	if err != nil {
 		return problemOf(err)
 	}
-	if v.End != ticket.GivenUp { // the answer came first, and stays
+	if v.Outcome != invocation.OutcomeCancelled { // the answer came first, and stays
 		return s.final(w, v)
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -301,18 +301,18 @@
 	return s.tell(w, v, err)
 }
 
-func (s *Server) tell(w http.ResponseWriter, v desk.View, err error) *problem {
+func (s *Server) tell(w http.ResponseWriter, v executor.View, err error) *problem {
 	switch {
 	case err != nil:
 		return problemOf(err)
-	case v.State != ticket.Ended:
+	case v.State != invocation.StateCompleted:
 		return s.pending(w, v)
 	default:
 		return s.final(w, v)
 	}
 }
 
-func (s *Server) pending(w http.ResponseWriter, v desk.View) *problem {
+func (s *Server) pending(w http.ResponseWriter, v executor.View) *problem {
 	h := w.Header()
 	h.Set("Location", path(v.ID))
 	h.Set("Retry-After", "1")
@@ -323,12 +323,12 @@
 	return nil
 }
 
-func (s *Server) final(w http.ResponseWriter, v desk.View) *problem {
+func (s *Server) final(w http.ResponseWriter, v executor.View) *problem {
 	f := s.config.Functions[v.Function]
-	if v.OnRecord { // else there is nothing to ask for
+	if v.Durable { // else there is nothing to ask for
 		w.Header().Set("Content-Location", path(v.ID))
 	}
-	if v.End != ticket.Served {
+	if v.Outcome != invocation.OutcomeServed {
 		return problemOfEnd(v, f != nil && f.safe)
 	}
 	if f != nil {
--- a/internal/front/resp/crossing_test.go
+++ b/internal/frontend/resp/crossing_test.go
@@ -42,7 +42,7 @@
 
 // serveScripted starts a front with no core: nothing here comes to a call.
 func serveScripted(ln net.Listener) (*Server, chan error) {
-	s := &Server{Ready: func() bool { return true }, Patience: Patience{First: time.Hour, Message: time.Hour, Idle: time.Hour}}
+	s := &Server{Ready: func() bool { return true }, Timeouts: Timeouts{FirstRequest: time.Hour, Request: time.Hour, Idle: time.Hour}}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(ln, 8) }()
 	synctest.Wait()
@@ -60,13 +60,13 @@
 		synctest.Wait()
 		ln.Close()
 		synctest.Wait()
-		require.Equal(t, 1, s.Clients(), "closed with the listener")
+		require.Equal(t, 1, s.ActiveConns(), "closed with the listener")
 		go client.Write([]byte("*3\r\n$5\r\nCHECK\r\n$1\r\n1\r\n$0\r\n\r\n"))
 		answer := make([]byte, 64)
 		n, err := client.Read(answer)
 		require.NoError(t, err)
 		assert.Contains(t, string(answer[:n]), "yes")
-		s.Finish()
+		s.Drain()
 		synctest.Wait()
 		require.Len(t, ended, 1, "the front ends with its last client")
 		assert.NoError(t, <-ended)
@@ -96,7 +96,7 @@
 		assert.LessOrEqual(t, ln.asked.Load()-asked, int64(5))
 		assert.GreaterOrEqual(t, time.Since(began), 3*acceptAgain)
 		ln.Close()
-		s.Finish()
+		s.Drain()
 		synctest.Wait()
 		assert.NoError(t, <-ended)
 	})
--- a/internal/front/resp/guard.go
+++ b/internal/frontend/resp/guard.go
@@ -106,15 +106,15 @@
 // overdue tells whether the client has let one of its deadlines go by, with the server locked. A connection with
 // requests open never is: closing it would lose their answers.
 func (g *guard) overdue(now time.Time) bool {
-	p := &g.server.Patience
+	p := &g.server.Timeouts
 	if g.client == nil { // connects and says nothing, or never comes to an end
-		return g.server.done || now.After(g.accepted.Add(p.First))
+		return g.server.done || now.After(g.accepted.Add(p.FirstRequest))
 	}
 	since, idle := g.client.idleSince()
 	if g.server.done { // accepted while the program was told to end
 		return idle
 	}
-	if begun := g.begun.Load(); begun != 0 && now.After(time.Unix(0, begun).Add(p.Message)) {
+	if begun := g.begun.Load(); begun != 0 && now.After(time.Unix(0, begun).Add(p.Request)) {
 		return idle // half a message, and nothing after it
 	}
 	return idle && now.After(since.Add(p.Idle)) // asked once, and keeps its connection for good
--- a/internal/front/resp/resp.go
+++ b/internal/frontend/resp/resp.go
@@ -16,10 +16,10 @@
 
 	"github.com/tidwall/redcon"
 
+	"kitefall/internal/balancer"
 	"kitefall/internal/call"
 	"kitefall/internal/dispatch"
-	"kitefall/internal/quiet"
-	"kitefall/rules"
+	"kitefall/internal/logthrottle"
 )
 
 const (
@@ -40,23 +40,23 @@
 )
 
 // Patience is how long a client may take. Owed by then is an answer or a close, 3 s after it has connected.
-type Patience struct {
-	First   time.Duration // from the accept to the end of its first request
-	Message time.Duration // from the first byte of a request to its last
-	Idle    time.Duration // with nothing open; usual clients close by themselves after 4 s
+type Timeouts struct {
+	FirstRequest time.Duration // from the accept to the end of its first request
+	Request      time.Duration // from the first byte of a request to its last
+	Idle         time.Duration // with nothing open; usual clients close by themselves after 4 s
 }
 
 // Usual is the patience with clients in service.
-var Usual = Patience{First: 2500 * time.Millisecond, Message: 2500 * time.Millisecond, Idle: 5 * time.Second}
+var DefaultTimeouts = Timeouts{FirstRequest: 2500 * time.Millisecond, Request: 2500 * time.Millisecond, Idle: 5 * time.Second}
 
 // Server answers clients on one address.
 type Server struct {
 	Core     *dispatch.Core
 	Ready    func() bool // what CHECK answers
-	Settings rules.Settings
-	Patience Patience
+	Settings balancer.Settings
+	Timeouts Timeouts
 
-	turned, broke, failed, starved *quiet.Line
+	turned, broke, failed, starved *logthrottle.Logger
 
 	mu    sync.Mutex
 	conns map[*guard]bool
@@ -72,13 +72,13 @@
 	s.mu.Lock()
 	s.conns, s.ids = map[*guard]bool{}, map[uint64]bool{}
 	s.gone = sync.NewCond(&s.mu)
-	s.turned, s.broke, s.failed, s.starved = quiet.NewLine(), quiet.NewLine(), quiet.NewLine(), quiet.NewLine()
+	s.turned, s.broke, s.failed, s.starved = logthrottle.New(), logthrottle.New(), logthrottle.New(), logthrottle.New()
 	s.mu.Unlock()
-	tick, ended := time.NewTicker(max(s.Patience.First/10, time.Millisecond)), make(chan struct{})
+	tick, ended := time.NewTicker(max(s.Timeouts.FirstRequest/10, time.Millisecond)), make(chan struct{})
 	defer close(ended)
 	go func() {
 		defer tick.Stop()
-		for alive := true; alive || s.Clients() > 0; {
+		for alive := true; alive || s.ActiveConns() > 0; {
 			select {
 			case now := <-tick.C:
 				s.sweep(now)
@@ -92,7 +92,7 @@
 }
 
 // Finish closes each connection once its last answer is written, and those with nothing open now.
-func (s *Server) Finish() {
+func (s *Server) Drain() {
 	s.mu.Lock()
 	s.done = true
 	open := slices.Collect(maps.Keys(s.conns))
@@ -103,7 +103,7 @@
 }
 
 // Clients is the number of connections.
-func (s *Server) Clients() int {
+func (s *Server) ActiveConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -254,7 +254,7 @@
 	}
 	h, err := c.server.Core.Submit(k)
 	if err != nil {
-		k.Done(call.Answer{Outcome: call.Refused})
+		k.Done(call.Answer{Outcome: call.Rejected})
 		return nil
 	}
 	c.mu.Lock()
@@ -262,7 +262,7 @@
 	gone := c.tags[tag] != p && c.closed // its connection ended while it was handed in
 	c.mu.Unlock()
 	if gone {
-		h.GiveUp()
+		h.Cancel()
 	}
 	return nil
 }
@@ -278,9 +278,9 @@
 	switch a.Outcome {
 	case call.Served:
 		out.word, out.body = wordServed, a.Body
-	case call.Refused:
+	case call.Rejected:
 		out.word = wordRefused
-		if s.Settings.RetryAfter && a.RetryAfter > 0 {
+		if s.Settings.SendRetryAfter && a.RetryAfter > 0 {
 			out.fields = "after=" + strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)
 		}
 	default:
@@ -298,7 +298,7 @@
 	}
 	c.mu.Unlock()
 	if p != nil && p.handle != nil {
-		p.handle.GiveUp()
+		p.handle.Cancel()
 	}
 	c.server.leave(c)
 }
@@ -402,7 +402,7 @@
 	c.mu.Unlock()
 	c.net.Close()
 	for _, h := range open {
-		h.GiveUp()
+		h.Cancel()
 	}
 }
 
@@ -417,14 +417,14 @@
 	if len(args) == 3 {
 		k.Body = args[2]
 	}
-	if len(k.Body) > call.MostBody {
+	if len(k.Body) > call.MaxBodyBytes {
 		return k, fmt.Errorf("%d bytes of body", len(k.Body))
 	}
 	wait, id := 0.0, ""
 	err := pairs(string(args[1]), ",", "=", func(name, value string) (err error) {
 		switch name {
 		case "id":
-			if id = value; !call.Hex16(value) {
+			if id = value; !call.IsHexID(value) {
 				return fmt.Errorf("id %q", value)
 			}
 			k.ID, err = strconv.ParseUint(value, 16, 64)
@@ -435,7 +435,7 @@
 		case "key":
 			k.Function = value
 		case "cost":
-			k.Work, err = milliseconds(value)
+			k.WorkEstimate, err = milliseconds(value)
 		case "spec":
 			err = pairs(value, ";", ":", func(name, value string) error { return figure(k, name, value) })
 		}
@@ -443,12 +443,12 @@
 	})
 	switch {
 	case err != nil:
-	case id == "" || wait == 0 || !call.Hex16(k.Function):
+	case id == "" || wait == 0 || !call.IsHexID(k.Function):
 		err = fmt.Errorf("id %q, wait %v, key %q", id, wait, k.Function)
-	case !slices.ContainsFunc(s.Settings.Classes, func(c rules.Class) bool { return c.Name == k.Class }):
+	case !slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Name == k.Class }):
 		err = fmt.Errorf("no class %q", k.Class)
 	case len(s.Settings.Tenants) > 0 &&
-		!slices.ContainsFunc(s.Settings.Tenants, func(t rules.Tenant) bool { return t.Name == k.Tenant }):
+		!slices.ContainsFunc(s.Settings.Tenants, func(t balancer.Tenant) bool { return t.Name == k.Tenant }):
 		err = fmt.Errorf("no tenant %q", k.Tenant)
 	}
 	k.Deadline = now.Add(time.Duration(wait * float64(time.Millisecond)))
@@ -458,11 +458,11 @@
 func figure(k *call.Call, name, value string) (err error) {
 	switch name {
 	case "memory_mb":
-		k.Memory, err = number(value, 0, mostMemory)
+		k.MemoryMB, err = number(value, 0, mostMemory)
 	case "lanes":
 		lanes := 0.0
 		lanes, err = number(value, 1, mostLanes)
-		k.Lanes = int(lanes)
+		k.Concurrency = int(lanes)
 	case "load_ms":
 		k.LoadTime, err = milliseconds(value)
 	}
--- a/internal/front/resp/resp_test.go
+++ b/internal/frontend/resp/resp_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"kitefall/internal/front/resp"
-	"kitefall/internal/standin"
-	"kitefall/rules"
+	"kitefall/internal/balancer"
+	"kitefall/internal/fakes"
+	"kitefall/internal/frontend/resp"
 )
 
 type client struct {
@@ -25,29 +25,29 @@
 }
 
 // dispatcher starts a core and its RESP front, and returns a way to connect to it.
-func dispatcher(t *testing.T, workers ...*standin.Worker) func() *client {
+func dispatcher(t *testing.T, workers ...*fakes.Worker) func() *client {
 	_, connect := serve(t, workers...)
 	return connect
 }
 
-func serve(t *testing.T, workers ...*standin.Worker) (*resp.Server, func() *client) {
-	return serveMost(t, 64, resp.Usual, workers...)
+func serve(t *testing.T, workers ...*fakes.Worker) (*resp.Server, func() *client) {
+	return serveMost(t, 64, resp.DefaultTimeouts, workers...)
 }
 
-func serveMost(t *testing.T, most int, p resp.Patience, workers ...*standin.Worker) (*resp.Server, func() *client) {
-	core := standin.NewCore(t, workers...)
+func serveMost(t *testing.T, most int, p resp.Timeouts, workers ...*fakes.Worker) (*resp.Server, func() *client) {
+	core := fakes.NewCore(t, workers...)
 	t.Cleanup(core.Stop)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	s := &resp.Server{Core: core, Ready: core.Known, Settings: standin.Settings(), Patience: p}
-	s.Settings.Tenants = []rules.Tenant{{Name: "acme"}}
+	s := &resp.Server{Core: core, Ready: core.EndpointsKnown, Settings: fakes.Settings(), Timeouts: p}
+	s.Settings.Tenants = []balancer.Tenant{{Name: "acme"}}
 	go s.Serve(ln, most)
 	return s, func() *client {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
-		require.NoError(t, c.SetDeadline(standin.By()))
+		require.NoError(t, c.SetDeadline(fakes.Deadline()))
 		return &client{t, c, bufio.NewReader(c)}
 	}
 }
@@ -89,7 +89,7 @@
 }
 
 func TestAnswersComeOutOfOrder(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	c := dispatcher(t, w)()
 	c.call(1, "consulta", "first\r\n\x00")
 	first := w.Next()
@@ -114,45 +114,45 @@
 
 // A worker that dies with a call in hand may have run it: a reserva fails and goes nowhere else.
 func TestReservaIsNotRepeatedAfterAReset(t *testing.T) {
-	w, other := standin.NewWorker(t), standin.NewWorker(t)
+	w, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	c := dispatcher(t, w, other)()
 	c.call(1, "reserva", "book")
-	k, _ := standin.Either(w, other)
-	k.Die()
+	k, _ := fakes.FirstCallAtEither(w, other)
+	k.ResetConn()
 	assert.Equal(t, "1 fault  ", c.hear())
-	assert.Equal(t, 1, w.Runs("book")+other.Runs("book"))
+	assert.Equal(t, 1, w.CallCount("book")+other.CallCount("book"))
 }
 
 // The same for a frame whose check does not match: nothing after it on the connection can be trusted.
 func TestBadFrameFailsWhatIsOpen(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	c := dispatcher(t, w)()
 	c.call(1, "reserva", "book")
 	k := w.Next()
-	bad := standin.Frame(64, k.ID, "remark=hot", "done")
+	bad := fakes.Frame(64, k.ID, "remark=hot", "done")
 	bad[len(bad)-1] ^= 1
-	k.Raw(bad)
+	k.WriteRaw(bad)
 	assert.Equal(t, "1 fault  ", c.hear())
 }
 
 func TestConsultaGoesElsewhereAfterAReset(t *testing.T) {
-	w, other := standin.NewWorker(t), standin.NewWorker(t)
+	w, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	c := dispatcher(t, w, other)()
 	c.call(1, "consulta", "look")
-	k, rest := standin.Either(w, other)
-	k.Die()
+	k, rest := fakes.FirstCallAtEither(w, other)
+	k.ResetConn()
 	rest.Next().OK("seen")
 	assert.Equal(t, "1 ok  seen", c.hear())
 }
 
 // After a CANCEL no answer is owed, and one that crosses it must not reach the client.
 func TestLateAnswerAfterCancelIsDropped(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	c := dispatcher(t, w)()
 	c.call(1, "consulta", "look")
 	k := w.Next()
 	c.say("CANCEL", "1")
-	assert.Equal(t, k.ID, <-w.Gone)
+	assert.Equal(t, k.ID, <-w.Cancelled)
 	k.OK("late")
 	c.call(2, "consulta", "again")
 	w.Next().OK("in time")
@@ -161,22 +161,22 @@
 
 // A worker that says nothing: the deadline ends the call, and the worker is told to give it up.
 func TestSilenceEndsAtTheDeadline(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	c := dispatcher(t, w)()
 	c.say("CALL", "1", "reserva", "id=9b1f03aa5c7e2d41,wait=200,tenant=acme,key=7f3a9c21e0b4d655", "book")
 	k := w.Next()
 	assert.Equal(t, "1 fault  ", c.hear())
-	assert.Equal(t, k.ID, <-w.Gone)
+	assert.Equal(t, k.ID, <-w.Cancelled)
 }
 
 // While it drains, a connection that a CANCEL leaves without open requests must close, or the program never ends.
 func TestDrainingClosesAConnectionLeftIdleByACancel(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	s, connect := serve(t, w)
 	c := connect()
 	c.call(1, "reserva", "book")
 	w.Next()
-	s.Finish()
+	s.Drain()
 	c.say("CANCEL", "1")
 	_, err := c.r.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
@@ -185,7 +185,7 @@
 // What a worker could not use must not reach one: its error would be held against it. None of these is answered
 // by anyone but the front.
 func TestBadRequests(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	connect := dispatcher(t, w)
 	c := connect()
 	const id, key, rest = "id=9b1f03aa5c7e2d41,", "key=7f3a9c21e0b4d655", ",wait=1000,tenant=acme"
@@ -226,7 +226,7 @@
 
 // Two open requests under one id: a worker would take them for one, and its answer could go to either.
 func TestIDOfAnOpenRequestIsNotTakenTwice(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	connect := dispatcher(t, w)
 	c, other := connect(), connect()
 	c.call(1, "reserva", "mine")
@@ -243,8 +243,8 @@
 // Who connects and says nothing, stops within a request, or asked once and stays, holds its descriptor no longer
 // than a deadline; who waits for an answer is not cut off by any of them.
 func TestConnectionsThatOnlyStayAreClosed(t *testing.T) {
-	w := standin.NewWorker(t)
-	_, connect := serveMost(t, 64, resp.Patience{First: 50e6, Message: 50e6, Idle: 50e6}, w)
+	w := fakes.NewWorker(t)
+	_, connect := serveMost(t, 64, resp.Timeouts{FirstRequest: 50e6, Request: 50e6, Idle: 50e6}, w)
 	waits := connect()
 	waits.call(1, "reserva", "book")
 	k := w.Next()
@@ -265,8 +265,8 @@
 
 // With all connections taken, the next one is let in for one that has nothing open, silent ones first.
 func TestNewcomersTakeThePlaceOfTheIdle(t *testing.T) {
-	w := standin.NewWorker(t)
-	_, connect := serveMost(t, 3, resp.Usual, w)
+	w := fakes.NewWorker(t)
+	_, connect := serveMost(t, 3, resp.DefaultTimeouts, w)
 	busy, idle := connect(), connect()
 	busy.call(1, "reserva", "book")
 	k := w.Next()
@@ -289,12 +289,12 @@
 // A client that closes has gone. One that closes only its sending half looks just the same: both send the end of the
 // stream and nothing more, and the platform's protocol has no word that tells them apart. What it asked for is given up.
 func TestEndOfTheStreamIsTheEndOfItsCalls(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	c := dispatcher(t, w)()
 	c.call(1, "reserva", "book")
 	k := w.Next()
 	require.NoError(t, c.Conn.(*net.TCPConn).CloseWrite())
-	assert.Equal(t, k.ID, <-w.Gone)
+	assert.Equal(t, k.ID, <-w.Cancelled)
 	k.OK("late")
 	_, err := c.r.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
@@ -302,13 +302,13 @@
 
 // The same with a call behind it that has not begun: the last bytes of both come with the end of the stream.
 func TestCallsThatComeWithTheEndOfTheStream(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	s, connect := serve(t, w)
 	c := connect()
 	c.call(1, "reserva", "book")
 	c.call(2, "consulta", "look")
 	c.Close()
-	require.Eventually(t, func() bool { return s.Clients() == 0 && s.Core.Open() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.ActiveConns() == 0 && s.Core.InFlight() == 0 }, 10*time.Second, time.Millisecond)
 	other := connect()
 	other.call(3, "reserva", "other")
 	for k := w.Next(); ; k = w.Next() { // what had begun before the end was read may be there
@@ -322,7 +322,7 @@
 
 // A link that loses every other packet brings a request byte by byte.
 func TestRequestInPieces(t *testing.T) {
-	w := standin.NewWorker(t)
+	w := fakes.NewWorker(t)
 	c := dispatcher(t, w)()
 	fields := "id=9b1f03aa5c7e2d41,wait=4000,tenant=acme,key=7f3a9c21e0b4d655"
 	for _, b := range []byte(fmt.Sprintf("*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$7\r\nreserva\r\n$%d\r\n%s\r\n$4\r\nbo\r\n\r\n",
--- a/internal/ticket/desk/desk.go
+++ b/internal/invocation/executor/executor.go
@@ -4,7 +4,7 @@
 // A call that somebody waits for goes to the core at once, and to the disk no sooner than something could be lost: one
 // that must not run twice just before its first byte is written to a worker, any call with an Idempotency-Key before its
 // answer is told, one that may be repeated and has no key never.
-package desk
+package executor
 
 import (
 	"context"
@@ -20,10 +20,10 @@
 	"kitefall/internal/call"
 	"kitefall/internal/dispatch"
 	"kitefall/internal/failpoint"
+	"kitefall/internal/invocation"
+	"kitefall/internal/invocation/store"
+	"kitefall/internal/monotonic"
 	"kitefall/internal/schedule"
-	"kitefall/internal/steady"
-	"kitefall/internal/ticket"
-	"kitefall/internal/ticket/store"
 )
 
 const (
@@ -45,25 +45,25 @@
 }
 
 // Catalogue is what may be called.
-type Catalogue interface {
+type Catalog interface {
 	Describe(function string) (Function, bool)
 	// Call makes the call of a ticket's run; id and deadline are the desk's to set.
-	Call(o *ticket.Order) (*call.Call, error)
+	Call(o *invocation.Request) (*call.Call, error)
 }
 
 // View is a ticket as it stands, with its result if it was served.
 type View struct {
-	*ticket.Ticket
-	Result   []byte
-	OnRecord bool // it can be asked for by its id
+	*invocation.Invocation
+	Result  []byte
+	Durable bool // it can be asked for by its id
 }
 
 // Desk takes orders and keeps their answers. Its zero value is not usable: see New.
-type Desk struct {
+type Executor struct {
 	store     *store.Store
 	core      Core
-	catalogue Catalogue
-	clock     *steady.Clock
+	catalogue Catalog
+	clock     *monotonic.Clock
 	planner   *planner
 
 	mu     sync.Mutex
@@ -89,8 +89,8 @@
 }
 
 // New returns a desk that runs what it has under the scheduler's settings. Resume begins its work.
-func New(s *store.Store, c Core, cat Catalogue, plan schedule.Config, clock *steady.Clock) (*Desk, error) {
-	d := &Desk{store: s, core: c, catalogue: cat, clock: clock, lives: map[string]*life{}, claims: map[string]*claim{},
+func New(s *store.Store, c Core, cat Catalog, plan schedule.Config, clock *monotonic.Clock) (*Executor, error) {
+	d := &Executor{store: s, core: c, catalogue: cat, clock: clock, lives: map[string]*life{}, claims: map[string]*claim{},
 		waits: map[string]*waiting{}, runs: map[string]*run{}}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	planned, err := schedule.New(plan, mathrand.Uint64(), clock.Now())
@@ -102,28 +102,28 @@
 }
 
 // Resume takes up what an earlier run of the program left open, and begins to run and to sweep.
-func (d *Desk) Resume() error {
+func (d *Executor) Recover() error {
 	n, ended := 0, 0
 	var first []schedule.Event
-	err := d.store.Open(func(t *ticket.Ticket) error {
+	err := d.store.ForEachIncomplete(func(t *invocation.Invocation) error {
 		n++
 		f, known := d.catalogue.Describe(t.Function)
 		look := *t
-		_, e, err := ticket.Step(&look, ticket.Fact{Event: ticket.Restart}, d.clock.Now())
-		if err == nil && e&ticket.Store != 0 { // what needs no disk is not written: there may be very many
-			t, e, err = d.store.Apply(t.ID, ticket.Fact{Event: ticket.Restart}, nil, d.clock.Now())
+		_, e, err := invocation.Step(&look, invocation.Input{Event: invocation.EventRestart}, d.clock.Now())
+		if err == nil && e&invocation.EffectPersist != 0 { // what needs no disk is not written: there may be very many
+			t, e, err = d.store.Apply(t.ID, invocation.Input{Event: invocation.EventRestart}, nil, d.clock.Now())
 		}
 		if err != nil {
 			return err
 		}
-		if t.State != ticket.Ended && !known { // the operator has taken the function out of the catalogue
+		if t.State != invocation.StateCompleted && !known { // the operator has taken the function out of the catalogue
 			note := "function " + t.Function + " is not in the catalogue any more"
-			if t, e, err = d.store.Apply(t.ID, ticket.Fact{Event: ticket.Withdraw, Note: note}, nil, d.clock.Now()); err != nil {
+			if t, e, err = d.store.Apply(t.ID, invocation.Input{Event: invocation.EventWithdraw, Note: note}, nil, d.clock.Now()); err != nil {
 				return err
 			}
 		}
-		if e&ticket.Schedule != 0 {
-			first = append(first, schedule.AddEvent{Item: item(t, f)})
+		if e&invocation.EffectSchedule != 0 {
+			first = append(first, schedule.AddEvent{Job: item(t, f)})
 		} else {
 			ended++
 		}
@@ -139,13 +139,13 @@
 	return nil
 }
 
-func (d *Desk) sweep() {
+func (d *Executor) sweep() {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
 		now := d.clock.Now()
-		_, err := d.store.Seen(now)
-		if err = errors.Join(err, d.store.Sweep(now)); err != nil {
+		_, err := d.store.AdvanceClock(now)
+		if err = errors.Join(err, d.store.DeleteExpired(now)); err != nil {
 			slog.Error("tickets: sweep failed", "err", err)
 		}
 		select {
@@ -157,24 +157,24 @@
 }
 
 // Close waits for what is being stored and closes the store. Open tickets stay open, for the next run.
-func (d *Desk) Close() error {
+func (d *Executor) Close() error {
 	d.stop()
 	d.work.Wait()
 	return d.store.Close()
 }
 
-func item(t *ticket.Ticket, f Function) schedule.Item {
+func item(t *invocation.Invocation, f Function) schedule.Job {
 	// There may be very many, of few tenants and classes: they share their names.
-	return schedule.Item{ID: t.ID, Tenant: unique.Make(t.Tenant).Value(), Class: unique.Make(t.Class).Value(), Function: f.Key, Urgency: uint8(t.Urgency),
-		Cost: f.Cost, NotBefore: t.Due, Expires: t.Expires, Runs: t.Runs}
+	return schedule.Job{ID: t.ID, Tenant: unique.Make(t.Tenant).Value(), Class: unique.Make(t.Class).Value(), Function: f.Key, Urgency: uint8(t.Urgency),
+		Cost: f.Cost, NotBefore: t.NextRunAt, Expires: t.Expires, Runs: t.Runs}
 }
 
 // Defer puts an order on record and has it run in its time, or finds the ticket that its key has already.
-func (d *Desk) Defer(o ticket.Order) (View, error) {
+func (d *Executor) Submit(o invocation.Request) (View, error) {
 	o.Deferred = true
 	f, ok := d.catalogue.Describe(o.Function)
 	if !ok {
-		return View{}, ticket.ErrUnknown
+		return View{}, invocation.ErrNotFound
 	}
 	mine, other, err := d.claim(&o)
 	switch {
@@ -186,7 +186,7 @@
 		return d.Wait(nowhere, o.Tenant, other.id)
 	}
 	now := d.clock.Now()
-	t := ticket.New(rand.Text(), o, now)
+	t := invocation.New(rand.Text(), o, now)
 	found, err := d.store.Create(t, nil, now)
 	if err != nil {
 		d.settleClaim(mine, nil, "", err)
@@ -198,8 +198,8 @@
 	}
 	d.settleClaim(mine, nil, t.ID, nil)
 	failpoint.Hit("created")
-	d.planner.tell(schedule.AddEvent{Item: item(t, f)})
-	return View{Ticket: t, OnRecord: true}, nil
+	d.planner.tell(schedule.AddEvent{Job: item(t, f)})
+	return View{Invocation: t, Durable: true}, nil
 }
 
 // nowhere has ended: who waits with it hears how things stand.
@@ -210,39 +210,39 @@
 }()
 
 // Redrive has a dead letter go again; see store.Redrive.
-func (d *Desk) Redrive(id string, sure bool, reason string) (*ticket.Ticket, error) {
+func (d *Executor) Redrive(id string, sure bool, reason string) (*invocation.Invocation, error) {
 	old, err := d.store.Get(id)
 	if err != nil {
 		return nil, err
 	}
 	f, ok := d.catalogue.Describe(old.Function)
 	if !ok {
-		return nil, ticket.ErrUnknown
+		return nil, invocation.ErrNotFound
 	}
 	t, err := d.store.Redrive(id, rand.Text(), sure, reason, d.clock.Now())
 	if err == nil {
-		d.planner.tell(schedule.AddEvent{Item: item(t, f)})
+		d.planner.tell(schedule.AddEvent{Job: item(t, f)})
 	}
 	return t, err
 }
 
 // viewOf adds its result to a ticket on record.
-func (d *Desk) viewOf(t *ticket.Ticket) (v View, err error) {
-	v = View{Ticket: t, OnRecord: true}
-	if t.End == ticket.Served {
+func (d *Executor) viewOf(t *invocation.Invocation) (v View, err error) {
+	v = View{Invocation: t, Durable: true}
+	if t.Outcome == invocation.OutcomeServed {
 		v.Result, err = d.store.Result(t.ID)
 	}
 	return v, err
 }
 
 // Wait returns a ticket of the tenant once it has ended, or as it stands when ctx ends.
-func (d *Desk) Wait(ctx context.Context, tenant, id string) (View, error) {
+func (d *Executor) Wait(ctx context.Context, tenant, id string) (View, error) {
 	d.mu.Lock()
 	l := d.lives[id]
 	d.mu.Unlock()
 	if l != nil {
 		if l.tenant != tenant {
-			return View{}, ticket.ErrUnknown
+			return View{}, invocation.ErrNotFound
 		}
 		return d.follow(ctx, l)
 	}
@@ -250,22 +250,22 @@
 	defer left()
 	t, err := d.get(tenant, id)
 	if err != nil {
-		return View{Ticket: t}, err
+		return View{Invocation: t}, err
 	}
-	if t.State != ticket.Ended && ctx.Err() == nil {
+	if t.State != invocation.StateCompleted && ctx.Err() == nil {
 		select {
 		case <-done:
 		case <-ctx.Done():
 		}
 		if t, err = d.get(tenant, id); err != nil {
-			return View{Ticket: t}, err
+			return View{Invocation: t}, err
 		}
 	}
 	return d.viewOf(t)
 }
 
 // watch has done closed at the end of a ticket; left tells that nobody waits any more.
-func (d *Desk) watch(id string) (done <-chan struct{}, left func()) {
+func (d *Executor) watch(id string) (done <-chan struct{}, left func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w := d.waits[id]
@@ -284,7 +284,7 @@
 }
 
 // told wakes those who wait for a ticket that has its final answer on record.
-func (d *Desk) told(id string) {
+func (d *Executor) told(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w := d.waits[id]; w != nil {
@@ -294,11 +294,11 @@
 }
 
 // get reads a ticket. To all but its owner there is no such ticket.
-func (d *Desk) get(tenant, id string) (*ticket.Ticket, error) {
+func (d *Executor) get(tenant, id string) (*invocation.Invocation, error) {
 	t, err := d.store.Get(id)
 	if t == nil || t.Tenant != tenant {
-		if err == nil || !errors.Is(err, ticket.ErrStore) {
-			err = ticket.ErrUnknown
+		if err == nil || !errors.Is(err, invocation.ErrStorage) {
+			err = invocation.ErrNotFound
 		}
 		return nil, err
 	}
@@ -306,35 +306,35 @@
 }
 
 // GiveUp ends a ticket for its owner. An answer that came first stays.
-func (d *Desk) GiveUp(tenant, id string) (View, error) {
+func (d *Executor) Cancel(tenant, id string) (View, error) {
 	d.mu.Lock()
 	l := d.lives[id]
 	d.mu.Unlock()
 	if l != nil {
 		if l.tenant != tenant {
-			return View{}, ticket.ErrUnknown
+			return View{}, invocation.ErrNotFound
 		}
 		return d.leave(l)
 	}
 	if _, err := d.get(tenant, id); err != nil {
 		return View{}, err
 	}
-	t, e, err := d.store.Apply(id, ticket.Fact{Event: ticket.GiveUp}, nil, d.clock.Now())
-	if err != nil && !errors.Is(err, ticket.ErrEnded) {
+	t, e, err := d.store.Apply(id, invocation.Input{Event: invocation.EventCancel}, nil, d.clock.Now())
+	if err != nil && !errors.Is(err, invocation.ErrCompleted) {
 		return View{}, err
 	}
 	if err == nil {
-		if e&ticket.CallOff != 0 {
+		if e&invocation.EffectCancelRun != 0 {
 			d.callOff(id)
 		}
-		d.planner.tell(schedule.DropEvent{ID: id})
+		d.planner.tell(schedule.RemoveEvent{ID: id})
 		d.told(id)
 	}
 	return d.viewOf(t)
 }
 
 // callOff ends the run in hand of a ticket that has its answer. Its call may be on its way to the core still.
-func (d *Desk) callOff(id string) {
+func (d *Executor) callOff(id string) {
 	d.mu.Lock()
 	r := d.runs[id]
 	var h *dispatch.Handle
@@ -344,42 +344,42 @@
 	}
 	d.mu.Unlock()
 	if h != nil {
-		h.GiveUp()
+		h.Cancel()
 		d.over(id)
 	}
 }
 
 // over tells the scheduler that the place of a run is free whose end the core will not tell.
-func (d *Desk) over(id string) {
+func (d *Executor) over(id string) {
 	d.mu.Lock()
 	delete(d.runs, id)
 	d.mu.Unlock()
-	d.planner.tell(schedule.VoidEvent{ID: id})
+	d.planner.tell(schedule.RunAbortedEvent{ID: id})
 }
 
 // begin carries a run out that the scheduler has decided on.
-func (d *Desk) begin(id string) {
+func (d *Executor) begin(id string) {
 	body, err := d.store.Body(id)
-	var t *ticket.Ticket
+	var t *invocation.Invocation
 	if err == nil {
-		t, _, err = d.store.Apply(id, ticket.Fact{Event: ticket.Offer}, nil, d.clock.Now())
+		t, _, err = d.store.Apply(id, invocation.Input{Event: invocation.EventSubmit}, nil, d.clock.Now())
 	}
 	if err != nil {
-		d.planner.tell(schedule.VoidEvent{ID: id})
-		if errors.Is(err, ticket.ErrStore) || errors.Is(err, ticket.ErrRefused) { // it waits still
+		d.planner.tell(schedule.RunAbortedEvent{ID: id})
+		if errors.Is(err, invocation.ErrStorage) || errors.Is(err, invocation.ErrInvalidTransition) { // it waits still
 			slog.Error("tickets: not run yet", "ticket", id, "err", err)
 			d.later(func() { d.readd(id) })
 		}
 		return
 	}
 	t.Body = body
-	k, err := d.catalogue.Call(&t.Order)
+	k, err := d.catalogue.Call(&t.Request)
 	if err != nil { // taken out of the catalogue a moment ago
-		d.settle(t, call.Answer{Outcome: call.Refused})
+		d.settle(t, call.Answer{Outcome: call.Rejected})
 		return
 	}
 	now := d.clock.Now()
-	until := now.Add(t.Patience)
+	until := now.Add(t.RunTimeout)
 	if t.Expires.Before(until) {
 		until = t.Expires
 	}
@@ -389,9 +389,9 @@
 	d.mu.Unlock()
 	// A new id for each run: an answer to an earlier one may still be on its way.
 	k.ID, k.Deadline = mathrand.Uint64(), d.clock.Machine(until)
-	if !t.Safe {
-		k.MayRun = func() error {
-			_, _, err := d.store.Apply(id, ticket.Fact{Event: ticket.Mark}, nil, d.clock.Now())
+	if !t.Idempotent {
+		k.BeforeFirstAttempt = func() error {
+			_, _, err := d.store.Apply(id, invocation.Input{Event: invocation.EventStart}, nil, d.clock.Now())
 			failpoint.Hit("marked")
 			return err
 		}
@@ -402,7 +402,7 @@
 	}
 	h, err := d.core.Submit(k)
 	if err != nil {
-		k.Done(call.Answer{Outcome: call.Refused})
+		k.Done(call.Answer{Outcome: call.Rejected})
 		return
 	}
 	d.mu.Lock()
@@ -410,13 +410,13 @@
 	givenUp := r.givenUp
 	d.mu.Unlock()
 	if givenUp {
-		h.GiveUp()
+		h.Cancel()
 		d.over(id)
 	}
 }
 
 // later does something after a pause, unless the desk is closed before.
-func (d *Desk) later(do func()) {
+func (d *Executor) later(do func()) {
 	d.work.Go(func() {
 		select {
 		case <-time.After(storeAgain):
@@ -427,49 +427,49 @@
 }
 
 // readd hands a ticket to the scheduler again.
-func (d *Desk) readd(id string) {
+func (d *Executor) readd(id string) {
 	t, err := d.store.Get(id)
 	switch {
-	case errors.Is(err, ticket.ErrStore):
+	case errors.Is(err, invocation.ErrStorage):
 		d.later(func() { d.readd(id) })
-	case err == nil && t.State == ticket.Waiting:
+	case err == nil && t.State == invocation.StateWaiting:
 		if f, ok := d.catalogue.Describe(t.Function); ok {
-			d.planner.tell(schedule.AddEvent{Item: item(t, f)})
+			d.planner.tell(schedule.AddEvent{Job: item(t, f)})
 		}
 	}
 }
 
 // fact words a run's answer for the ticket's life.
-func fact(a call.Answer) ticket.Fact {
-	f := ticket.Fact{Event: ticket.Turned, Late: a.Late, Advice: min(max(a.RetryAfter, adviceMin), adviceMost)}
+func fact(a call.Answer) invocation.Input {
+	f := invocation.Input{Event: invocation.EventRejected, DeadlineExceeded: a.DeadlineExceeded, RetryAfter: min(max(a.RetryAfter, adviceMin), adviceMost)}
 	switch {
 	case a.Outcome == call.Served:
-		f.Event, f.Bytes = ticket.Answered, int64(len(a.Body))
+		f.Event, f.Bytes = invocation.EventServed, int64(len(a.Body))
 	case a.MayHaveRun:
-		f.Event = ticket.Broke
+		f.Event = invocation.EventFailed
 	}
 	return f
 }
 
 // settle puts the end of a run on record. Until that has worked there is none: an answer told from memory could
 // differ from the one that the next run of the program finds.
-func (d *Desk) settle(t *ticket.Ticket, a call.Answer) {
+func (d *Executor) settle(t *invocation.Invocation, a call.Answer) {
 	d.mu.Lock()
 	delete(d.runs, t.ID)
 	d.mu.Unlock()
 	f := fact(a)
-	f.Again = d.planner.ended(t, f, a.RetryAfter)
+	f.RetryAt = d.planner.ended(t, f, a.RetryAfter)
 	for {
 		failpoint.Hit("before-end")
 		now, e, err := d.store.Apply(t.ID, f, a.Body, d.clock.Now())
-		if err == nil || !errors.Is(err, ticket.ErrStore) {
+		if err == nil || !errors.Is(err, invocation.ErrStorage) {
 			failpoint.Hit("after-end")
-			if err == nil && e&ticket.Schedule != 0 {
+			if err == nil && e&invocation.EffectSchedule != 0 {
 				if fn, ok := d.catalogue.Describe(now.Function); ok {
-					d.planner.tell(schedule.AddEvent{Item: item(now, fn)})
+					d.planner.tell(schedule.AddEvent{Job: item(now, fn)})
 				}
 			}
-			if err == nil && e&ticket.Tell != 0 {
+			if err == nil && e&invocation.EffectNotify != 0 {
 				d.told(t.ID)
 			}
 			return
@@ -484,12 +484,12 @@
 }
 
 // expire ends a ticket whose time was over while it waited.
-func (d *Desk) expire(id string) {
-	_, _, err := d.store.Apply(id, ticket.Fact{Event: ticket.Expire}, nil, d.clock.Now())
+func (d *Executor) expire(id string) {
+	_, _, err := d.store.Apply(id, invocation.Input{Event: invocation.EventExpire}, nil, d.clock.Now())
 	switch {
 	case err == nil:
 		d.told(id)
-	case errors.Is(err, ticket.ErrStore):
+	case errors.Is(err, invocation.ErrStorage):
 		slog.Error("tickets: the end is not stored yet", "ticket", id, "err", err)
 		d.later(func() { d.expire(id) })
 	}
--- a/internal/ticket/desk/planner.go
+++ b/internal/invocation/executor/feeder.go
@@ -1,16 +1,16 @@
-package desk
+package executor
 
 import (
 	"sync"
 	"time"
 
+	"kitefall/internal/invocation"
 	"kitefall/internal/schedule"
-	"kitefall/internal/ticket"
 )
 
 // planner owns the scheduler: one goroutine, which never waits for a disk or the core.
 type planner struct {
-	desk     *Desk
+	desk     *Executor
 	schedule *schedule.Scheduler
 
 	mu     sync.Mutex // guards the queue, which has no bound of its own: one event for each ticket at most waits in it
@@ -25,7 +25,7 @@
 	look   func(*schedule.Scheduler)
 }
 
-func newPlanner(d *Desk, s *schedule.Scheduler) *planner {
+func newPlanner(d *Executor, s *schedule.Scheduler) *planner {
 	return &planner{desk: d, schedule: s, signal: make(chan struct{}, 1)}
 }
 
@@ -43,15 +43,15 @@
 func (p *planner) tell(e schedule.Event) { p.ask(question{event: e}) }
 
 // ended tells how a run ended and waits for when the next may begin; zero: there is none.
-func (p *planner) ended(t *ticket.Ticket, f ticket.Fact, advice time.Duration) time.Time {
-	e := schedule.EndedEvent{ID: t.ID, Advice: advice}
+func (p *planner) ended(t *invocation.Invocation, f invocation.Input, advice time.Duration) time.Time {
+	e := schedule.RunEndedEvent{ID: t.ID, RetryAfter: advice}
 	switch f.Event {
-	case ticket.Answered:
+	case invocation.EventServed:
 		e.Result = schedule.Served
-	case ticket.Turned:
-		e.Result = schedule.Turned
+	case invocation.EventRejected:
+		e.Result = schedule.Rejected
 	default:
-		e.Result = schedule.Broke
+		e.Result = schedule.Failed
 	}
 	answer := make(chan time.Time, 1)
 	p.ask(question{event: e, answer: answer})
@@ -89,9 +89,9 @@
 				q.look(p.schedule)
 				continue
 			}
-			if e, ok := q.event.(schedule.EndedEvent); ok {
+			if e, ok := q.event.(schedule.RunEndedEvent); ok {
 				if at, known := began[e.ID]; known {
-					e.Took = now.Sub(at)
+					e.Elapsed = now.Sub(at)
 				}
 				delete(began, e.ID)
 				q.event = e
@@ -99,20 +99,20 @@
 			again := time.Time{}
 			for _, a := range p.schedule.Handle(now, q.event) {
 				switch a := a.(type) {
-				case schedule.Run:
+				case schedule.StartRun:
 					began[a.ID] = now
 					id := a.ID
 					p.desk.work.Go(func() { p.desk.begin(id) })
-				case schedule.Again:
+				case schedule.Retry:
 					again = a.At
 				case schedule.Expire:
 					id := a.ID
 					p.desk.work.Go(func() { p.desk.expire(id) })
-				case schedule.Wake:
+				case schedule.SetTimer:
 					wake.Reset(max(a.At.Sub(now), 0))
 				}
 			}
-			if e, ok := q.event.(schedule.VoidEvent); ok {
+			if e, ok := q.event.(schedule.RunAbortedEvent); ok {
 				delete(began, e.ID)
 			}
 			if q.answer != nil {
