--- a/internal/ticket/desk/life.go
+++ b/internal/invocation/executor/life.go
@@ -1,4 +1,4 @@
-package desk
+package executor
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"kitefall/internal/call"
 	"kitefall/internal/dispatch"
 	"kitefall/internal/failpoint"
+	"kitefall/internal/invocation"
 	"kitefall/internal/schedule"
-	"kitefall/internal/ticket"
 )
 
 // life is a synchronous call, from its order to its end on record, if it is put there at all.
@@ -24,7 +24,7 @@
 	claim      *claim
 
 	mu       sync.Mutex // held also while the ticket is put on record: its steps come one after another
-	ticket   *ticket.Ticket
+	ticket   *invocation.Invocation
 	onRecord bool
 	result   []byte
 	handle   *dispatch.Handle
@@ -35,7 +35,7 @@
 func (l *life) view() View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return View{Ticket: new(*l.ticket), Result: l.result, OnRecord: l.onRecord}
+	return View{Invocation: new(*l.ticket), Result: l.result, Durable: l.onRecord}
 }
 
 // claim is a tenant's Idempotency-Key while its first order is being taken, and, for a synchronous call, until that
@@ -50,12 +50,12 @@
 }
 
 // claim takes an order's key, or waits until it is known who has it. Without a key there is nothing to take.
-func (d *Desk) claim(o *ticket.Order) (mine, other *claim, err error) {
+func (d *Executor) claim(o *invocation.Request) (mine, other *claim, err error) {
 	c := &claim{fingerprint: o.Fingerprint, ready: make(chan struct{})}
-	if o.Key == "" {
+	if o.IdempotencyKey == "" {
 		return c, nil, nil
 	}
-	c.key = o.Tenant + "\x00" + o.Key
+	c.key = o.Tenant + "\x00" + o.IdempotencyKey
 	d.mu.Lock()
 	first := d.claims[c.key]
 	if first == nil {
@@ -66,21 +66,21 @@
 		return c, nil, nil
 	}
 	if !bytes.Equal(first.fingerprint, o.Fingerprint) {
-		return nil, nil, ticket.ErrMismatch
+		return nil, nil, invocation.ErrKeyReused
 	}
 	<-first.ready
 	return nil, first, first.err
 }
 
 // settleClaim tells who has the key. Unless that is a synchronous call, the record knows it from here on.
-func (d *Desk) settleClaim(c *claim, l *life, id string, err error) {
+func (d *Executor) settleClaim(c *claim, l *life, id string, err error) {
 	c.life, c.id, c.err = l, id, err
 	if close(c.ready); l == nil {
 		d.unclaim(c)
 	}
 }
 
-func (d *Desk) unclaim(c *claim) {
+func (d *Executor) unclaim(c *claim) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.claims[c.key] == c {
@@ -90,11 +90,11 @@
 
 // Invoke has an order run at once and returns its final answer, or how it stands when ctx ends. Under a key that has
 // a ticket already, it waits for that one.
-func (d *Desk) Invoke(ctx context.Context, o ticket.Order) (View, error) {
+func (d *Executor) Invoke(ctx context.Context, o invocation.Request) (View, error) {
 	o.Deferred = false
 	k, err := d.catalogue.Call(&o)
 	if err != nil {
-		return View{}, ticket.ErrUnknown
+		return View{}, invocation.ErrNotFound
 	}
 	now := d.clock.Now()
 	mine, other, err := d.claim(&o)
@@ -106,7 +106,7 @@
 	case other != nil:
 		return d.Wait(ctx, o.Tenant, other.id)
 	}
-	found, err := d.store.Find(&o, now)
+	found, err := d.store.FindByKey(&o, now)
 	if found != nil || err != nil {
 		if err != nil {
 			d.settleClaim(mine, nil, "", err)
@@ -115,19 +115,19 @@
 		d.settleClaim(mine, nil, found.ID, nil)
 		return d.Wait(ctx, o.Tenant, found.ID)
 	}
-	t := ticket.New(rand.Text(), o, now)
+	t := invocation.New(rand.Text(), o, now)
 	l := &life{id: t.ID, tenant: o.Tenant, done: make(chan struct{}), ticket: t, claim: mine}
 	d.mu.Lock()
 	d.lives[l.id] = l
 	d.mu.Unlock()
 	d.settleClaim(mine, l, "", nil) // from here on others may ask for it by its id
 	k.ID, k.Deadline = mathrand.Uint64(), d.clock.Machine(o.Expires)
-	if !o.Safe {
-		k.MayRun = func() error { return d.mark(l) }
+	if !o.Idempotent {
+		k.BeforeFirstAttempt = func() error { return d.mark(l) }
 	}
 	k.Done = func(a call.Answer) {
-		d.planner.tell(schedule.ForegroundEvent{Turned: a.Outcome == call.Refused})
-		if t.Fleeting {
+		d.planner.tell(schedule.ForegroundEvent{Rejected: a.Outcome == call.Rejected})
+		if t.Ephemeral {
 			d.end(l, a) // it needs no disk, so the core's goroutine waits for nothing
 			return
 		}
@@ -135,24 +135,24 @@
 	}
 	h, err := d.core.Submit(k)
 	if err != nil {
-		k.Done(call.Answer{Outcome: call.Refused})
+		k.Done(call.Answer{Outcome: call.Rejected})
 	}
 	l.mu.Lock()
 	l.handle = h
 	late := l.givenUp
 	l.mu.Unlock()
 	if late && h != nil {
-		h.GiveUp()
+		h.Cancel()
 	}
 	v, err := d.follow(ctx, l)
-	if t.Fleeting && v.Ticket != nil && v.State != ticket.Ended && ctx.Err() != nil {
+	if t.Ephemeral && v.Invocation != nil && v.State != invocation.StateCompleted && ctx.Err() != nil {
 		return d.leave(l) // nobody can ask for it any more
 	}
 	return v, err
 }
 
 // follow waits for a synchronous call's final answer.
-func (d *Desk) follow(ctx context.Context, l *life) (View, error) {
+func (d *Executor) follow(ctx context.Context, l *life) (View, error) {
 	select {
 	case <-l.done:
 	case <-ctx.Done():
@@ -169,14 +169,14 @@
 var errOther = errors.New("the key has a ticket already")
 
 // mark puts a call on record just before its first byte is written to a worker.
-func (d *Desk) mark(l *life) error {
-	err := d.step(l, ticket.Fact{Event: ticket.Mark}, nil)
+func (d *Executor) mark(l *life) error {
+	err := d.step(l, invocation.Input{Event: invocation.EventStart}, nil)
 	failpoint.Hit("marked")
 	return err
 }
 
 // step applies a fact to a synchronous call, in memory until it has to be on record, there from then on.
-func (d *Desk) step(l *life, f ticket.Fact, result []byte) error {
+func (d *Executor) step(l *life, f invocation.Input, result []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := d.clock.Now()
@@ -193,12 +193,12 @@
 	}
 	t := new(*l.ticket)
 	t.Body = l.ticket.Body
-	_, e, err := ticket.Step(t, f, now)
+	_, e, err := invocation.Step(t, f, now)
 	if err != nil {
 		return err
 	}
 	// One that has ended unmarked and has no key cannot be asked for by anybody: nothing of it was ever told.
-	if e&ticket.Store != 0 && (t.State != ticket.Ended || t.Key != "") {
+	if e&invocation.EffectPersist != 0 && (t.State != invocation.StateCompleted || t.IdempotencyKey != "") {
 		found, err := d.store.Create(t, result, now)
 		if err != nil {
 			return err
@@ -216,18 +216,18 @@
 // keep has the result seen together with the end that it belongs to, with l locked: who asks between the two would be
 // told of an empty one.
 func (l *life) keep(result []byte) {
-	if l.ticket.End == ticket.Served {
+	if l.ticket.Outcome == invocation.OutcomeServed {
 		l.result = result
 	}
 }
 
 // end gives a synchronous call its final answer. As for settle: nothing is told that could not be stored.
-func (d *Desk) end(l *life, a call.Answer) {
+func (d *Executor) end(l *life, a call.Answer) {
 	f := fact(a)
 	for {
 		failpoint.Hit("before-end")
 		err := d.step(l, f, a.Body)
-		if err == nil || !errors.Is(err, ticket.ErrStore) {
+		if err == nil || !errors.Is(err, invocation.ErrStorage) {
 			failpoint.Hit("after-end")
 			d.close(l)
 			return
@@ -253,7 +253,7 @@
 }
 
 // close tells a synchronous call's end, once.
-func (d *Desk) close(l *life) {
+func (d *Executor) close(l *life) {
 	d.mu.Lock()
 	_, open := d.lives[l.id]
 	delete(d.lives, l.id)
@@ -266,9 +266,9 @@
 }
 
 // leave ends a synchronous call for its owner.
-func (d *Desk) leave(l *life) (View, error) {
-	err := d.step(l, ticket.Fact{Event: ticket.GiveUp}, nil)
-	if err != nil && !errors.Is(err, ticket.ErrEnded) {
+func (d *Executor) leave(l *life) (View, error) {
+	err := d.step(l, invocation.Input{Event: invocation.EventCancel}, nil)
+	if err != nil && !errors.Is(err, invocation.ErrCompleted) {
 		return View{}, err
 	}
 	if err == nil {
@@ -277,7 +277,7 @@
 		h := l.handle
 		l.mu.Unlock()
 		if h != nil {
-			h.GiveUp()
+			h.Cancel()
 		}
 		d.close(l)
 	}
--- a/internal/ticket/store/dead.go
+++ b/internal/invocation/store/deadletter.go
@@ -5,40 +5,40 @@
 	"time"
 
 	"kitefall/internal/durable"
-	"kitefall/internal/ticket"
+	"kitefall/internal/invocation"
 )
 
 // Filter says which tickets List shows. Zero values mean all.
 type Filter struct {
-	Tenant string
-	Dead   bool // dead letters alone, the latest last
-	Open   bool // open ones alone
-	Most   int
+	Tenant      string `json:"Tenant"`
+	DeadLetters bool   `json:"Dead"` // dead letters only, oldest first
+	Incomplete  bool   `json:"Open"` // invocations without a final answer only
+	Limit       int    `json:"Most"` // maximum number of results; 0: no limit
 }
 
 // List shows tickets for the operators.
-func (s *Store) List(f Filter) (found []*ticket.Ticket, err error) {
+func (s *Store) List(f Filter) (found []*invocation.Invocation, err error) {
 	bucket := tickets
 	switch {
-	case f.Dead:
+	case f.DeadLetters:
 		bucket = dead
-	case f.Open:
+	case f.Incomplete:
 		bucket = open
 	}
 	err = s.db.View(func(tx *durable.Tx) (err error) {
 		tx.Scan(bucket, nil, func(k, _ []byte) bool {
 			id := string(k)
 			switch {
-			case f.Dead:
+			case f.DeadLetters:
 				id = string(k[8:])
-			case f.Open:
+			case f.Incomplete:
 				id = afterZero(k)
 			}
-			var t *ticket.Ticket
+			var t *invocation.Invocation
 			if t, err = load(tx, id); err == nil && (f.Tenant == "" || t.Tenant == f.Tenant) {
 				found = append(found, t)
 			}
-			return err == nil && (f.Most == 0 || len(found) < f.Most)
+			return err == nil && (f.Limit == 0 || len(found) < f.Limit)
 		})
 		return err
 	})
@@ -57,20 +57,20 @@
 // Redrive has a dead letter go again, as a new ticket with the same order and as long a life. For one that may have
 // run and must not run twice, the operator has to be sure, and to say why. The letter's own answer stays; its
 // Idempotency-Key goes over to the new ticket, so that a late repeat of its owner meets it.
-func (s *Store) Redrive(id, heirID string, sure bool, reason string, now time.Time) (heir *ticket.Ticket, err error) {
+func (s *Store) Redrive(id, heirID string, sure bool, reason string, now time.Time) (heir *invocation.Invocation, err error) {
 	err = s.do(func(tx *durable.Tx) error {
-		old, _, err := s.apply(tx, id, ticket.Fact{Event: ticket.Redrive, Sure: sure, Note: reason, Heir: heirID}, nil, now)
+		old, _, err := s.apply(tx, id, invocation.Input{Event: invocation.EventRedrive, Confirmed: sure, Note: reason, Successor: heirID}, nil, now)
 		if err != nil {
 			return err
 		}
-		if old.Key != "" && string(tx.Get(keys, keyOf(&old.Order))) != id {
-			return ticket.ErrAskedFor // two of them would run
+		if old.IdempotencyKey != "" && string(tx.Get(keys, keyOf(&old.Request))) != id {
+			return invocation.ErrSuperseded // two of them would run
 		}
-		o := old.Order
-		o.NotBefore, o.Expires = time.Time{}, now.Add(old.Expires.Sub(old.Created))
+		o := old.Request
+		o.NotBefore, o.Expires = time.Time{}, now.Add(old.Expires.Sub(old.CreatedAt))
 		o.Body = tx.Get(bodies, []byte(id))
-		heir = ticket.New(heirID, o, now)
-		heir.Origin = id
+		heir = invocation.New(heirID, o, now)
+		heir.RedriveOf = id
 		return s.add(tx, heir, nil)
 	})
 	return heir, storage(err)
@@ -79,7 +79,7 @@
 // Purge forgets dead letters that ended before a time: those named, or all of them. It returns how many.
 func (s *Store) Purge(ids []string, before, now time.Time) (n int, err error) {
 	if len(ids) == 0 {
-		letters, err := s.List(Filter{Dead: true})
+		letters, err := s.List(Filter{DeadLetters: true})
 		if err != nil {
 			return 0, err
 		}
@@ -91,13 +91,13 @@
 		purged := false
 		err := s.do(func(tx *durable.Tx) error {
 			t, err := load(tx, id)
-			if err != nil || !t.Dead || !t.Ended.Before(before) {
-				if err == nil && !t.Dead {
-					err = ticket.ErrNotDead
+			if err != nil || !t.DeadLetter || !t.CompletedAt.Before(before) {
+				if err == nil && !t.DeadLetter {
+					err = invocation.ErrNotDeadLetter
 				}
 				return err
 			}
-			_, _, err = s.apply(tx, id, ticket.Fact{Event: ticket.Forget, Note: "purged"}, nil, now)
+			_, _, err = s.apply(tx, id, invocation.Input{Event: invocation.EventDelete, Note: "purged"}, nil, now)
 			purged = err == nil
 			return err
 		})
@@ -130,20 +130,20 @@
 		tx.Scan(tickets, nil, func(k, v []byte) bool {
 			t, err := decode(v)
 			if err != nil || t.ID != string(k) {
-				bad = errors.Join(bad, &Inconsistent{string(k), "it cannot be read"})
+				bad = errors.Join(bad, &InconsistencyError{string(k), "it cannot be read"})
 				return true
 			}
 			n++
 			isOpen := tx.Get(open, openKey(t)) != nil
-			isDead := tx.Get(dead, timeKey(t.Ended, t.ID)) != nil
-			if isOpen != (t.State != ticket.Ended) || isDead != t.Dead {
-				bad = errors.Join(bad, &Inconsistent{t.ID, "an index and the ticket differ"})
+			isDead := tx.Get(dead, timeKey(t.CompletedAt, t.ID)) != nil
+			if isOpen != (t.State != invocation.StateCompleted) || isDead != t.DeadLetter {
+				bad = errors.Join(bad, &InconsistencyError{t.ID, "an index and the ticket differ"})
 			}
 			return true
 		})
 		tx.Scan(open, nil, func(k, _ []byte) bool {
 			if _, err := load(tx, afterZero(k)); err != nil {
-				bad = errors.Join(bad, &Inconsistent{afterZero(k), "it is open and not there"})
+				bad = errors.Join(bad, &InconsistencyError{afterZero(k), "it is open and not there"})
 			}
 			return true
 		})
@@ -153,9 +153,9 @@
 }
 
 // Inconsistent is what Verify finds.
-type Inconsistent struct{ ID, What string }
+type InconsistencyError struct{ ID, Problem string }
 
-func (i *Inconsistent) Error() string { return "ticket " + i.ID + ": " + i.What }
+func (i *InconsistencyError) Error() string { return "ticket " + i.ID + ": " + i.Problem }
 
 // Restore puts a snapshot in the place of a store that is not there.
 func Restore(snapshot, path string) error { return storage(durable.Restore(snapshot, path, format)) }
--- a/internal/ticket/store/migrate.go
+++ b/internal/invocation/store/migrate.go
@@ -12,7 +12,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"kitefall/internal/durable"
-	"kitefall/internal/ticket"
+	"kitefall/internal/invocation"
 )
 
 // first is a ticket as the first format has it: JSON in a bucket of bbolt.
@@ -29,8 +29,8 @@
 	RetryAt               time.Time
 }
 
-var firstEnds = map[string]ticket.End{"": ticket.Open, "served": ticket.Served, "refused": ticket.Refused,
-	"failed": ticket.Failed, "late": ticket.Late, "given up": ticket.GivenUp}
+var firstEnds = map[string]invocation.Outcome{"": invocation.OutcomeNone, "served": invocation.OutcomeServed, "refused": invocation.OutcomeRejected,
+	"failed": invocation.OutcomeFailed, "late": invocation.OutcomeDeadlineExceeded, "given up": invocation.OutcomeCancelled}
 
 // migrate makes a store of the present format of one of the first. The old file stays beside it, as PATH.v1. Being
 // ended in the middle does no harm: the new file gets its name only when it is whole.
@@ -78,7 +78,7 @@
 	}()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Until(lockBy), ReadOnly: true})
 	if errors.Is(err, bolt.ErrTimeout) {
-		return false, fmt.Errorf("%w: %s", durable.ErrHeld, path)
+		return false, fmt.Errorf("%w: %s", durable.ErrLocked, path)
 	} else if err != nil {
 		return false, nil
 	}
@@ -100,12 +100,12 @@
 		return 0, err
 	}
 	defer from.Close()
-	db, err := durable.Open(tmp, format, buckets, durable.Options{LockBy: lockBy, Volatile: []string{"offered"}})
+	db, err := durable.Open(tmp, format, buckets, durable.Options{LockDeadline: lockBy, MemoryBuckets: []string{"offered"}})
 	if err != nil {
 		return 0, err
 	}
 	defer db.Close()
-	s := &Store{db: db, recent: map[string]*ticket.Ticket{}, options: Options{MostTickets: 1 << 62, Retention: firstRetention}}
+	s := &Store{db: db, recent: map[string]*invocation.Invocation{}, options: Options{MaxInvocations: 1 << 62, Retention: firstRetention}}
 	err = from.View(func(tx *bolt.Tx) error {
 		var bad error
 		for b := range tx.Check() {
@@ -142,23 +142,23 @@
 	if !ok {
 		return fmt.Errorf("%w: ticket %s ended as %q", durable.ErrDamaged, f.ID, f.End)
 	}
-	t := &ticket.Ticket{ID: f.ID, Created: f.Created, State: ticket.Waiting, Due: f.Created, End: end, Ended: f.Ended,
+	t := &invocation.Invocation{ID: f.ID, CreatedAt: f.Created, State: invocation.StateWaiting, NextRunAt: f.Created, Outcome: end, CompletedAt: f.Ended,
 		MayHaveRun: f.MayHaveRun, RetryAt: f.RetryAt, Bytes: int64(len(f.Body) + len(f.Result)),
-		Order: ticket.Order{Tenant: f.Tenant, Key: f.Key, Fingerprint: f.Fingerprint, Function: f.Name, Body: f.Body,
-			Deferred: true, Urgency: ticket.DefaultUrgency, Expires: f.Deadline, Patience: f.Deadline.Sub(f.Created)}}
+		Request: invocation.Request{Tenant: f.Tenant, IdempotencyKey: f.Key, Fingerprint: f.Fingerprint, Function: f.Name, Body: f.Body,
+			Deferred: true, Urgency: invocation.DefaultUrgency, Expires: f.Deadline, RunTimeout: f.Deadline.Sub(f.Created)}}
 	switch {
-	case end != ticket.Open:
-		t.State = ticket.Ended
+	case end != invocation.OutcomeNone:
+		t.State = invocation.StateCompleted
 	case f.MayRun: // its class is not on record there: what may have run does not run again
-		t.State, t.Runs = ticket.Running, 1
+		t.State, t.Runs = invocation.StateRunning, 1
 	}
 	return s.do(func(tx *durable.Tx) error {
-		key := t.Key
+		key := t.IdempotencyKey
 		if !ownsKey {
-			t.Key = "" // a later ticket has it
+			t.IdempotencyKey = "" // a later ticket has it
 		}
 		err := s.add(tx, t, f.Result)
-		t.Key = key
+		t.IdempotencyKey = key
 		return err
 	})
 }
--- a/internal/ticket/store/store_test.go
+++ b/internal/invocation/store/store_test.go
@@ -15,15 +15,15 @@
 	bolt "go.etcd.io/bbolt"
 
 	"kitefall/internal/durable"
-	"kitefall/internal/ticket"
+	"kitefall/internal/invocation"
 )
 
 var noon = time.Date(2026, 3, 2, 12, 0, 0, 0, time.UTC)
 
 func fresh(t testing.TB, o Options) (*Store, string) {
 	path := filepath.Join(t.TempDir(), "tickets.db")
-	if o.MostTickets == 0 {
-		o.MostTickets = 1 << 30
+	if o.MaxInvocations == 0 {
+		o.MaxInvocations = 1 << 30
 	}
 	if o.Retention == 0 {
 		o.Retention = time.Hour
@@ -34,20 +34,20 @@
 	return s, path
 }
 
-func order(key string) ticket.Order {
-	return ticket.Order{Tenant: "a", Key: key, Fingerprint: []byte{1}, Function: "book", Class: "reserva", Deferred: true,
+func order(key string) invocation.Request {
+	return invocation.Request{Tenant: "a", IdempotencyKey: key, Fingerprint: []byte{1}, Function: "book", Class: "reserva", Deferred: true,
 		Expires: noon.Add(time.Hour), Body: []byte("slot")}
 }
 
-func create(t testing.TB, s *Store, id string, o ticket.Order) *ticket.Ticket {
-	k := ticket.New(id, o, noon)
+func create(t testing.TB, s *Store, id string, o invocation.Request) *invocation.Invocation {
+	k := invocation.New(id, o, noon)
 	found, err := s.Create(k, nil, noon)
 	require.NoError(t, err)
 	require.Nil(t, found)
 	return k
 }
 
-func apply(t testing.TB, s *Store, id string, facts ...ticket.Fact) (k *ticket.Ticket) {
+func apply(t testing.TB, s *Store, id string, facts ...invocation.Input) (k *invocation.Invocation) {
 	for _, f := range facts {
 		var err error
 		k, _, err = s.Apply(id, f, nil, noon.Add(time.Second))
@@ -57,33 +57,33 @@
 }
 
 var (
-	mark  = ticket.Fact{Event: ticket.Mark}
-	broke = ticket.Fact{Event: ticket.Broke}
-	away  = ticket.Fact{Event: ticket.Turned, Advice: 2 * time.Second}
+	mark  = invocation.Input{Event: invocation.EventStart}
+	broke = invocation.Input{Event: invocation.EventFailed}
+	away  = invocation.Input{Event: invocation.EventRejected, RetryAfter: 2 * time.Second}
 )
 
 // A refusal invites another try, which a device makes under the same key; until then it hears the refusal again.
 func TestKeyIsFreeAgainOnceARefusalsTimeHasCome(t *testing.T) {
-	s, _ := fresh(t, Options{MostTickets: 2})
+	s, _ := fresh(t, Options{MaxInvocations: 2})
 	o := order("k")
 	create(t, s, "t1", o)
 	apply(t, s, "t1", offer, away)
-	_, _, err := s.Apply("t1", ticket.Fact{Event: ticket.Answered}, nil, noon)
-	assert.ErrorIs(t, err, ticket.ErrEnded, "the first final answer wins")
+	_, _, err := s.Apply("t1", invocation.Input{Event: invocation.EventServed}, nil, noon)
+	assert.ErrorIs(t, err, invocation.ErrCompleted, "the first final answer wins")
 	_, _, err = s.Apply("t1", mark, nil, noon)
-	assert.ErrorIs(t, err, ticket.ErrEnded, "what has ended does not run")
-	found, err := s.Create(ticket.New("t2", o, noon), nil, noon.Add(time.Second))
+	assert.ErrorIs(t, err, invocation.ErrCompleted, "what has ended does not run")
+	found, err := s.Create(invocation.New("t2", o, noon), nil, noon.Add(time.Second))
 	require.NoError(t, err)
 	assert.Equal(t, "t1", found.ID)
 	other := o
 	other.Fingerprint = []byte{2}
-	_, err = s.Find(&other, noon)
-	assert.ErrorIs(t, err, ticket.ErrMismatch)
-	found, err = s.Create(ticket.New("t2", o, noon), nil, noon.Add(4*time.Second))
+	_, err = s.FindByKey(&other, noon)
+	assert.ErrorIs(t, err, invocation.ErrKeyReused)
+	found, err = s.Create(invocation.New("t2", o, noon), nil, noon.Add(4*time.Second))
 	require.NoError(t, err)
 	assert.Nil(t, found)
-	_, err = s.Create(ticket.New("t3", order(""), noon), nil, noon)
-	assert.ErrorIs(t, err, ticket.ErrFull)
+	_, err = s.Create(invocation.New("t3", order(""), noon), nil, noon)
+	assert.ErrorIs(t, err, invocation.ErrStoreFull)
 }
 
 // What a start finds after the process ended in each state.
@@ -94,14 +94,14 @@
 	}
 	apply(t, s, "offered", offer)
 	apply(t, s, "running", offer, mark)
-	apply(t, s, "ended", ticket.Fact{Event: ticket.GiveUp})
+	apply(t, s, "ended", invocation.Input{Event: invocation.EventCancel})
 	require.NoError(t, s.Close())
 	s, err := Open(path, Options{Retention: time.Hour})
 	require.NoError(t, err)
 	defer s.Close()
-	found := map[string]ticket.State{}
-	require.NoError(t, s.Open(func(k *ticket.Ticket) error { found[k.ID] = k.State; return nil }))
-	assert.Equal(t, map[string]ticket.State{"waiting": ticket.Waiting, "offered": ticket.Waiting, "running": ticket.Running}, found)
+	found := map[string]invocation.State{}
+	require.NoError(t, s.ForEachIncomplete(func(k *invocation.Invocation) error { found[k.ID] = k.State; return nil }))
+	assert.Equal(t, map[string]invocation.State{"waiting": invocation.StateWaiting, "offered": invocation.StateWaiting, "running": invocation.StateRunning}, found)
 	body, err := s.Body("running")
 	require.NoError(t, err)
 	assert.Equal(t, "slot", string(body))
@@ -114,20 +114,20 @@
 }
 
 func TestQuotasBoundOneTenantAndNotTheOthers(t *testing.T) {
-	s, _ := fresh(t, Options{TenantTickets: 3, TenantBytes: 10})
+	s, _ := fresh(t, Options{MaxPerTenant: 3, MaxBytesPerTenant: 10})
 	create(t, s, "t1", order(""))
 	create(t, s, "t2", order(""))
-	_, err := s.Create(ticket.New("t3", order(""), noon), nil, noon)
-	assert.ErrorIs(t, err, ticket.ErrQuota, "12 bytes")
+	_, err := s.Create(invocation.New("t3", order(""), noon), nil, noon)
+	assert.ErrorIs(t, err, invocation.ErrQuotaExceeded, "12 bytes")
 	o := order("")
 	o.Body = nil
 	create(t, s, "t3", o)
-	_, err = s.Create(ticket.New("t4", o, noon), nil, noon)
-	assert.ErrorIs(t, err, ticket.ErrQuota, "4 tickets")
+	_, err = s.Create(invocation.New("t4", o, noon), nil, noon)
+	assert.ErrorIs(t, err, invocation.ErrQuotaExceeded, "4 tickets")
 	o.Tenant = "b"
 	create(t, s, "t4", o)
-	apply(t, s, "t1", ticket.Fact{Event: ticket.GiveUp})
-	require.NoError(t, s.Sweep(noon.Add(2*time.Hour)))
+	apply(t, s, "t1", invocation.Input{Event: invocation.EventCancel})
+	require.NoError(t, s.DeleteExpired(noon.Add(2*time.Hour)))
 	create(t, s, "t5", order(""))
 }
 
@@ -137,30 +137,30 @@
 	for i := range 600 {
 		id := fmt.Sprintf("t%03d", i)
 		create(t, s, id, order(id))
-		apply(t, s, id, ticket.Fact{Event: ticket.GiveUp})
+		apply(t, s, id, invocation.Input{Event: invocation.EventCancel})
 	}
 	create(t, s, "open", order(""))
 	create(t, s, "dead", order("d"))
 	apply(t, s, "dead", offer, mark, broke)
-	after := func(d time.Duration) { require.NoError(t, s.Sweep(noon.Add(d))) }
+	after := func(d time.Duration) { require.NoError(t, s.DeleteExpired(noon.Add(d))) }
 	after(time.Hour)
 	k, err := s.Get("t007")
 	require.NoError(t, err)
-	assert.Equal(t, ticket.GivenUp, k.End)
+	assert.Equal(t, invocation.OutcomeCancelled, k.Outcome)
 	after(2 * time.Hour)
 	k, err = s.Get("t007")
-	assert.ErrorIs(t, err, ticket.ErrExpired)
+	assert.ErrorIs(t, err, invocation.ErrExpired)
 	assert.Equal(t, "a", k.Tenant)
-	found, err := s.Find(new(order("t007")), noon)
+	found, err := s.FindByKey(new(order("t007")), noon)
 	require.NoError(t, err)
 	assert.Nil(t, found, "its key is free")
 	_, err = s.Get("dead")
 	require.NoError(t, err)
 	after(4 * time.Hour)
 	_, err = s.Get("t007")
-	assert.ErrorIs(t, err, ticket.ErrUnknown)
+	assert.ErrorIs(t, err, invocation.ErrNotFound)
 	_, err = s.Get("dead")
-	assert.ErrorIs(t, err, ticket.ErrExpired)
+	assert.ErrorIs(t, err, invocation.ErrExpired)
 	_, err = s.Get("open")
 	assert.NoError(t, err)
 	u, err := s.Usage("")
@@ -175,47 +175,47 @@
 	}
 	apply(t, s, "ran", offer, mark, broke)
 	apply(t, s, "asked", offer, away)
-	apply(t, s, "given", ticket.Fact{Event: ticket.GiveUp})
-	_, _, err := s.Apply("late", ticket.Fact{Event: ticket.Expire}, nil, noon.Add(2*time.Hour))
+	apply(t, s, "given", invocation.Input{Event: invocation.EventCancel})
+	_, _, err := s.Apply("late", invocation.Input{Event: invocation.EventExpire}, nil, noon.Add(2*time.Hour))
 	require.NoError(t, err)
-	letters, err := s.List(Filter{Dead: true, Tenant: "a"})
+	letters, err := s.List(Filter{DeadLetters: true, Tenant: "a"})
 	require.NoError(t, err)
 	assert.Len(t, letters, 3)
 	now := noon.Add(3 * time.Hour)
 	_, err = s.Redrive("ran", "n1", false, "we think it is fine", now)
-	assert.ErrorIs(t, err, ticket.ErrUnsure)
+	assert.ErrorIs(t, err, invocation.ErrNotConfirmed)
 	_, err = s.Redrive("ran", "n1", true, "", now)
-	assert.ErrorIs(t, err, ticket.ErrUnsure, "sure, but without a reason")
+	assert.ErrorIs(t, err, invocation.ErrNotConfirmed, "sure, but without a reason")
 	_, err = s.Redrive("given", "n1", true, "why not", now)
-	assert.ErrorIs(t, err, ticket.ErrNotDead)
+	assert.ErrorIs(t, err, invocation.ErrNotDeadLetter)
 	heir, err := s.Redrive("ran", "n1", true, "the book of the day has no such slot", now)
 	require.NoError(t, err)
-	assert.Equal(t, []any{"ran", ticket.Waiting, now.Add(time.Hour), "slot"}, []any{heir.Origin, heir.State, heir.Expires, string(heir.Body)})
+	assert.Equal(t, []any{"ran", invocation.StateWaiting, now.Add(time.Hour), "slot"}, []any{heir.RedriveOf, heir.State, heir.Expires, string(heir.Body)})
 	old, err := s.Get("ran")
 	require.NoError(t, err)
-	assert.Equal(t, []any{ticket.Failed, "n1"}, []any{old.End, old.Heir}, "its own answer stays")
-	found, err := s.Find(new(order("key of ran")), now)
+	assert.Equal(t, []any{invocation.OutcomeFailed, "n1"}, []any{old.Outcome, old.RedrivenAs}, "its own answer stays")
+	found, err := s.FindByKey(new(order("key of ran")), now)
 	require.NoError(t, err)
 	assert.Equal(t, "n1", found.ID, "its owner's late repeat meets the new one")
 	_, err = s.Redrive("ran", "n2", true, "once more", now)
-	assert.ErrorIs(t, err, ticket.ErrNotDead)
+	assert.ErrorIs(t, err, invocation.ErrNotDeadLetter)
 	// The owner of a refused one has asked again by himself: two of them must not run.
-	_, err = s.Create(ticket.New("n3", order("key of asked"), now), nil, now)
+	_, err = s.Create(invocation.New("n3", order("key of asked"), now), nil, now)
 	require.NoError(t, err)
 	_, err = s.Redrive("asked", "n4", false, "", now)
-	assert.ErrorIs(t, err, ticket.ErrAskedFor)
+	assert.ErrorIs(t, err, invocation.ErrSuperseded)
 	old, err = s.Get("asked")
 	require.NoError(t, err)
-	assert.Empty(t, old.Heir, "nothing of the attempt stays")
+	assert.Empty(t, old.RedrivenAs, "nothing of the attempt stays")
 	n, err := s.Purge([]string{"late"}, now, now)
 	require.NoError(t, err)
 	assert.Equal(t, 1, n)
 	_, err = s.Purge([]string{"n1"}, now, now)
-	assert.ErrorIs(t, err, ticket.ErrNotDead)
+	assert.ErrorIs(t, err, invocation.ErrNotDeadLetter)
 	n, err = s.Purge(nil, now, now)
 	require.NoError(t, err)
 	assert.Equal(t, 2, n)
-	require.NoError(t, s.Sweep(now.Add(48*time.Hour)))
+	require.NoError(t, s.DeleteExpired(now.Add(48*time.Hour)))
 	_, err = s.Verify()
 	assert.NoError(t, err)
 }
@@ -249,17 +249,17 @@
 	for range 2 { // the second start finds nothing to do
 		s, err := Open(path, Options{Retention: time.Hour})
 		require.NoError(t, err)
-		found := map[string]ticket.State{}
-		require.NoError(t, s.Open(func(k *ticket.Ticket) error { found[k.ID] = k.State; return nil }))
-		assert.Equal(t, map[string]ticket.State{"open": ticket.Waiting, "ran": ticket.Running}, found)
-		done, err := s.Find(&ticket.Order{Tenant: "a", Key: "done"}, noon)
+		found := map[string]invocation.State{}
+		require.NoError(t, s.ForEachIncomplete(func(k *invocation.Invocation) error { found[k.ID] = k.State; return nil }))
+		assert.Equal(t, map[string]invocation.State{"open": invocation.StateWaiting, "ran": invocation.StateRunning}, found)
+		done, err := s.FindByKey(&invocation.Request{Tenant: "a", IdempotencyKey: "done"}, noon)
 		require.NoError(t, err)
-		assert.Equal(t, ticket.Served, done.End)
+		assert.Equal(t, invocation.OutcomeServed, done.Outcome)
 		result, err := s.Result("done")
 		require.NoError(t, err)
 		assert.Equal(t, "ok", string(result))
 		_, err = s.Get("old")
-		assert.ErrorIs(t, err, ticket.ErrExpired)
+		assert.ErrorIs(t, err, invocation.ErrExpired)
 		_, err = s.Verify()
 		assert.NoError(t, err)
 		require.NoError(t, s.Close())
@@ -274,19 +274,19 @@
 	defer s.Close()
 	u, err := s.Usage("a")
 	require.NoError(t, err)
-	assert.Equal(t, int64(3), u.Tickets)
+	assert.Equal(t, int64(3), u.Invocations)
 }
 
 // The latest time known does not go back over a restart, although the machine's clock does.
 func TestTimeDoesNotGoBack(t *testing.T) {
 	s, path := fresh(t, Options{})
-	_, err := s.Seen(noon)
+	_, err := s.AdvanceClock(noon)
 	require.NoError(t, err)
 	require.NoError(t, s.Close())
 	s, err = Open(path, Options{})
 	require.NoError(t, err)
 	defer s.Close()
-	latest, err := s.Seen(noon.Add(-time.Hour))
+	latest, err := s.AdvanceClock(noon.Add(-time.Hour))
 	require.NoError(t, err)
 	assert.True(t, latest.Equal(noon), latest)
 }
@@ -306,7 +306,7 @@
 			for i := range lives {
 				id := fmt.Sprintf("%026d", i*7919%1000003)
 				create(b, s, id, order(id))
-				apply(b, s, id, offer, mark, ticket.Fact{Event: ticket.Answered})
+				apply(b, s, id, offer, mark, invocation.Input{Event: invocation.EventServed})
 			}
 		})
 	}
@@ -329,13 +329,13 @@
 	for i := range b.N {
 		o := order(fmt.Sprint("k", i))
 		o.Deferred = false
-		t := ticket.New(fmt.Sprintf("%026d", i), o, noon)
+		t := invocation.New(fmt.Sprintf("%026d", i), o, noon)
 		begin := time.Now()
-		_, _, err := ticket.Step(t, mark, noon)
+		_, _, err := invocation.Step(t, mark, noon)
 		require.NoError(b, err)
 		_, err = s.Create(t, nil, noon)
 		require.NoError(b, err)
-		_, _, err = s.Apply(t.ID, ticket.Fact{Event: ticket.Answered}, []byte("booked"), noon)
+		_, _, err = s.Apply(t.ID, invocation.Input{Event: invocation.EventServed}, []byte("booked"), noon)
 		require.NoError(b, err)
 		mine += time.Since(begin)
 		begin = time.Now()
--- a/internal/life/life.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
 // Package life names the phases of the program, from start to exit, as states of one object.
-package life
+package lifecycle
 
 import (
 	"log/slog"
@@ -24,26 +24,26 @@
 }
 
 // Up tells that the program takes calls and has not been told to end.
-func (p Phase) Up() bool { return p == Serving || p == Reloading }
+func (p Phase) Ready() bool { return p == Serving || p == Reloading }
 
 // Life is the program's present phase.
-type Life struct {
+type Lifecycle struct {
 	mu    sync.Mutex
 	phase Phase
 }
 
 // New returns a life that is starting.
-func New() *Life { return &Life{} }
+func New() *Lifecycle { return &Lifecycle{} }
 
 // Phase returns the present phase.
-func (l *Life) Phase() Phase {
+func (l *Lifecycle) Phase() Phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
 // Enter moves on to a later phase, or from Reloading back to Serving, and tells whether it did.
-func (l *Life) Enter(p Phase) bool {
+func (l *Lifecycle) Enter(p Phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	back := l.phase == Reloading && p == Serving
--- a/internal/quiet/quiet_test.go
+++ b/internal/logthrottle/logthrottle_test.go
@@ -1,4 +1,4 @@
-package quiet_test
+package logthrottle_test
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"kitefall/internal/quiet"
+	"kitefall/internal/logthrottle"
 )
 
 // A flood of one kind of line must not fill the log.
@@ -17,7 +17,7 @@
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&out, nil)))
 	defer slog.SetDefault(before)
-	l := quiet.NewLine()
+	l := logthrottle.New()
 	for range 10_000 {
 		l.Log(slog.LevelWarn, "closed", "addr", "a")
 	}
--- a/internal/steady/steady.go
+++ b/internal/monotonic/monotonic.go
@@ -1,7 +1,7 @@
 // Package steady tells a time that does not jump. Tickets live for hours and over restarts, so their times are those
 // of the calendar; but the machine's clock may be set forward or back at any moment, and must neither end thousands
 // of tickets at once nor wake them an hour late.
-package steady
+package monotonic
 
 import "time"
 
--- a/internal/steady/steady_test.go
+++ b/internal/monotonic/monotonic_test.go
@@ -1,4 +1,4 @@
-package steady
+package monotonic
 
 import (
 	"testing"
--- a/internal/schedule/gather_test.go
+++ b/internal/schedule/gather_test.go
@@ -62,7 +62,7 @@
 }
 
 // arrivals draws deferred calls over 200 functions by Zipf's law, at a rate, for five minutes.
-func arrivals(seed uint64, rate float64) (items []Item) {
+func arrivals(seed uint64, rate float64) (items []Job) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	weights, sum := make([]float64, 200), 0.0
 	for i := range weights {
@@ -75,7 +75,7 @@
 			x -= weights[f]
 		}
 		now := noon.Add(time.Duration(at * float64(time.Second)))
-		items = append(items, Item{ID: fmt.Sprint(len(items)), Tenant: "big", Class: "consulta", Function: fmt.Sprint(f),
+		items = append(items, Job{ID: fmt.Sprint(len(items)), Tenant: "big", Class: "consulta", Function: fmt.Sprint(f),
 			Urgency: 3, NotBefore: now, Expires: now.Add(time.Hour)})
 	}
 	return items
@@ -88,7 +88,7 @@
 }
 
 // firstCome runs what came first, as many at once as the scheduler would at most.
-func firstCome(items []Item, places int) (p played) {
+func firstCome(items []Job, places int) (p played) {
 	f := &fleet{room: 24, keep: 9 * time.Second, load: 600 * time.Millisecond, copies: map[string]time.Time{}}
 	free := make([]time.Time, places)
 	for _, i := range items {
@@ -121,18 +121,18 @@
 }
 
 // gathered runs the same by the scheduler.
-func gatheredRuns(t *testing.T, items []Item, c Config) (p played) {
+func gatheredRuns(t *testing.T, items []Job, c Config) (p played) {
 	f := &fleet{room: 24, keep: 9 * time.Second, load: 600 * time.Millisecond, copies: map[string]time.Time{}}
 	s, err := New(c, 1, noon)
 	if err != nil {
 		t.Fatal(err)
 	}
-	byID, began, running := map[string]Item{}, map[string]time.Time{}, &ends{}
+	byID, began, running := map[string]Job{}, map[string]time.Time{}, &ends{}
 	now, wake := noon, time.Time{}
 	give := func(e Event) {
 		for _, a := range s.Handle(now, e) {
 			switch a := a.(type) {
-			case Run:
+			case StartRun:
 				i := byID[a.ID]
 				p.add(now.Sub(i.NotBefore))
 				began[a.ID] = now
@@ -140,7 +140,7 @@
 					at time.Time
 					id string
 				}{now.Add(f.run(i.Function, now)), a.ID})
-			case Wake:
+			case SetTimer:
 				wake = a.At
 			}
 		}
@@ -168,7 +168,7 @@
 				at time.Time
 				id string
 			})
-			give(EndedEvent{ID: e.id, Result: Served, Took: now.Sub(began[e.id])})
+			give(RunEndedEvent{ID: e.id, Result: Served, Elapsed: now.Sub(began[e.id])})
 		case 3:
 			wake = time.Time{}
 			give(TickEvent{})
@@ -185,11 +185,11 @@
 func TestGatheringSavesLoads(t *testing.T) {
 	for _, rate := range []float64{10, 30, 60} {
 		c := config()
-		c.MostRunning = 24
+		c.MaxConcurrency = 24
 		first, mine := played{}, played{}
 		for seed := range uint64(3) {
 			items := arrivals(seed, rate)
-			a, b := firstCome(items, c.MostRunning), gatheredRuns(t, items, c)
+			a, b := firstCome(items, c.MaxConcurrency), gatheredRuns(t, items, c)
 			first.orders, first.runs, first.mean, first.worst = first.orders+a.orders, first.runs+a.runs, first.mean+a.mean/3, max(first.worst, a.worst)
 			mine.orders, mine.runs, mine.mean, mine.worst = mine.orders+b.orders, mine.runs+b.runs, mine.mean+b.mean/3, max(mine.worst, b.worst)
 		}
--- a/internal/schedule/limit.go
+++ b/internal/schedule/limit.go
@@ -12,39 +12,39 @@
 	Tenants map[string]float64 // weights; a tenant that is not named has 1
 	Classes map[string]float64 // worth
 
-	LeastRuns       int // runs in hand that are always allowed, unless nothing is served at all
-	MostRunning     int // runs in hand at most
-	MostPerFunction int // of them for one function
-
-	Starve     time.Duration // a ticket ready for longer goes before others of its tenant; where it needs a load, with the next one
-	Gather     time.Duration // how long a run may wait for others of its function before a load is caused
-	GatherRuns int           // ... unless so many wait already
-	Warm       time.Duration // copies of a function are expected to stand this long after a run of it
-	OpenFloor  float64       // functions that are not warm, begun in 10 s ...
-	OpenShare  float64       // ... and for each run begun
-
-	MostRuns    int           // of one ticket
-	Backoff     time.Duration // bound on the pause after the first run, doubled for each further one
-	MostBackoff time.Duration
-	RetryShare  float64 // runs after the first, for each first one ...
-	RetryFloor  float64 // ... and each second
-	RetryBurst  float64 // and saved up at most
-
-	Slow      float64       // a run is slow when it takes this multiple of what the function's runs take at the least
-	DarkAfter int           // so many runs in a row without a served one, and ...
-	DarkFor   time.Duration // ... nothing served for so long: the fleet is dark
-	Probe     time.Duration // then one run at a time, so long apart
-	Yield     time.Duration // after a foreground call was turned away, no more room is taken for this long
+	MinConcurrency int // runs in hand that are always allowed, unless nothing is served at all
+	MaxConcurrency int // runs in hand at most
+	MaxPerFunction int // of them for one function
+
+	StarvationLimit time.Duration // a ticket ready for longer goes before others of its tenant; where it needs a load, with the next one
+	BatchWait       time.Duration // how long a run may wait for others of its function before a load is caused
+	BatchSize       int           // ... unless so many wait already
+	WarmTTL         time.Duration // copies of a function are expected to stand this long after a run of it
+	ColdStartBurst  float64       // functions that are not warm, begun in 10 s ...
+	ColdStartRatio  float64       // ... and for each run begun
+
+	MaxRuns    int           // of one ticket
+	Backoff    time.Duration // bound on the pause after the first run, doubled for each further one
+	MaxBackoff time.Duration
+	RetryRatio float64 // runs after the first, for each first one ...
+	RetryRate  float64 // ... and each second
+	RetryBurst float64 // and saved up at most
+
+	SlowFactor        float64       // a run is slow when it takes this multiple of what the function's runs take at the least
+	StallFailures     int           // so many runs in a row without a served one, and ...
+	StallTime         time.Duration // ... nothing served for so long: the fleet is dark
+	ProbeInterval     time.Duration // then one run at a time, so long apart
+	ForegroundBackoff time.Duration // after a foreground call was turned away, no more room is taken for this long
 }
 
 const openSpan = 10 * time.Second
 
 // Default is a usual configuration.
 func Default() Config {
-	return Config{LeastRuns: 2, MostRunning: 64, MostPerFunction: 16, Starve: 30 * time.Second, Gather: 2 * time.Second,
-		GatherRuns: 8, Warm: 6 * time.Second, OpenFloor: 4, OpenShare: 0.1, MostRuns: 20, Backoff: 500 * time.Millisecond,
-		MostBackoff: 15 * time.Second, RetryShare: 0.2, RetryFloor: 5, RetryBurst: 20, Slow: 4, DarkAfter: 8,
-		DarkFor: time.Second, Probe: 500 * time.Millisecond, Yield: 500 * time.Millisecond}
+	return Config{MinConcurrency: 2, MaxConcurrency: 64, MaxPerFunction: 16, StarvationLimit: 30 * time.Second, BatchWait: 2 * time.Second,
+		BatchSize: 8, WarmTTL: 6 * time.Second, ColdStartBurst: 4, ColdStartRatio: 0.1, MaxRuns: 20, Backoff: 500 * time.Millisecond,
+		MaxBackoff: 15 * time.Second, RetryRatio: 0.2, RetryRate: 5, RetryBurst: 20, SlowFactor: 4, StallFailures: 8,
+		StallTime: time.Second, ProbeInterval: 500 * time.Millisecond, ForegroundBackoff: 500 * time.Millisecond}
 }
 
 // Validate tells what cannot work.
@@ -55,12 +55,12 @@
 			err = errors.Join(err, errors.New(what))
 		}
 	}
-	need(c.LeastRuns >= 1 && c.MostRunning >= c.LeastRuns && c.MostPerFunction >= 1, "runs in hand: at least 1, and least below most")
-	need(c.Starve > 0 && c.Gather >= 0 && c.GatherRuns >= 1 && c.Warm > 0, "times of waiting: above 0")
-	need(c.OpenFloor > 0 && c.OpenShare >= 0, "functions begun: above 0")
-	need(c.MostRuns >= 1 && c.Backoff > 0 && c.MostBackoff >= c.Backoff, "runs of a ticket: at least 1, with a pause")
-	need(c.RetryShare >= 0 && c.RetryFloor > 0 && c.RetryBurst >= 0, "the budget for further runs: above 0")
-	need(c.Slow > 1 && c.DarkAfter >= 1 && c.DarkFor > 0 && c.Probe > 0 && c.Yield >= 0, "signs of a fleet in need: above 0")
+	need(c.MinConcurrency >= 1 && c.MaxConcurrency >= c.MinConcurrency && c.MaxPerFunction >= 1, "runs in hand: at least 1, and least below most")
+	need(c.StarvationLimit > 0 && c.BatchWait >= 0 && c.BatchSize >= 1 && c.WarmTTL > 0, "times of waiting: above 0")
+	need(c.ColdStartBurst > 0 && c.ColdStartRatio >= 0, "functions begun: above 0")
+	need(c.MaxRuns >= 1 && c.Backoff > 0 && c.MaxBackoff >= c.Backoff, "runs of a ticket: at least 1, with a pause")
+	need(c.RetryRatio >= 0 && c.RetryRate > 0 && c.RetryBurst >= 0, "the budget for further runs: above 0")
+	need(c.SlowFactor > 1 && c.StallFailures >= 1 && c.StallTime > 0 && c.ProbeInterval > 0 && c.ForegroundBackoff >= 0, "signs of a fleet in need: above 0")
 	for name, w := range c.Tenants {
 		need(w > 0 && !math.IsInf(w, 0), fmt.Sprintf("weight of tenant %s: above 0", name))
 	}
@@ -83,8 +83,8 @@
 }
 
 func newLimit(c Config, now time.Time) limit {
-	return limit{least: float64(c.LeastRuns), most: float64(c.MostRunning), now: float64(c.LeastRuns),
-		threshold: float64(c.MostRunning) / 2, lastServed: now, config: &c}
+	return limit{least: float64(c.MinConcurrency), most: float64(c.MaxConcurrency), now: float64(c.MinConcurrency),
+		threshold: float64(c.MaxConcurrency) / 2, lastServed: now, config: &c}
 }
 
 func (l *limit) allowed() int {
@@ -106,7 +106,7 @@
 
 func (l *limit) began(now time.Time) {
 	if l.dark {
-		l.probeAt = now.Add(l.config.Probe)
+		l.probeAt = now.Add(l.config.ProbeInterval)
 	}
 }
 
@@ -143,7 +143,7 @@
 func (l *limit) turned(now time.Time) {
 	l.failures++
 	l.shrink(now, 0.7)
-	if l.failures >= l.config.DarkAfter && now.Sub(l.lastServed) >= l.config.DarkFor {
+	if l.failures >= l.config.StallFailures && now.Sub(l.lastServed) >= l.config.StallTime {
 		l.dark = true
 	}
 }
@@ -151,7 +151,7 @@
 func (l *limit) foreground(now time.Time, turned bool) {
 	if turned {
 		l.shrink(now, 0.5)
-		l.yield = now.Add(l.config.Yield)
+		l.yield = now.Add(l.config.ForegroundBackoff)
 	}
 }
 
--- a/internal/schedule/pick.go
+++ b/internal/schedule/pick.go
@@ -112,7 +112,7 @@
 	n := 0
 	t.ready.Scan(func(it *item) bool {
 		n++
-		if now.Sub(it.since) < s.config.Starve || n > starvedMost {
+		if now.Sub(it.since) < s.config.StarvationLimit || n > starvedMost {
 			return false
 		}
 		f := it.queue.function
@@ -129,7 +129,7 @@
 }
 
 // hasRoom keeps one function from taking all places: its copies run only so many at a time.
-func (s *Scheduler) hasRoom(f *function) bool { return f.inFlight < s.config.MostPerFunction }
+func (s *Scheduler) hasRoom(f *function) bool { return f.inFlight < s.config.MaxPerFunction }
 
 func head(q *queue) *item {
 	it, _ := q.items.Min()
@@ -140,10 +140,10 @@
 // once that has waited for company, and in any case before its end comes near.
 func (s *Scheduler) gathered(now time.Time, f *function, first *item) time.Time {
 	s.opens.fill(now)
-	if f.ready >= s.config.GatherRuns || s.opens.tokens >= s.opens.most/2 { // loads are not scarce: why wait
+	if f.ready >= s.config.BatchSize || s.opens.tokens >= s.opens.most/2 { // loads are not scarce: why wait
 		return now
 	}
-	at := first.since.Add(s.config.Gather)
+	at := first.since.Add(s.config.BatchWait)
 	if near := first.Expires.Add(-endNear); near.Before(at) {
 		at = near
 	}
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -16,7 +16,7 @@
 )
 
 // Item is a ticket that waits for a run.
-type Item struct {
+type Job struct {
 	ID        string
 	Tenant    string
 	Class     string
@@ -32,42 +32,42 @@
 type Event interface{ event() }
 
 // AddEvent hands over a ticket, a new one or one that goes again. Its ID is not known here at that time.
-type AddEvent struct{ Item }
+type AddEvent struct{ Job }
 
 // Result is how a run ended.
 type Result int
 
 // The results.
 const (
-	Served Result = iota
-	Turned        // it never ran
-	Broke         // it may have run
+	Served   Result = iota
+	Rejected        // it never ran
+	Failed          // it may have run
 )
 
 // EndedEvent ends a run that a Run action began. The answer to one that was not served is an Again action.
-type EndedEvent struct {
-	ID     string
-	Result Result
-	Advice time.Duration // of Turned: the module's advice when to come back
-	Took   time.Duration // from the run's begin
+type RunEndedEvent struct {
+	ID         string
+	Result     Result
+	RetryAfter time.Duration // of Turned: the module's advice when to come back
+	Elapsed    time.Duration // from the run's begin
 }
 
 // VoidEvent takes back a Run action that could not be carried out: nothing was handed to the core.
-type VoidEvent struct{ ID string }
+type RunAbortedEvent struct{ ID string }
 
 // DropEvent takes a waiting ticket out, or tells that one with a run in hand is given up.
-type DropEvent struct{ ID string }
+type RemoveEvent struct{ ID string }
 
 // ForegroundEvent tells how a call ended that somebody waits for.
-type ForegroundEvent struct{ Turned bool }
+type ForegroundEvent struct{ Rejected bool }
 
 // TickEvent lets time pass.
 type TickEvent struct{}
 
 func (AddEvent) event()        {}
-func (EndedEvent) event()      {}
-func (VoidEvent) event()       {}
-func (DropEvent) event()       {}
+func (RunEndedEvent) event()   {}
+func (RunAbortedEvent) event() {}
+func (RemoveEvent) event()     {}
 func (ForegroundEvent) event() {}
 func (TickEvent) event()       {}
 
@@ -75,10 +75,10 @@
 type Action interface{ action() }
 
 // Run begins a run of a ticket.
-type Run struct{ ID string }
+type StartRun struct{ ID string }
 
 // Again answers an EndedEvent of a run that was not served: when the next run may begin; zero: there is none.
-type Again struct {
+type Retry struct {
 	ID string
 	At time.Time
 }
@@ -87,12 +87,12 @@
 type Expire struct{ ID string }
 
 // Wake asks for a TickEvent at a time. The latest one counts.
-type Wake struct{ At time.Time }
+type SetTimer struct{ At time.Time }
 
-func (Run) action()    {}
-func (Again) action()  {}
-func (Expire) action() {}
-func (Wake) action()   {}
+func (StartRun) action() {}
+func (Retry) action()    {}
+func (Expire) action()   {}
+func (SetTimer) action() {}
 
 // Scheduler holds what waits and what runs.
 type Scheduler struct {
@@ -123,7 +123,7 @@
 )
 
 type item struct {
-	Item
+	Job
 	seq   uint64
 	place place
 	since time.Time // ready since
@@ -203,8 +203,8 @@
 		expiry: tree(byExpiry), later: tree(byStart), retries: tree(byStart), tenants: map[string]*tenant{},
 		funcs: map[string]*function{}}
 	s.limit = newLimit(c, now)
-	s.retry = bucket{rate: c.RetryFloor, most: max(1, c.RetryBurst), tokens: max(1, c.RetryBurst), at: now}
-	s.opens = bucket{rate: c.OpenFloor / openSpan.Seconds(), most: max(1, c.OpenFloor), tokens: max(1, c.OpenFloor), at: now}
+	s.retry = bucket{rate: c.RetryRate, most: max(1, c.RetryBurst), tokens: max(1, c.RetryBurst), at: now}
+	s.opens = bucket{rate: c.ColdStartBurst / openSpan.Seconds(), most: max(1, c.ColdStartBurst), tokens: max(1, c.ColdStartBurst), at: now}
 	return s, nil
 }
 
@@ -218,25 +218,25 @@
 func (s *Scheduler) Limit() int { return s.limit.allowed() }
 
 // Dark tells whether nothing has been served for long.
-func (s *Scheduler) Dark() bool { return s.limit.dark }
+func (s *Scheduler) Stalled() bool { return s.limit.dark }
 
 // Handle takes an event in and returns what is to be done.
 func (s *Scheduler) Handle(now time.Time, e Event) (out []Action) {
 	switch e := e.(type) {
 	case AddEvent:
-		s.add(now, e.Item)
-	case EndedEvent:
+		s.add(now, e.Job)
+	case RunEndedEvent:
 		out = s.ended(now, e)
-	case VoidEvent:
+	case RunAbortedEvent:
 		if it := s.items[e.ID]; it != nil && it.place == running {
 			s.remove(it)
 		}
-	case DropEvent:
+	case RemoveEvent:
 		if it := s.items[e.ID]; it != nil && it.place != running { // a run in hand ends by itself
 			s.remove(it)
 		}
 	case ForegroundEvent:
-		s.limit.foreground(now, e.Turned)
+		s.limit.foreground(now, e.Rejected)
 	}
 	return s.turn(now, out)
 }
@@ -263,7 +263,7 @@
 			break
 		}
 		s.begin(now, it)
-		out = append(out, Run{it.ID})
+		out = append(out, StartRun{it.ID})
 	}
 	return s.plan(now, wake, out)
 }
@@ -297,15 +297,15 @@
 	if !wake.After(now) {
 		wake = now.Add(time.Millisecond)
 	}
-	return append(out, Wake{wake})
+	return append(out, SetTimer{wake})
 }
 
-func (s *Scheduler) add(now time.Time, i Item) {
+func (s *Scheduler) add(now time.Time, i Job) {
 	if s.items[i.ID] != nil {
 		return
 	}
 	s.seq++
-	it := &item{Item: i, seq: s.seq, level: s.config.Classes[i.Class]}
+	it := &item{Job: i, seq: s.seq, level: s.config.Classes[i.Class]}
 	if it.Cost <= 0 {
 		it.Cost = 1
 	}
@@ -407,7 +407,7 @@
 	f := it.queue.function
 	if it.warm = f.isWarm(now); !it.warm {
 		s.opens.tokens--
-		f.warm = now.Add(s.config.Warm)
+		f.warm = now.Add(s.config.WarmTTL)
 	}
 	s.dequeue(it)
 	s.expiry.Delete(it) // its run ends by its own deadline
@@ -416,13 +416,13 @@
 	f.inFlight++
 	it.owner.served += it.Cost / it.owner.weight
 	if it.Runs == 0 {
-		s.retry.add(now, s.config.RetryShare)
+		s.retry.add(now, s.config.RetryRatio)
 	}
-	s.opens.add(now, s.config.OpenShare)
+	s.opens.add(now, s.config.ColdStartRatio)
 	s.limit.began(now)
 }
 
-func (s *Scheduler) ended(now time.Time, e EndedEvent) []Action {
+func (s *Scheduler) ended(now time.Time, e RunEndedEvent) []Action {
 	it := s.items[e.ID]
 	if it == nil || it.place != running {
 		return nil
@@ -431,28 +431,28 @@
 	busy := s.inFlight
 	s.remove(it)
 	if e.Result == Served {
-		f.warm = now.Add(s.config.Warm)
+		f.warm = now.Add(s.config.WarmTTL)
 		// Its copy had gone: more functions are held warm than the fleet has room for. That load counts as well.
-		if it.warm && f.took.loaded(e.Took) {
+		if it.warm && f.took.loaded(e.Elapsed) {
 			s.opens.tokens = max(-s.opens.most, s.opens.tokens-1)
 		}
-		s.limit.served(now, busy, f.took.slow(e.Took, s.config.Slow))
+		s.limit.served(now, busy, f.took.slow(e.Elapsed, s.config.SlowFactor))
 		return nil
 	}
-	if e.Result == Turned {
+	if e.Result == Rejected {
 		f.warm = time.Time{} // its copies, if there are any, have no room
 	}
 	s.limit.turned(now)
 	runs := it.Runs + 1
-	if runs >= s.config.MostRuns {
-		return []Action{Again{ID: it.ID}}
+	if runs >= s.config.MaxRuns {
+		return []Action{Retry{ID: it.ID}}
 	}
-	return []Action{Again{ID: it.ID, At: now.Add(e.Advice + s.backoff(runs))}}
+	return []Action{Retry{ID: it.ID, At: now.Add(e.RetryAfter + s.backoff(runs))}}
 }
 
 // backoff is a pause after so many runs, drawn evenly from nothing to a bound that doubles: full jitter, so that what
 // was turned away together does not come back together.
 func (s *Scheduler) backoff(runs int) time.Duration {
 	bound := float64(s.config.Backoff) * math.Pow(2, float64(min(runs-1, 30)))
-	return time.Duration(s.random.Float64() * min(bound, float64(s.config.MostBackoff)))
+	return time.Duration(s.random.Float64() * min(bound, float64(s.config.MaxBackoff)))
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -25,7 +25,7 @@
 	s     *Scheduler
 	now   time.Time
 	wake  time.Time
-	items map[string]Item
+	items map[string]Job
 	runs  []string // in the order of their begin
 	began map[string]time.Time
 	busy  []string
@@ -35,7 +35,7 @@
 }
 
 func newWorld(t testing.TB, c Config) *world {
-	w := &world{t: t, now: noon, items: map[string]Item{}, began: map[string]time.Time{}, again: map[string]time.Time{}}
+	w := &world{t: t, now: noon, items: map[string]Job{}, began: map[string]time.Time{}, again: map[string]time.Time{}}
 	var err error
 	w.s, err = New(c, 7, noon)
 	require.NoError(t, err)
@@ -45,16 +45,16 @@
 func (w *world) give(e Event) {
 	for _, a := range w.s.Handle(w.now, e) {
 		switch a := a.(type) {
-		case Run:
+		case StartRun:
 			w.runs = append(w.runs, a.ID)
 			w.busy = append(w.busy, a.ID)
 			w.began[a.ID] = w.now
 			w.most = max(w.most, len(w.busy))
-		case Again:
+		case Retry:
 			w.again[a.ID] = a.At
 		case Expire:
 			w.gone = append(w.gone, a.ID)
-		case Wake:
+		case SetTimer:
 			require.True(w.t, a.At.After(w.now))
 			w.wake = a.At
 		}
@@ -62,7 +62,7 @@
 	require.Equal(w.t, len(w.busy), w.s.Running())
 }
 
-func (w *world) add(i Item) {
+func (w *world) add(i Job) {
 	if i.Expires.IsZero() {
 		i.Expires = w.now.Add(time.Hour)
 	}
@@ -80,7 +80,7 @@
 func (w *world) end(r Result) string {
 	id := w.busy[0]
 	w.busy = w.busy[1:]
-	w.give(EndedEvent{ID: id, Result: r, Took: w.now.Sub(w.began[id])})
+	w.give(RunEndedEvent{ID: id, Result: r, Elapsed: w.now.Sub(w.began[id])})
 	if at, ok := w.again[id]; ok {
 		delete(w.again, id)
 		if i := w.items[id]; !at.IsZero() {
@@ -99,19 +99,19 @@
 
 // one holds the first places, so that what is added after it waits until they are free.
 func one(t *testing.T, c Config) *world {
-	c.LeastRuns, c.MostRunning = 1, 1
+	c.MinConcurrency, c.MaxConcurrency = 1, 1
 	w := newWorld(t, c)
-	w.add(Item{ID: "first", Function: "f"})
+	w.add(Job{ID: "first", Function: "f"})
 	return w
 }
 
 func TestOrderWithinATenant(t *testing.T) {
 	w := one(t, config())
 	soon, late := noon.Add(20*time.Minute), noon.Add(40*time.Minute)
-	w.add(Item{ID: "late", Function: "f", Urgency: 3, Expires: late})
-	w.add(Item{ID: "soon", Function: "f", Urgency: 3, Expires: soon})
-	w.add(Item{ID: "urgent", Function: "f", Urgency: 1, Expires: late})
-	w.add(Item{ID: "worth", Function: "f", Urgency: 7, Expires: late, Class: "reserva"})
+	w.add(Job{ID: "late", Function: "f", Urgency: 3, Expires: late})
+	w.add(Job{ID: "soon", Function: "f", Urgency: 3, Expires: soon})
+	w.add(Job{ID: "urgent", Function: "f", Urgency: 1, Expires: late})
+	w.add(Job{ID: "worth", Function: "f", Urgency: 7, Expires: late, Class: "reserva"})
 	for range 5 {
 		w.pass(10 * time.Millisecond)
 		w.end(Served)
@@ -124,10 +124,10 @@
 	c := config()
 	w := newWorld(t, c)
 	for i := range 10000 {
-		w.add(Item{ID: fmt.Sprint("big", i), Tenant: "big", Function: fmt.Sprint(i % 20)})
+		w.add(Job{ID: fmt.Sprint("big", i), Tenant: "big", Function: fmt.Sprint(i % 20)})
 	}
 	for i := range 10 {
-		w.add(Item{ID: fmt.Sprint("small", i), Tenant: "small", Function: fmt.Sprint(i)})
+		w.add(Job{ID: fmt.Sprint("small", i), Tenant: "small", Function: fmt.Sprint(i)})
 	}
 	served, last := map[byte]int{}, 0
 	for n := 0; served['s'] < 10; n++ {
@@ -144,13 +144,13 @@
 // Shares are 60 to 40 while both have something to run; what one leaves idle the other takes, and gets no credit for.
 func TestSharesLendWhatIsIdle(t *testing.T) {
 	c := config()
-	c.OpenFloor, c.GatherRuns = 100, 1
+	c.ColdStartBurst, c.BatchSize = 100, 1
 	w := one(t, c)
 	n := 0
 	fill := func(tenant string, k int) {
 		for range k {
 			n++
-			w.add(Item{ID: fmt.Sprintf("%s%d", tenant, n), Tenant: tenant, Function: "f"})
+			w.add(Job{ID: fmt.Sprintf("%s%d", tenant, n), Tenant: tenant, Function: "f"})
 		}
 	}
 	run := func(k int) map[byte]int {
@@ -173,24 +173,24 @@
 func TestNothingStarves(t *testing.T) {
 	c := config()
 	w := one(t, c)
-	w.add(Item{ID: "poor", Function: "g", Urgency: 7})
+	w.add(Job{ID: "poor", Function: "g", Urgency: 7})
 	for i := 0; ; i++ {
-		require.Less(t, w.now.Sub(noon), c.Starve+time.Second)
-		w.add(Item{ID: fmt.Sprint("rich", i), Function: "f", Urgency: 0, Class: "reserva"})
+		require.Less(t, w.now.Sub(noon), c.StarvationLimit+time.Second)
+		w.add(Job{ID: fmt.Sprint("rich", i), Function: "f", Urgency: 0, Class: "reserva"})
 		w.pass(100 * time.Millisecond)
 		w.end(Served)
 		if w.runs[len(w.runs)-1] == "poor" {
 			break
 		}
 	}
-	assert.GreaterOrEqual(t, w.now.Sub(noon), c.Starve)
+	assert.GreaterOrEqual(t, w.now.Sub(noon), c.StarvationLimit)
 }
 
 func TestRetriesKeepAwayFromTheAdviceAndWithinBounds(t *testing.T) {
 	c := config()
-	c.MostRuns = 4
+	c.MaxRuns = 4
 	w := newWorld(t, c)
-	w.add(Item{ID: "t", Function: "f"})
+	w.add(Job{ID: "t", Function: "f"})
 	spread := map[time.Duration]bool{}
 	for run := 1; run <= 4; run++ {
 		for n := 0; len(w.busy) == 0; n++ {
@@ -200,7 +200,7 @@
 		}
 		id := w.busy[0]
 		w.busy = nil
-		w.give(EndedEvent{ID: id, Result: Turned, Advice: time.Second})
+		w.give(RunEndedEvent{ID: id, Result: Rejected, RetryAfter: time.Second})
 		at, ok := w.again["t"]
 		require.True(t, ok)
 		if run == 4 {
@@ -211,7 +211,7 @@
 		assert.GreaterOrEqual(t, pause, time.Second)
 		assert.LessOrEqual(t, pause, time.Second+c.Backoff<<(run-1))
 		spread[pause] = true
-		w.add(Item{ID: "t", Function: "f", Runs: run, NotBefore: at})
+		w.add(Job{ID: "t", Function: "f", Runs: run, NotBefore: at})
 	}
 	assert.Len(t, spread, 3)
 	assert.Zero(t, w.s.Waiting())
@@ -220,10 +220,10 @@
 // Runs after the first have a budget: a share of first runs, and a little each second.
 func TestRetryBudget(t *testing.T) {
 	c := config()
-	c.MostRuns, c.RetryFloor, c.RetryShare, c.RetryBurst = 1000, 2, 0.1, 5
+	c.MaxRuns, c.RetryRate, c.RetryRatio, c.RetryBurst = 1000, 2, 0.1, 5
 	w := newWorld(t, c)
 	for i := range 300 {
-		w.add(Item{ID: fmt.Sprint(i), Function: "f", Runs: 1})
+		w.add(Job{ID: fmt.Sprint(i), Function: "f", Runs: 1})
 	}
 	for range 10000 {
 		w.pass(time.Millisecond)
@@ -239,7 +239,7 @@
 	c := config()
 	w := newWorld(t, c)
 	for i := range 8000 {
-		w.add(Item{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 50), Expires: noon.Add(24 * time.Hour)})
+		w.add(Job{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 50), Expires: noon.Add(24 * time.Hour)})
 	}
 	for range 60 { // serves
 		w.pass(20 * time.Millisecond)
@@ -248,11 +248,11 @@
 		}
 	}
 	require.Greater(t, w.s.Limit(), 16)
-	for n := 0; !w.s.Dark(); n++ {
+	for n := 0; !w.s.Stalled(); n++ {
 		require.Less(t, n, 1000)
 		w.pass(50 * time.Millisecond)
 		for range len(w.busy) {
-			w.end(Turned)
+			w.end(Rejected)
 		}
 	}
 	before, began := len(w.runs), w.now
@@ -260,11 +260,11 @@
 		w.pass(10 * time.Millisecond)
 		require.LessOrEqual(t, len(w.busy), 1)
 		for len(w.busy) > 0 {
-			w.end(Turned)
+			w.end(Rejected)
 		}
 	}
 	// Each probe may cause a load, so the budget for those bounds them too.
-	assert.LessOrEqual(t, len(w.runs)-before, int(20*time.Second/c.Probe)+1)
+	assert.LessOrEqual(t, len(w.runs)-before, int(20*time.Second/c.ProbeInterval)+1)
 	assert.GreaterOrEqual(t, len(w.runs)-before, 8)
 	w.most = 0
 	for n := 0; len(w.busy) == 0; n++ {
@@ -272,8 +272,8 @@
 		w.pass(10 * time.Millisecond)
 	}
 	w.end(Served)
-	assert.False(t, w.s.Dark())
-	assert.Equal(t, c.LeastRuns, w.s.Limit())
+	assert.False(t, w.s.Stalled())
+	assert.Equal(t, c.MinConcurrency, w.s.Limit())
 	for turns := 0; w.s.Waiting() > 0 || len(w.busy) > 0; turns++ {
 		require.Less(t, turns, 100000)
 		w.pass(20 * time.Millisecond)
@@ -289,7 +289,7 @@
 func TestBackgroundYields(t *testing.T) {
 	w := newWorld(t, config())
 	for i := range 9000 {
-		w.add(Item{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 4)})
+		w.add(Job{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 4)})
 	}
 	turn := func(n int) {
 		for range n {
@@ -303,7 +303,7 @@
 	full := w.s.Limit()
 	require.Greater(t, full, 20)
 	for range 20 {
-		w.give(ForegroundEvent{Turned: true})
+		w.give(ForegroundEvent{Rejected: true})
 		turn(10)
 	}
 	assert.Equal(t, 2, w.s.Limit())
@@ -315,7 +315,7 @@
 func TestSlowRunsShrinkTheLimit(t *testing.T) {
 	w := newWorld(t, config())
 	for i := range 4000 {
-		w.add(Item{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 4)})
+		w.add(Job{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 4)})
 	}
 	turn := func(n int, took time.Duration) {
 		for range n {
@@ -333,20 +333,20 @@
 
 func TestTimesOfATicket(t *testing.T) {
 	w := newWorld(t, config())
-	w.add(Item{ID: "later", Function: "f", NotBefore: noon.Add(time.Minute)})
-	w.add(Item{ID: "never", Function: "f", NotBefore: noon.Add(time.Minute), Expires: noon.Add(30 * time.Second)})
-	w.add(Item{ID: "dropped", Function: "f", NotBefore: noon.Add(time.Minute)})
+	w.add(Job{ID: "later", Function: "f", NotBefore: noon.Add(time.Minute)})
+	w.add(Job{ID: "never", Function: "f", NotBefore: noon.Add(time.Minute), Expires: noon.Add(30 * time.Second)})
+	w.add(Job{ID: "dropped", Function: "f", NotBefore: noon.Add(time.Minute)})
 	assert.Equal(t, noon.Add(30*time.Second), w.wake)
-	w.give(DropEvent{"dropped"})
+	w.give(RemoveEvent{"dropped"})
 	w.pass(30 * time.Second)
 	assert.Equal(t, []string{"never"}, w.gone)
 	assert.Equal(t, noon.Add(time.Minute), w.wake)
 	w.pass(30 * time.Second)
 	assert.Equal(t, []string{"later"}, w.runs)
 	w.busy = nil
-	w.give(VoidEvent{"later"})
+	w.give(RunAbortedEvent{"later"})
 	assert.Zero(t, w.s.Waiting()+w.s.Running())
-	w.give(EndedEvent{ID: "later", Result: Turned}) // its end crosses
+	w.give(RunEndedEvent{ID: "later", Result: Rejected}) // its end crosses
 	assert.Empty(t, w.again)
 }
 
@@ -356,7 +356,7 @@
 		r, w := rand.New(rand.NewPCG(3, 4)), newWorld(t, config())
 		for i := range 4000 {
 			if r.IntN(2) == 0 {
-				w.add(Item{ID: fmt.Sprint(i), Tenant: []string{"big", "small", "other"}[r.IntN(3)], Function: fmt.Sprint(r.IntN(30)),
+				w.add(Job{ID: fmt.Sprint(i), Tenant: []string{"big", "small", "other"}[r.IntN(3)], Function: fmt.Sprint(r.IntN(30)),
 					Urgency: uint8(r.IntN(8)), Class: []string{"reserva", "consulta"}[r.IntN(2)], NotBefore: w.now.Add(time.Duration(r.IntN(3)) * time.Second)})
 			}
 			w.pass(time.Duration(r.IntN(20)) * time.Millisecond)
@@ -374,9 +374,9 @@
 }
 
 func TestSettingsThatCannotWork(t *testing.T) {
-	for _, spoil := range []func(*Config){func(c *Config) { c.LeastRuns = 0 }, func(c *Config) { c.MostRunning = 1 },
-		func(c *Config) { c.Starve = 0 }, func(c *Config) { c.MostRuns = 0 }, func(c *Config) { c.Backoff = 0 },
-		func(c *Config) { c.RetryFloor = 0 }, func(c *Config) { c.Slow = 1 }, func(c *Config) { c.OpenFloor = 0 },
+	for _, spoil := range []func(*Config){func(c *Config) { c.MinConcurrency = 0 }, func(c *Config) { c.MaxConcurrency = 1 },
+		func(c *Config) { c.StarvationLimit = 0 }, func(c *Config) { c.MaxRuns = 0 }, func(c *Config) { c.Backoff = 0 },
+		func(c *Config) { c.RetryRate = 0 }, func(c *Config) { c.SlowFactor = 1 }, func(c *Config) { c.ColdStartBurst = 0 },
 		func(c *Config) { c.Tenants["big"] = 0 }} {
 		c := config()
 		spoil(&c)
@@ -392,7 +392,7 @@
 	n := 0
 	add := func() {
 		n++
-		w.add(Item{ID: fmt.Sprint(n), Tenant: []string{"big", "small"}[n%2], Function: fmt.Sprint(r.IntN(200)), Urgency: uint8(n % 8)})
+		w.add(Job{ID: fmt.Sprint(n), Tenant: []string{"big", "small"}[n%2], Function: fmt.Sprint(r.IntN(200)), Urgency: uint8(n % 8)})
 	}
 	for range 100000 {
 		add()
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"kitefall/rules"
+	"kitefall/internal/balancer"
 )
 
 func decode(t *testing.T, d *Decoder, events string) []Event {
@@ -27,29 +27,29 @@
 	decode(t, d, `{"msg":"catalog","slot":3,"members":[{"runner":"a","pod":2,"condition":"healthy","flavor":"k",
 		"boot_time_us":6,"rating":1.5,"area":"z"},{"runner":"b","condition":"cordoned"},
 		{"runner":"c","condition":"deregistered"},{"runner":"d","condition":"odd"}]}`)
-	for in, want := range map[string]rules.Event{
-		`{"msg":"backends_changed","dispatcher":3,"version":1,"slot":3,"scope":"Partial"}`: rules.ListEvent{
-			Scope: rules.ListChange, Workers: []rules.Worker{
+	for in, want := range map[string]balancer.Event{
+		`{"msg":"backends_changed","dispatcher":3,"version":1,"slot":3,"scope":"Partial"}`: balancer.EndpointsEvent{
+			Scope: balancer.ScopeDelta, Workers: []balancer.Worker{
 				{ID: "a", Cell: 2, Kind: "k", Started: 6 * time.Microsecond, Weight: 1.5, Zone: "z"},
-				{ID: "b", State: rules.Draining, Weight: 1}, {ID: "c", State: rules.Removed, Weight: 1},
-				{ID: "d", State: rules.Draining, Weight: 1}}},
-		`{"msg":"backends_changed","dispatcher":3,"scope":"Error"}`: rules.ListEvent{Scope: rules.ListFailed},
+				{ID: "b", State: balancer.Draining, Weight: 1}, {ID: "c", State: balancer.Removed, Weight: 1},
+				{ID: "d", State: balancer.Draining, Weight: 1}}},
+		`{"msg":"backends_changed","dispatcher":3,"scope":"Error"}`: balancer.EndpointsEvent{Scope: balancer.ScopeFailed},
 		`{"msg":"incoming","dispatcher":3,"msg_id":9,"mem_mb":384,"estimate_us":12,"band":"x","time_left_us":24,
-			"function":"0f","width":2,"start_ms":900,"party":"p","again_by_client":true,"odd":[]}`: rules.RequestEvent{
-			ID: 9, Memory: 384, Work: 12 * time.Microsecond, Class: "x", TimeLeft: 24 * time.Microsecond,
-			Function: "0f", Lanes: 2, LoadTime: 900 * time.Millisecond, Tenant: "p", Repeat: true},
-		`{"msg":"incoming","dispatcher":3,"msg_id":9,"party":0}`: rules.RequestEvent{ID: 9},
+			"function":"0f","width":2,"start_ms":900,"party":"p","again_by_client":true,"odd":[]}`: balancer.RequestEvent{
+			ID: 9, MemoryMB: 384, WorkEstimate: 12 * time.Microsecond, Class: "x", TimeLeft: 24 * time.Microsecond,
+			Function: "0f", Concurrency: 2, LoadTime: 900 * time.Millisecond, Tenant: "p", Retry: true},
+		`{"msg":"incoming","dispatcher":3,"msg_id":9,"party":0}`: balancer.RequestEvent{ID: 9},
 		`{"msg":"finished","dispatcher":3,"msg_id":9,"n":1,"runner":"a","code":200,"duration_us":5,"closed":true,
-			"detail":43,"feedback":{"depth":3,"odd":1}}`: rules.OutcomeEvent{ID: 9, Attempt: 1, Worker: "a",
-			Status: rules.OK, Took: 5 * time.Microsecond, Closed: true, Warmth: rules.WaitedForLoad, Crowd: 5},
-		`{"msg":"finished","dispatcher":3,"msg_id":9,"runner":"a","code":777}`: rules.OutcomeEvent{ID: 9, Worker: "a",
-			Status: rules.Failed},
-		`{"msg":"established","dispatcher":3,"msg_id":9,"runner":"a","duration_us":7}`: rules.StartedEvent{ID: 9,
-			Worker: "a", Took: 7 * time.Microsecond},
-		`{"msg":"client_left","dispatcher":3,"msg_id":9}`: rules.GoneEvent{ID: 9},
-		`{"msg":"stands","dispatcher":3,"runner":"a","function":"0f","code":429,"duration_us":2,"copies":4}`: rules.LoadedEvent{
-			Worker: "a", Function: "0f", Status: rules.Full, Took: 2 * time.Microsecond, Copies: 4},
-		`{"msg":"wake","dispatcher":3,"ref":77}`: rules.WakeEvent{Ref: 77},
+			"detail":43,"feedback":{"depth":3,"odd":1}}`: balancer.OutcomeEvent{ID: 9, Attempt: 1, Worker: "a",
+			Status: balancer.OK, Elapsed: 5 * time.Microsecond, Answered: true, Warmth: balancer.WarmthWaitedForLoad, QueueDepth: 5},
+		`{"msg":"finished","dispatcher":3,"msg_id":9,"runner":"a","code":777}`: balancer.OutcomeEvent{ID: 9, Worker: "a",
+			Status: balancer.Failed},
+		`{"msg":"established","dispatcher":3,"msg_id":9,"runner":"a","duration_us":7}`: balancer.StreamStartedEvent{ID: 9,
+			Worker: "a", Elapsed: 7 * time.Microsecond},
+		`{"msg":"client_left","dispatcher":3,"msg_id":9}`: balancer.ClientGoneEvent{ID: 9},
+		`{"msg":"stands","dispatcher":3,"runner":"a","function":"0f","code":429,"duration_us":2,"copies":4}`: balancer.LoadEndedEvent{
+			Worker: "a", Function: "0f", Status: balancer.Rejected, Elapsed: 2 * time.Microsecond, Copies: 4},
+		`{"msg":"wake","dispatcher":3,"ref":77}`: balancer.TimerEvent{TimerID: 77},
 		`{"msg":"later","dispatcher":3}`:         nil,
 	} {
 		got := decode(t, d, in)
@@ -73,10 +73,10 @@
 		t.Fatalf("up %+v", up)
 	}
 	s := up.Settings
-	if s.Peers != 3 || !s.Cancel || s.MaxAttempts != 4 || !s.AskList || !s.LoadOnMiss || !s.LiveWeights ||
+	if s.Dispatchers != 3 || !s.CanCancel || s.MaxAttempts != 4 || !s.PollEndpoints || !s.LoadOnMiss || !s.LiveWeights ||
 		s.LoadWindow != 5*time.Microsecond || s.MemoryByKind["k"] != 9152 ||
-		s.Classes[0].Effect != rules.Keyed || s.Classes[0].Group != rules.GroupCell || s.Classes[0].Worth != 2.5 ||
-		s.Classes[1].Effect != rules.Unsafe || s.Tenants[0].Allowance != 2 {
+		s.Classes[0].Idempotency != balancer.IdempotentWithKey || s.Classes[0].DedupScope != balancer.DedupCell || s.Classes[0].Weight != 2.5 ||
+		s.Classes[1].Idempotency != balancer.NotIdempotent || s.Tenants[0].RateQuota != 2 {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -92,26 +92,26 @@
 
 func TestActions(t *testing.T) {
 	for _, c := range []struct {
-		action rules.Action
+		action balancer.Action
 		want   string
 	}{
-		{rules.Send{ID: 1, Worker: "a", Limit: 80 * time.Millisecond},
+		{balancer.Send{ID: 1, Worker: "a", Timeout: 80 * time.Millisecond},
 			`{"msg":"call_out","dispatcher":3,"msg_id":1,"limit_us":80000,"runner":"a"}`},
-		{rules.Cancel{ID: 0, Attempt: 0}, `{"msg":"revoke","dispatcher":3,"msg_id":0,"n":0}`},
-		{rules.Refuse{ID: 1}, `{"msg":"push_back","dispatcher":3,"msg_id":1}`},
-		{rules.Refuse{ID: 1, RetryAfter: time.Second},
+		{balancer.Cancel{ID: 0, Attempt: 0}, `{"msg":"revoke","dispatcher":3,"msg_id":0,"n":0}`},
+		{balancer.Reject{ID: 1}, `{"msg":"push_back","dispatcher":3,"msg_id":1}`},
+		{balancer.Reject{ID: 1, RetryAfter: time.Second},
 			`{"msg":"push_back","dispatcher":3,"msg_id":1,"come_back_us":1000000}`},
-		{rules.Fail{ID: 1}, `{"msg":"surrender","dispatcher":3,"msg_id":1}`},
-		{rules.Load{Worker: "a", Function: "0f", Copies: 0},
+		{balancer.Fail{ID: 1}, `{"msg":"surrender","dispatcher":3,"msg_id":1}`},
+		{balancer.Load{Worker: "a", Function: "0f", Copies: 0},
 			`{"msg":"start_copy","dispatcher":3,"runner":"a","function":"0f","copies":0}`},
-		{rules.Drop{Worker: "a", Function: "0f"}, `{"msg":"unmount","dispatcher":3,"runner":"a","function":"0f"}`},
-		{rules.Wake{After: time.Second, Ref: 7}, `{"msg":"sleep","dispatcher":3,"span_us":1000000,"ref":7}`},
-		{rules.Watch{On: false}, `{"msg":"stream_changes","dispatcher":3,"want":false}`},
-		{rules.Fetch{}, `{"msg":"pull","dispatcher":3}`},
-		{rules.Log{Text: "<a>"}, `{"msg":"write_log","dispatcher":3,"text":"<a>"}`},
+		{balancer.Unload{Worker: "a", Function: "0f"}, `{"msg":"unmount","dispatcher":3,"runner":"a","function":"0f"}`},
+		{balancer.SetTimer{After: time.Second, TimerID: 7}, `{"msg":"sleep","dispatcher":3,"span_us":1000000,"ref":7}`},
+		{balancer.Watch{On: false}, `{"msg":"stream_changes","dispatcher":3,"want":false}`},
+		{balancer.Fetch{}, `{"msg":"pull","dispatcher":3}`},
+		{balancer.Log{Text: "<a>"}, `{"msg":"write_log","dispatcher":3,"text":"<a>"}`},
 	} {
 		var e Encoder
-		e.Add(3, []rules.Action{c.action})
+		e.Add(3, []balancer.Action{c.action})
 		got, err := e.Reply()
 		if err != nil || !strings.HasSuffix(string(got), "\n") || !json.Valid(got) {
 			t.Fatalf("%q %v", got, err)
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -25,9 +25,9 @@
 
 // Errors of a log.
 var (
-	ErrDamaged = errors.New("the log is damaged")
-	ErrVersion = errors.New("the log is of another version")
-	ErrLarge   = errors.New("a record is larger than a segment")
+	ErrDamaged        = errors.New("the log is damaged")
+	ErrVersion        = errors.New("the log is of another version")
+	ErrRecordTooLarge = errors.New("a record is larger than a segment")
 )
 
 // File is what a log needs of a file.
@@ -290,7 +290,7 @@
 func (l *Log) Append(payload []byte) error {
 	n := int64(recordHead + len(payload) + recordTail)
 	if n > int64(l.size)-headSize || len(payload) == 0 {
-		return fmt.Errorf("%w: %d bytes", ErrLarge, len(payload))
+		return fmt.Errorf("%w: %d bytes", ErrRecordTooLarge, len(payload))
 	}
 	if l.spent || l.end+n > int64(l.size) {
 		if err := l.Rotate(); err != nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -59,7 +59,7 @@
 	assert.Equal(t, want[300:], got)
 	_, _, _, err = read(t, dir, 5)
 	assert.ErrorIs(t, err, ErrDamaged, "records that the file does not hold must be there")
-	assert.ErrorIs(t, l.Append(make([]byte, small)), ErrLarge)
+	assert.ErrorIs(t, l.Append(make([]byte, small)), ErrRecordTooLarge)
 }
 
 // Every byte of a log's last segment is changed in turn, and every length tried: what was acknowledged is never
--- a/internal/worker/wear.go
+++ b/internal/worker/breakrate.go
@@ -12,7 +12,7 @@
 // Wear tells whether jobs are worth connections of their own, by what connections of all links went through. One that
 // breaks under load ends all that is open on it: jobs apart from each other lose one less by it. But each handshake has
 // its price, and 80 dispatchers that each open a second connection to each worker pay it 80 times.
-type Wear struct {
+type BreakRate struct {
 	price float64 // of a handshake, in parts of the worth of a call
 	clock func() time.Time
 
@@ -22,10 +22,10 @@
 }
 
 // NewWear returns wear for handshakes of a price, in parts of the worth of a call. Where they have none, jobs keep apart.
-func NewWear(price float64) *Wear { return &Wear{price: price, clock: time.Now} }
+func NewBreakRate(price float64) *BreakRate { return &BreakRate{price: price, clock: time.Now} }
 
 // count adds connections opened and broken to those counted so far.
-func (w *Wear) count(opened, broke float64) {
+func (w *BreakRate) count(opened, broke float64) {
 	if w == nil {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // apart tells whether a job should have a connection of its own rather than share one: a connection breaks often enough
 // to lose more than it costs.
-func (w *Wear) apart() bool {
+func (w *BreakRate) apart() bool {
 	if w == nil || w.price <= 0 {
 		return true
 	}
--- a/internal/worker/wear_test.go
+++ b/internal/worker/breakrate_test.go
@@ -20,7 +20,7 @@
 		"a handshake is dearer":    {0.5, 100, 9, false},
 		"a handshake has no price": {0, 100, 0, true},
 	} {
-		w := NewWear(c.price)
+		w := NewBreakRate(c.price)
 		w.clock = func() time.Time { return time.Unix(1, 0) }
 		for range c.opened {
 			w.count(1, 0)
@@ -30,12 +30,12 @@
 		}
 		assert.Equal(t, c.apart, w.apart(), name)
 	}
-	assert.True(t, (*Wear)(nil).apart(), "without wear jobs keep apart")
+	assert.True(t, (*BreakRate)(nil).apart(), "without wear jobs keep apart")
 }
 
 func TestWearForgets(t *testing.T) {
 	now := time.Unix(1, 0)
-	w := NewWear(0.08)
+	w := NewBreakRate(0.08)
 	w.clock = func() time.Time { return now }
 	w.count(1, 1)
 	assert.True(t, w.apart())
--- a/internal/worker/crossing_test.go
+++ b/internal/worker/crossing_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"kitefall/rules"
+	"kitefall/internal/balancer"
 )
 
 // held is a connection whose writes the test carries out: each waits for how it is to end.
@@ -39,7 +39,7 @@
 // crossing is a link with one connection that the test writes to by itself, step by step.
 type crossing struct {
 	t    *testing.T
-	link *Link
+	link *Pool
 	net  *held
 	conn *conn
 	next net.Listener // where further connections go
@@ -50,24 +50,24 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
 	require.NoError(t, ln.(*net.TCPListener).SetDeadline(time.Now().Add(10*time.Second)))
-	c.DialTimeout, c.Streams, c.Connections, c.Room = 5*time.Second, 32, 4, NewRoom(8)
-	if c.IdleClose == 0 {
-		c.IdleClose = time.Minute
+	c.DialTimeout, c.MaxStreams, c.MaxConns, c.ConnLimit = 5*time.Second, 32, 4, NewConnLimit(8)
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = time.Minute
 	}
-	x := &crossing{t: t, link: NewLink("s-1", ln.Addr().String(), &c), net: newHeld(), next: ln}
+	x := &crossing{t: t, link: NewPool("s-1", ln.Addr().String(), &c), net: newHeld(), next: ln}
 	t.Cleanup(x.link.Close)
 	now := time.Now()
-	x.conn = &conn{link: x.link, net: x.net, out: make(chan *Job, 8), closed: make(chan struct{}), open: map[uint64]*Job{},
+	x.conn = &conn{link: x.link, net: x.net, out: make(chan *PendingRequest, 8), closed: make(chan struct{}), open: map[uint64]*PendingRequest{},
 		spent: map[uint64]time.Time{}, made: now, since: now}
 	x.link.conns = append(x.link.conns, x.conn)
 	return x
 }
 
-func (x *crossing) call(a Attempt) (*Job, chan Result) {
+func (x *crossing) call(a Attempt) (*PendingRequest, chan Result) {
 	ended := make(chan Result, 2)
 	a.Class, a.Function = "reserva", "7f3a9c21e0b4d655"
-	if a.Until.IsZero() {
-		a.Until = time.Now().Add(time.Hour)
+	if a.Deadline.IsZero() {
+		a.Deadline = time.Now().Add(time.Hour)
 	}
 	j, err := x.link.Call(a, func(r Result) { ended <- r })
 	require.NoError(x.t, err)
@@ -91,13 +91,13 @@
 	over := false
 	for name, c := range map[string]struct {
 		Attempt
-		comes func(*Link)
+		comes func(*Pool)
 	}{
-		"its client leaves":            {Attempt{Over: func() bool { return over }}, func(*Link) { over = true }},
-		"its worker drains":            {Attempt{}, func(l *Link) { l.Drain(false) }},
-		"its worker is gone":           {Attempt{}, func(l *Link) { l.Drain(true) }},
-		"its key's window is over":     {Attempt{Begin: time.Now().Add(-time.Millisecond)}, func(*Link) {}},
-		"nobody waits for it any more": {Attempt{Until: time.Now().Add(-time.Millisecond)}, func(*Link) {}},
+		"its client leaves":            {Attempt{Abandoned: func() bool { return over }}, func(*Pool) { over = true }},
+		"its worker drains":            {Attempt{}, func(l *Pool) { l.MarkUnavailable(false) }},
+		"its worker is gone":           {Attempt{}, func(l *Pool) { l.MarkUnavailable(true) }},
+		"its key's window is over":     {Attempt{StartBy: time.Now().Add(-time.Millisecond)}, func(*Pool) {}},
+		"nobody waits for it any more": {Attempt{Deadline: time.Now().Add(-time.Millisecond)}, func(*Pool) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newCrossing(t, Config{})
@@ -106,7 +106,7 @@
 			c.comes(x.link)
 			x.turn()
 			require.Len(t, ended, 1)
-			assert.Equal(t, rules.Moot, (<-ended).Status)
+			assert.Equal(t, balancer.NotSent, (<-ended).Status)
 		})
 	}
 }
@@ -120,11 +120,11 @@
 	require.NoError(t, err)
 	x.turn()
 	require.Len(t, ended, 1)
-	assert.Equal(t, rules.Full, (<-ended).Status)
+	assert.Equal(t, balancer.Rejected, (<-ended).Status)
 }
 
 // cut has the reader meet the end of the connection while the writer is in the middle of a call's frame, which ends then.
-func (x *crossing) cut(between func(*Job), ends error) chan Result {
+func (x *crossing) cut(between func(*PendingRequest), ends error) chan Result {
 	j, ended := x.call(Attempt{ID: 7})
 	written := make(chan bool)
 	go func() { x.conn.write(<-x.conn.out); close(written) }()
@@ -141,7 +141,7 @@
 func TestEndThatCrossesAFrameLeavesItToItsWriter(t *testing.T) {
 	t.Run("written in part", func(t *testing.T) {
 		x := newCrossing(t, Config{})
-		assert.Empty(t, x.cut(func(*Job) {}, io.ErrClosedPipe))
+		assert.Empty(t, x.cut(func(*PendingRequest) {}, io.ErrClosedPipe))
 		c, err := x.next.Accept()
 		require.NoError(t, err)
 		defer c.Close()
@@ -150,16 +150,16 @@
 		assert.Equal(t, uint64(7), f.id)
 	})
 	t.Run("written whole", func(t *testing.T) {
-		ended := newCrossing(t, Config{}).cut(func(*Job) {}, nil)
+		ended := newCrossing(t, Config{}).cut(func(*PendingRequest) {}, nil)
 		require.Len(t, ended, 1)
-		assert.Equal(t, rules.Reset, (<-ended).Status)
+		assert.Equal(t, balancer.Reset, (<-ended).Status)
 	})
 }
 
 // The same while its client gives it up: it ends once, by whoever came first, and goes nowhere else.
 func TestGivenUpWhileItsFrameIsCutIsNotMoved(t *testing.T) {
 	x := newCrossing(t, Config{})
-	ended := x.cut(func(j *Job) { assert.True(t, x.link.GiveUp(j), "some of it was written") }, io.ErrClosedPipe)
+	ended := x.cut(func(j *PendingRequest) { assert.True(t, x.link.Cancel(j), "some of it was written") }, io.ErrClosedPipe)
 	assert.Empty(t, ended)
 	assert.Empty(t, x.link.conns)
 }
@@ -172,7 +172,7 @@
 		j, _ := x.call(Attempt{ID: id})
 		x.net.ends <- nil
 		x.conn.write(<-x.conn.out)
-		x.link.GiveUp(j)
+		x.link.Cancel(j)
 		if len(x.conn.out) > 0 { // the word to the worker that it is given up
 			x.net.ends <- nil
 			x.conn.write(<-x.conn.out)
@@ -192,9 +192,9 @@
 // A worker that was lost with its machine never closed its connections. Word of its new start ends their use.
 func TestConnectionsToAnEarlierRunAreNotUsed(t *testing.T) {
 	x := newCrossing(t, Config{})
-	x.link.Ready(time.Duration(x.conn.made.Add(-time.Second).UnixNano()))
+	x.link.MarkReady(time.Duration(x.conn.made.Add(-time.Second).UnixNano()))
 	assert.Len(t, x.link.conns, 1, "it was made after that start")
-	x.link.Ready(time.Duration(x.conn.made.Add(time.Second).UnixNano()))
+	x.link.MarkReady(time.Duration(x.conn.made.Add(time.Second).UnixNano()))
 	require.Empty(t, x.link.conns)
 	<-x.net.shut
 	x.call(Attempt{ID: 1})
@@ -205,7 +205,7 @@
 
 // The tick that closes idle connections may be late. The worker then closes just as a call is written, which may have run.
 func TestConnectionIdleForTooLongIsNotChosen(t *testing.T) {
-	x := newCrossing(t, Config{IdleClose: time.Second})
+	x := newCrossing(t, Config{IdleTimeout: time.Second})
 	x.conn.since = time.Now().Add(-900 * time.Millisecond)
 	x.call(Attempt{ID: 1})
 	c, err := x.next.Accept()
--- a/internal/worker/move_test.go
+++ b/internal/worker/move_test.go
@@ -23,14 +23,14 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	l := NewLink("s-1", ln.Addr().String(), &Config{DialTimeout: time.Second, IdleClose: time.Minute,
-		Streams: 32, Connections: 4, Room: NewRoom(4)})
+	l := NewPool("s-1", ln.Addr().String(), &Config{DialTimeout: time.Second, IdleTimeout: time.Minute,
+		MaxStreams: 32, MaxConns: 4, ConnLimit: NewConnLimit(4)})
 	defer l.Close()
-	broken := &conn{link: l, net: cut{}, out: make(chan *Job, 1), closed: make(chan struct{}), open: map[uint64]*Job{},
+	broken := &conn{link: l, net: cut{}, out: make(chan *PendingRequest, 1), closed: make(chan struct{}), open: map[uint64]*PendingRequest{},
 		spent: map[uint64]time.Time{}, since: time.Now()}
 	l.conns = append(l.conns, broken)
 	by := time.Now().Add(10 * time.Second)
-	_, err = l.Call(Attempt{ID: 7, Class: "reserva", Function: "7f3a9c21e0b4d655", Until: by}, func(Result) {})
+	_, err = l.Call(Attempt{ID: 7, Class: "reserva", Function: "7f3a9c21e0b4d655", Deadline: by}, func(Result) {})
 	require.NoError(t, err)
 	broken.write(<-broken.out)
 	require.NoError(t, ln.(*net.TCPListener).SetDeadline(by))
--- a/internal/worker/link.go
+++ b/internal/worker/pool.go
@@ -16,28 +16,28 @@
 	"sync/atomic"
 	"time"
 
+	"kitefall/internal/balancer"
 	"kitefall/internal/failpoint"
-	"kitefall/internal/quiet"
-	"kitefall/rules"
+	"kitefall/internal/logthrottle"
 )
 
 // Config is what all links share.
 type Config struct {
 	DialTimeout time.Duration // a connection not made by then has failed
-	IdleClose   time.Duration // workers close idle connections after this
-	Streams     int           // calls on one connection
-	Connections int           // to one worker at most
-	Room        *Room         // for connections to all workers
-	Wear        *Wear         // of connections to all workers
+	IdleTimeout time.Duration // workers close idle connections after this
+	MaxStreams  int           // calls on one connection
+	MaxConns    int           // to one worker at most
+	ConnLimit   *ConnLimit    // for connections to all workers
+	BreakRate   *BreakRate    // of connections to all workers
 }
 
 // Room is how many connections all links together may have. The first one of each link is always allowed: without
 // it a worker could not be reached at all.
-type Room struct{ left atomic.Int64 }
+type ConnLimit struct{ left atomic.Int64 }
 
 // NewRoom returns room for so many connections.
-func NewRoom(connections int) *Room {
-	r := &Room{}
+func NewConnLimit(connections int) *ConnLimit {
+	r := &ConnLimit{}
 	r.left.Store(int64(connections))
 	return r
 }
@@ -59,7 +59,7 @@
 const silence = 500 * time.Millisecond
 
 // ended is the log line of connections that end: peers can cause any number of them.
-var ended = quiet.NewLine()
+var ended = logthrottle.New()
 
 var (
 	errBusy = errors.New("no room on any connection")
@@ -68,11 +68,11 @@
 
 // Result is how an attempt or an order ended.
 type Result struct {
-	Status rules.Status
-	Warmth rules.Warmth
-	Crowd  int // calls for the same function held there when this one came
-	Copies int // of an order: loaded copies
-	Body   []byte
+	Status     balancer.Status
+	Warmth     balancer.Warmth
+	QueueDepth int // calls for the same function held there when this one came
+	Copies     int // of an order: loaded copies
+	Body       []byte
 }
 
 // Attempt is one run of a call that a worker is asked for.
@@ -80,13 +80,13 @@
 	ID              uint64
 	Class, Function string
 	Body            []byte
-	Until           time.Time   // nobody waits for its answer after this
-	Begin           time.Time   // not begun after this; zero: while somebody waits
-	Over            func() bool // the call is over, and nothing of it may begin; asked from any goroutine; nil: it never is
+	Deadline        time.Time   // nobody waits for its answer after this
+	StartBy         time.Time   // not begun after this; zero: while somebody waits
+	Abandoned       func() bool // the call is over, and nothing of it may begin; asked from any goroutine; nil: it never is
 }
 
 // Job is an attempt or an order on its way through a link.
-type Job struct {
+type PendingRequest struct {
 	id      uint64
 	code    byte
 	fields  func(now time.Time) string
@@ -102,10 +102,12 @@
 }
 
 // late tells that a job may not begin any more.
-func (j *Job) late(now time.Time) bool { return now.After(j.begin) || j.over != nil && j.over() }
+func (j *PendingRequest) late(now time.Time) bool {
+	return now.After(j.begin) || j.over != nil && j.over()
+}
 
 // Link is the way to one worker, known by its uid: addresses are given anew to other workers.
-type Link struct {
+type Pool struct {
 	uid, addr string
 	config    *Config
 
@@ -117,60 +119,60 @@
 }
 
 // NewLink returns the link to a worker. It connects when there is something to send.
-func NewLink(uid, addr string, c *Config) *Link { return &Link{uid: uid, addr: addr, config: c} }
+func NewPool(uid, addr string, c *Config) *Pool { return &Pool{uid: uid, addr: addr, config: c} }
 
 type conn struct {
-	link   *Link
+	link   *Pool
 	net    net.Conn
-	out    chan *Job // jobs to write; those that have ended and were written are given up
+	out    chan *PendingRequest // jobs to write; those that have ended and were written are given up
 	closed chan struct{}
 
 	// Guarded by the link's mu.
-	open        map[uint64]*Job
+	open        map[uint64]*PendingRequest
 	spent       map[uint64]time.Time // ids that have ended here: further answers to them may come
 	shut, stale bool
-	writing     *Job      // its frame is under way: its writer alone can tell whether it was written whole
-	made, since time.Time // when it was begun, and when it was last in use
-	owes        time.Time // when the first call was written that no word has come after; zero: none
+	writing     *PendingRequest // its frame is under way: its writer alone can tell whether it was written whole
+	made, since time.Time       // when it was begun, and when it was last in use
+	owes        time.Time       // when the first call was written that no word has come after; zero: none
 }
 
 // Call sends an attempt. An error means that nothing was or will be sent, and done is not called.
-func (l *Link) Call(a Attempt, done func(Result)) (*Job, error) {
+func (l *Pool) Call(a Attempt, done func(Result)) (*PendingRequest, error) {
 	fields := func(now time.Time) string {
-		left := max(1, a.Until.Sub(now).Milliseconds())
+		left := max(1, a.Deadline.Sub(now).Milliseconds())
 		return "profile=" + a.Class + ",thing=" + a.Function + ",max=" + strconv.FormatInt(left, 10)
 	}
-	j := &Job{id: a.ID, code: codeCall, fields: fields, body: a.Body, until: a.Until, begin: a.Until, over: a.Over, done: done}
-	if !a.Begin.IsZero() && a.Begin.Before(a.Until) {
-		j.begin = a.Begin
+	j := &PendingRequest{id: a.ID, code: codeCall, fields: fields, body: a.Body, until: a.Deadline, begin: a.Deadline, over: a.Abandoned, done: done}
+	if !a.StartBy.IsZero() && a.StartBy.Before(a.Deadline) {
+		j.begin = a.StartBy
 	}
 	return l.send(j)
 }
 
 // Load orders that the worker hold at least so many copies of a function; 0 only asks. It is not begun after begin.
-func (l *Link) Load(function string, copies int, begin, until time.Time, done func(Result)) (*Job, error) {
+func (l *Pool) Load(function string, copies int, begin, until time.Time, done func(Result)) (*PendingRequest, error) {
 	fields := func(time.Time) string { return fmt.Sprintf("thing=%s,n=%d", function, copies) }
-	return l.send(&Job{id: rand.Uint64(), code: codeLoad, fields: fields, until: until, begin: begin, done: done})
+	return l.send(&PendingRequest{id: rand.Uint64(), code: codeLoad, fields: fields, until: until, begin: begin, done: done})
 }
 
 // Drop has the idle copies of a function unloaded. There is no answer.
-func (l *Link) Drop(function string, until time.Time) error {
+func (l *Pool) Unload(function string, until time.Time) error {
 	id, err := strconv.ParseUint(function, 16, 64)
 	if err != nil {
 		return err
 	}
-	_, err = l.send(&Job{id: id, code: codeDrop, fields: func(time.Time) string { return "" }, until: until, begin: until})
+	_, err = l.send(&PendingRequest{id: id, code: codeDrop, fields: func(time.Time) string { return "" }, until: until, begin: until})
 	return err
 }
 
-func (l *Link) send(j *Job) (*Job, error) {
+func (l *Pool) send(j *PendingRequest) (*PendingRequest, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.put(j)
 }
 
 // put queues a job, with l locked.
-func (l *Link) put(j *Job) (*Job, error) {
+func (l *Pool) put(j *PendingRequest) (*PendingRequest, error) {
 	if l.gone {
 		return nil, errGone
 	}
@@ -192,37 +194,37 @@
 
 // pick finds a connection for a job: an idle one, else a new one where that is worth its price, else that with the
 // fewest open. Peers may cut a connection or spoil an answer at any time, and whatever is open there then fails with it.
-func (l *Link) pick(j *Job) *conn {
+func (l *Pool) pick(j *PendingRequest) *conn {
 	l.closeIdle(time.Now()) // the tick that does so may be late, and the worker's own close would cross the call
 	var best *conn
 	for _, c := range l.conns {
 		_, used := c.spent[j.id]
-		if !c.shut && !c.stale && c.open[j.id] == nil && !used && len(c.open) < l.config.Streams &&
+		if !c.shut && !c.stale && c.open[j.id] == nil && !used && len(c.open) < l.config.MaxStreams &&
 			(best == nil || len(c.open) < len(best.open)) {
 			best = c
 		}
 	}
-	if best != nil && (len(best.open) == 0 || !l.config.Wear.apart()) || len(l.conns) >= l.config.Connections {
+	if best != nil && (len(best.open) == 0 || !l.config.BreakRate.apart()) || len(l.conns) >= l.config.MaxConns {
 		return best
 	}
-	if l.config.Room.left.Add(-1) < 0 && len(l.conns) > 0 {
-		l.config.Room.left.Add(1)
+	if l.config.ConnLimit.left.Add(-1) < 0 && len(l.conns) > 0 {
+		l.config.ConnLimit.left.Add(1)
 		return best
 	}
 	now := time.Now()
-	c := &conn{link: l, out: make(chan *Job, 4*l.config.Streams), closed: make(chan struct{}),
-		open: map[uint64]*Job{}, spent: map[uint64]time.Time{}, made: now, since: now}
+	c := &conn{link: l, out: make(chan *PendingRequest, 4*l.config.MaxStreams), closed: make(chan struct{}),
+		open: map[uint64]*PendingRequest{}, spent: map[uint64]time.Time{}, made: now, since: now}
 	l.conns = append(l.conns, c)
-	l.config.Wear.count(1, 0)
+	l.config.BreakRate.count(1, 0)
 	go c.run(now.Add(l.config.DialTimeout))
 	return c
 }
 
 // early is when this side closes an idle connection.
-func (c *Config) early() time.Duration { return time.Duration(closeEarly * float64(c.IdleClose)) }
+func (c *Config) early() time.Duration { return time.Duration(closeEarly * float64(c.IdleTimeout)) }
 
 // closeIdle closes the connections that are of no further use, with l locked.
-func (l *Link) closeIdle(now time.Time) {
+func (l *Pool) closeIdle(now time.Time) {
 	for _, c := range slices.Clone(l.conns) {
 		if len(c.open) == 0 && len(c.out) == 0 && c.writing == nil && (c.stale || l.gone || now.Sub(c.since) > l.config.early()) {
 			c.shutdown()
@@ -232,7 +234,7 @@
 
 // GiveUp ends the wait for a job and tells whether any of it was written. Its done is not called any more,
 // unless it is being called already.
-func (l *Link) GiveUp(j *Job) bool {
+func (l *Pool) Cancel(j *PendingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := j.conn
@@ -262,7 +264,7 @@
 }
 
 // Idle tells whether nothing is open on any connection.
-func (l *Link) Idle() bool {
+func (l *Pool) Idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !slices.ContainsFunc(l.conns, func(c *conn) bool { return len(c.open) > 0 })
@@ -270,7 +272,7 @@
 
 // Drain notes word that the worker drains, or is gone. Nothing begins there any more, not even what has waited here:
 // at a gone worker's address another one may listen by now.
-func (l *Link) Drain(gone bool) {
+func (l *Pool) MarkUnavailable(gone bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining, l.gone = true, gone
@@ -279,7 +281,7 @@
 
 // Ready notes word that the worker takes calls, and when it last started, in Unix time; 0: long ago. What was connected
 // to an earlier run of it leads nowhere: a machine that was lost never closed those connections.
-func (l *Link) Ready(started time.Duration) {
+func (l *Pool) MarkReady(started time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining, l.gone = false, false
@@ -290,7 +292,7 @@
 }
 
 // Close breaks all connections; what is open on them may have run.
-func (l *Link) Close() {
+func (l *Pool) Close() {
 	l.mu.Lock()
 	conns := slices.Clone(l.conns)
 	l.mu.Unlock()
@@ -330,10 +332,10 @@
 	}
 }
 
-func (c *conn) write(j *Job) {
+func (c *conn) write(j *PendingRequest) {
 	l, now := c.link, time.Now()
 	l.mu.Lock()
-	data, never := []byte(nil), Result{Status: rules.Moot}
+	data, never := []byte(nil), Result{Status: balancer.NotSent}
 	switch {
 	case c.shut || j.ended && j.written.IsZero():
 	case j.ended:
@@ -342,7 +344,7 @@
 	// come, while the job waited for its connection.
 	case l.draining, j.late(now):
 		if j.code == codeLoad {
-			never.Status = rules.Full
+			never.Status = balancer.Rejected
 		}
 		l.mu.Unlock()
 		c.finish(j, never)
@@ -394,7 +396,7 @@
 		c.link.mu.Lock()
 		j := c.open[f.id]
 		c.link.heard, c.since, c.owes = now, now, time.Time{}
-		if j != nil && result.Status != rules.OK { // the call may come here again, and this answer too
+		if j != nil && result.Status != balancer.OK { // the call may come here again, and this answer too
 			c.spent[f.id] = now
 		}
 		c.link.mu.Unlock()
@@ -408,21 +410,21 @@
 	}
 }
 
-var statuses = map[byte]rules.Status{codeOK: rules.OK, codeMiss: rules.Miss, codeFull: rules.Full,
-	codeError: rules.Failed, codeOver: rules.Moot, codeConnection: rules.OK}
+var statuses = map[byte]balancer.Status{codeOK: balancer.OK, codeMiss: balancer.Miss, codeFull: balancer.Rejected,
+	codeError: balancer.Failed, codeOver: balancer.NotSent, codeConnection: balancer.OK}
 
-var remarks = map[string]rules.Warmth{"hot": rules.FoundLoaded, "started": rules.BeganLoad,
-	"waited": rules.WaitedForLoad, "broken": rules.LoadFailed}
+var remarks = map[string]balancer.Warmth{"hot": balancer.WarmthLoaded, "started": balancer.WarmthStartedLoad,
+	"waited": balancer.WarmthWaitedForLoad, "broken": balancer.WarmthLoadFailed}
 
 func (f frame) result() (Result, bool) {
 	status, ok := statuses[f.code]
 	crowd, _ := strconv.Atoi(cmp.Or(f.field("same"), "0"))
 	copies, _ := strconv.Atoi(cmp.Or(f.field("n"), "0"))
-	return Result{Status: status, Warmth: remarks[f.field("remark")], Crowd: crowd, Copies: copies, Body: f.body}, ok
+	return Result{Status: status, Warmth: remarks[f.field("remark")], QueueDepth: crowd, Copies: copies, Body: f.body}, ok
 }
 
 // finish ends a job once.
-func (c *conn) finish(j *Job, r Result) {
+func (c *conn) finish(j *PendingRequest, r Result) {
 	c.link.mu.Lock()
 	first := c.settle(j)
 	c.link.mu.Unlock()
@@ -433,7 +435,7 @@
 
 // settle marks a job as ended, with the link locked, and tells whether it was open until now. A later job may
 // bear its id by then, and stays open.
-func (c *conn) settle(j *Job) bool {
+func (c *conn) settle(j *PendingRequest) bool {
 	first := !j.ended
 	j.ended = true
 	if c.open[j.id] == j {
@@ -450,7 +452,7 @@
 	c.shut = true
 	close(c.closed)
 	c.link.conns = slices.DeleteFunc(c.link.conns, func(o *conn) bool { return o == c })
-	c.link.config.Room.left.Add(1)
+	c.link.config.ConnLimit.left.Add(1)
 	if c.net != nil {
 		c.net.Close()
 	}
@@ -459,7 +461,7 @@
 // end closes the connection and ends what is open on it. What was not written whole never ran: it goes to another
 // connection, once, unless this one never came up. All else may have run. A frame under way is left to its writer,
 // which ends the connection again and knows how far it came.
-func (c *conn) end(err error, partial *Job) {
+func (c *conn) end(err error, partial *PendingRequest) {
 	l := c.link
 	l.mu.Lock()
 	if !c.shut && (c.net == nil || errors.Is(err, errFrame) || errors.Is(err, os.ErrDeadlineExceeded)) {
@@ -467,11 +469,11 @@
 	}
 	up := c.net != nil && !l.gone
 	if up && !c.shut && len(c.open) > 0 { // not by this side
-		l.config.Wear.count(0, 1)
+		l.config.BreakRate.count(0, 1)
 	}
 	c.shutdown()
 	open := c.open
-	c.open = map[uint64]*Job{}
+	c.open = map[uint64]*PendingRequest{}
 	if j := c.writing; j != nil && open[j.id] == j {
 		delete(open, j.id)
 		c.open[j.id] = j
@@ -482,16 +484,16 @@
 		if never && up && !j.again && l.move(j) {
 			continue
 		}
-		status := rules.Reset
+		status := balancer.Reset
 		if never {
-			status = rules.ConnectFailed
+			status = balancer.ConnectFailed
 		}
 		c.finish(j, Result{Status: status})
 	}
 }
 
 // move sends a job that was not written on another connection, and tells whether it could.
-func (l *Link) move(j *Job) bool {
+func (l *Pool) move(j *PendingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if j.ended {
