--- /dev/null
+++ b/internal/dispatch/bench_test.go
@@ -0,0 +1,50 @@
+package dispatch_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"kitefall/internal/call"
+	"kitefall/internal/dispatch"
+	"kitefall/internal/fakes"
+)
+
+// BenchmarkCoreRequest measures one request from Submit to its final answer: one that a worker on loopback serves, and
+// one that is past its deadline, which the balancer answers without a worker.
+func BenchmarkCoreRequest(b *testing.B) {
+	settings := fakes.Settings()
+	settings.LoadOrders = false
+
+	b.Run("served", func(b *testing.B) {
+		worker := fakes.NewWorker(b)
+		worker.Serve(func(c *fakes.Call) { c.OK("done") })
+		core := fakes.NewCoreWithSettings(b, settings, worker)
+		b.Cleanup(core.Stop)
+		benchmarkRequests(b, core, time.Minute, call.Served)
+	})
+	b.Run("past deadline", func(b *testing.B) {
+		core := fakes.NewCoreWithSettings(b, settings, fakes.NewWorker(b))
+		b.Cleanup(core.Stop)
+		benchmarkRequests(b, core, -time.Second, call.Rejected)
+	})
+}
+
+// benchmarkRequests submits one request after the other, each with the given time left, and expects the outcome.
+func benchmarkRequests(b *testing.B, core *dispatch.Core, timeLeft time.Duration, want call.Outcome) {
+	answered := make(chan call.Answer, 1)
+	body := []byte("payload")
+	done := func(a call.Answer) { answered <- a }
+	id := uint64(0)
+	b.ReportAllocs()
+	for b.Loop() {
+		id++
+		_, err := core.Submit(&call.Call{ID: id, Class: "reserva", Function: "7f3a9c21e0b4d655", Body: body,
+			Deadline: time.Now().Add(timeLeft), Done: done})
+		require.NoError(b, err)
+		if answer := <-answered; answer.Outcome != want {
+			b.Fatalf("outcome %d, want %d", answer.Outcome, want)
+		}
+	}
+}
