--- /dev/null
+++ b/internal/dispatch/actions.go
@@ -0,0 +1,57 @@
+package dispatch
+
+import (
+	"fmt"
+	"log/slog"
+	"time"
+
+	"kitefall/internal/balancer"
+	"kitefall/internal/call"
+)
+
+// requestBalancer is what the core needs of a balancer.Balancer.
+type requestBalancer interface {
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
+}
+
+// notifyBalancer delivers an event to the balancer and carries out the actions that it returns. An action may call
+// notifyBalancer in turn: such events are delivered after the current one, by the outermost call.
+func (c *Core) notifyBalancer(e balancer.Event) {
+	c.balancerEvents = append(c.balancerEvents, e)
+	if len(c.balancerEvents) > 1 {
+		return
+	}
+	for len(c.balancerEvents) > 0 {
+		// The balancer's time never goes back; the system's clock may.
+		c.balancerTime = max(c.balancerTime, time.Duration(time.Now().UnixNano()))
+		for _, action := range c.balancer.Handle(c.balancerTime, c.balancerEvents[0]) {
+			c.carryOut(action)
+		}
+		c.balancerEvents = c.balancerEvents[1:]
+	}
+	c.balancerEvents = nil
+}
+
+// carryOut executes one action of the balancer.
+func (c *Core) carryOut(action balancer.Action) {
+	switch a := action.(type) {
+	case balancer.Send:
+		c.startAttempt(a)
+	case balancer.Cancel:
+		c.cancelAttempt(a)
+	case balancer.Reject:
+		c.answer(c.requests[a.ID], call.Answer{Outcome: call.Rejected, RetryAfter: a.RetryAfter})
+	case balancer.Fail:
+		c.answer(c.requests[a.ID], call.Answer{Outcome: call.Failed})
+	case balancer.Load:
+		c.startLoad(a)
+	case balancer.Unload:
+		c.unload(a)
+	case balancer.SetTimer:
+		c.timers.add(time.Now().Add(a.After), balancerTimerFired{id: a.TimerID})
+	case balancer.Log:
+		slog.Info("balancer: " + a.Text)
+	default: // Watch and Fetch: the watcher of the endpoint list takes no orders from the core
+		slog.Error("core: unsupported balancer action", "action", fmt.Sprintf("%T", a))
+	}
+}
--- /dev/null
+++ b/internal/dispatch/attempts.go
@@ -0,0 +1,197 @@
+package dispatch
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"kitefall/internal/balancer"
+	"kitefall/internal/call"
+	"kitefall/internal/logthrottle"
+	"kitefall/internal/worker"
+)
+
+// notPersistedLog throttles the log line of calls that end before their first attempt: a client that cancels at that
+// moment causes it.
+var notPersistedLog = logthrottle.New()
+
+// attemptState is how far an attempt has come.
+type attemptState int
+
+const (
+	attemptPreparing  attemptState = iota // not yet handed to a pool; BeforeFirstAttempt may be running
+	attemptInFlight                       // handed to the worker's pool
+	attemptNotRun                         // ended; the worker did not run it
+	attemptMayHaveRun                     // ended; the worker may have run it
+)
+
+// attemptTransitions lists the states that may follow each state. The last two are final.
+var attemptTransitions = [...][]attemptState{
+	attemptPreparing:  {attemptInFlight, attemptNotRun},
+	attemptInFlight:   {attemptNotRun, attemptMayHaveRun},
+	attemptNotRun:     nil,
+	attemptMayHaveRun: nil,
+}
+
+// attempt is one attempt of a request at one worker.
+type attempt struct {
+	request  *request
+	number   int // from 0, in the order of the balancer's Send actions
+	workerID balancer.WorkerID
+	state    attemptState
+	created  time.Time
+	deadline time.Time // the attempt times out then
+	startBy  time.Time // it must not start after this; zero: it may start until its deadline
+
+	// Set from attemptInFlight on.
+
+	pool    *worker.Pool
+	pending *worker.PendingRequest
+	timeout *timer
+}
+
+// setState moves the attempt to a state and reports whether that may follow the current one. It may not where the
+// attempt has ended already, as when a worker's answer crosses a time-out.
+func (a *attempt) setState(next attemptState) bool {
+	if !slices.Contains(attemptTransitions[a.state], next) {
+		return false
+	}
+	a.state = next
+	return true
+}
+
+// mayHaveRun reports whether the worker may have run the attempt, or may still be running it.
+func (a *attempt) mayHaveRun() bool {
+	return a.state == attemptInFlight || a.state == attemptMayHaveRun
+}
+
+// finalState returns the state of an attempt that ended with a status.
+func finalState(status balancer.Status) attemptState {
+	switch status {
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent, balancer.Miss:
+		return attemptNotRun
+	default:
+		return attemptMayHaveRun
+	}
+}
+
+// startAttempt carries out the balancer's Send.
+func (c *Core) startAttempt(send balancer.Send) {
+	r := c.requests[send.ID]
+	if r == nil {
+		return
+	}
+	now := time.Now()
+	a := &attempt{request: r, number: len(r.attempts), workerID: send.Worker, created: now, deadline: r.call.Deadline}
+	if send.Timeout > 0 && now.Add(send.Timeout).Before(a.deadline) {
+		a.deadline = now.Add(send.Timeout)
+	}
+	if send.StartWithin > 0 {
+		a.startBy = now.Add(send.StartWithin)
+	}
+	r.attempts = append(r.attempts, a)
+	r.activeAttempts++
+	if r.prepared {
+		c.sendAttempt(a)
+		return
+	}
+	// On a goroutine of its own, since BeforeFirstAttempt may wait for a disk. The goroutine ends when that returns;
+	// Stop does not wait for it.
+	go func() {
+		err := r.call.BeforeFirstAttempt()
+		c.post(attemptPrepared{attempt: a, err: err})
+	}()
+}
+
+// onAttemptPrepared sends an attempt, or rejects its call where BeforeFirstAttempt failed.
+func (c *Core) onAttemptPrepared(a *attempt, err error) {
+	r := a.request
+	if err != nil && !r.closed {
+		notPersistedLog.Log(slog.LevelWarn, "core: call rejected, it could not be persisted", "call", r.logID(), "err", err)
+		c.answer(r, call.Answer{Outcome: call.Rejected})
+		c.notifyBalancer(balancer.ClientGoneEvent{ID: r.id})
+	}
+	r.prepared = err == nil
+	c.sendAttempt(a)
+}
+
+// sendAttempt hands an attempt to the pool of its worker. The request may have ended while the attempt was prepared.
+func (c *Core) sendAttempt(a *attempt) {
+	if a.state != attemptPreparing {
+		return
+	}
+	r := a.request
+	e := c.endpoints[a.workerID]
+	if e == nil || r.handle.finished.Load() || !time.Now().Before(a.deadline) {
+		c.endAttempt(a, worker.Result{Status: balancer.NotSent})
+		return
+	}
+	outgoing := worker.Attempt{
+		ID:        r.call.ID,
+		Class:     r.call.Class,
+		Function:  r.call.Function,
+		Body:      r.call.Body,
+		Deadline:  a.deadline,
+		StartBy:   a.startBy,
+		Abandoned: r.handle.finished.Load,
+	}
+	pending, err := e.pool.Call(outgoing, func(result worker.Result) {
+		c.post(attemptEnded{attempt: a, result: result})
+	})
+	if err != nil { // no room in the pool: the worker is not to blame, so this is not ConnectFailed
+		c.endAttempt(a, worker.Result{Status: balancer.NotSent})
+		return
+	}
+	a.setState(attemptInFlight)
+	a.pool = e.pool
+	a.pending = pending
+	a.timeout = c.timers.add(a.deadline, attemptTimedOut{attempt: a})
+}
+
+// cancelAttempt carries out the balancer's Cancel.
+func (c *Core) cancelAttempt(cancel balancer.Cancel) {
+	r := c.requests[cancel.ID]
+	if r == nil || cancel.Attempt < 0 || cancel.Attempt >= len(r.attempts) {
+		return
+	}
+	c.stopAttempt(r.attempts[cancel.Attempt], balancer.Cancelled)
+}
+
+// stopAttempt stops waiting for an attempt. It ends with the status, or as not sent where the worker never saw it.
+func (c *Core) stopAttempt(a *attempt, status balancer.Status) {
+	switch a.state {
+	case attemptPreparing:
+		status = balancer.NotSent
+	case attemptInFlight:
+		if written := a.pool.Cancel(a.pending); !written {
+			status = balancer.NotSent
+		}
+	default: // it has ended already
+		return
+	}
+	c.endAttempt(a, worker.Result{Status: status})
+}
+
+// endAttempt takes in the result of an attempt, unless the attempt has ended already.
+func (c *Core) endAttempt(a *attempt, result worker.Result) {
+	if !a.setState(finalState(result.Status)) {
+		return
+	}
+	r := a.request
+	r.activeAttempts--
+	c.timers.remove(a.timeout)
+	if result.Status == balancer.OK {
+		c.answer(r, call.Answer{Outcome: call.Served, Body: result.Body})
+	}
+	c.removeIfDone(r)
+	c.notifyBalancer(balancer.OutcomeEvent{
+		ID:         r.id,
+		Attempt:    a.number,
+		Worker:     a.workerID,
+		Status:     result.Status,
+		Elapsed:    time.Since(a.created),
+		Answered:   r.closed,
+		Warmth:     result.Warmth,
+		QueueDepth: result.QueueDepth,
+	})
+}
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -40,7 +40,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		_, err := core.Submit(&call.Call{ID: id, Class: "reserva", Function: "7f3a9c21e0b4d655", Body: body,
+		_, err := core.Submit(&call.Call{ID: id, Class: "reserva", Function: testFunction, Body: body,
 			Deadline: time.Now().Add(timeLeft), Done: done})
 		require.NoError(b, err)
 		if answer := <-answered; answer.Outcome != want {
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -14,44 +14,72 @@
 	"kitefall/internal/worker"
 )
 
-// On a long day workers are replaced by others all the time, and calls come and go: nothing of them may stay.
-func TestNothingStaysOfWhatHasLeft(t *testing.T) {
-	c, err := New(Config{MaxInFlight: 10, MaxBodyBytes: 1 << 20, Pool: worker.Config{ConnLimit: worker.NewConnLimit(4)},
-		Settings: balancer.Settings{DrainGrace: time.Second, Classes: []balancer.Class{{Name: "consulta",
-			LatencyObjective: time.Second, Deadline: time.Second}}}})
+const testFunction = "7f3a9c21e0b4d655"
+
+// newStoppedCore returns a core whose event loop does not run: the test calls what the loop would.
+func newStoppedCore(t *testing.T, maxConns int, settings balancer.Settings) *Core {
+	t.Helper()
+	c, err := New(Config{
+		MaxInFlight:  10,
+		MaxBodyBytes: 1 << 20,
+		Pool:         worker.Config{ConnLimit: worker.NewConnLimit(maxConns)},
+		Settings:     settings,
+	})
 	require.NoError(t, err)
+	return c
+}
+
+// idempotentSettings are settings with one class, whose requests may be repeated.
+func idempotentSettings() balancer.Settings {
+	return balancer.Settings{
+		DrainGrace: time.Second,
+		Classes:    []balancer.Class{{Name: "consulta", LatencyObjective: time.Second, Deadline: time.Second}},
+	}
+}
+
+// newEndpoint returns a ready worker at an address where nothing listens.
+func newEndpoint(id balancer.WorkerID) discovery.Endpoint {
+	return discovery.Endpoint{Addr: "127.0.0.1:1", Worker: balancer.Worker{ID: id, Weight: 1}}
+}
+
+// In long operation workers are replaced by others all the time, and calls come and go: no state of them may remain.
+func TestNoStateRemainsOfRemovedWorkersAndAnsweredCalls(t *testing.T) {
+	c := newStoppedCore(t, 4, idempotentSettings())
 	for i := range 100 {
-		e := discovery.Endpoint{Addr: "127.0.0.1:1", Worker: balancer.Worker{ID: balancer.WorkerID(fmt.Sprint("s-", i)), Weight: 1}}
-		c.onList(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: []discovery.Endpoint{e}})
-		e.State = balancer.Removed
-		c.onList(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: []discovery.Endpoint{e}})
+		endpoint := newEndpoint(balancer.WorkerID(fmt.Sprint("s-", i)))
+		c.updateEndpoints(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: []discovery.Endpoint{endpoint}})
+		endpoint.State = balancer.Removed
+		c.updateEndpoints(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: []discovery.Endpoint{endpoint}})
 	}
-	assert.Empty(t, c.links)
-	before := len(c.timers)
+	assert.Empty(t, c.endpoints)
+
+	timersBefore := c.timers.len()
 	for range 100 {
 		answered := false
-		k := &call.Call{Class: "consulta", Function: "7f3a9c21e0b4d655", Deadline: time.Now().Add(time.Hour),
+		submitted := &call.Call{Class: "consulta", Function: testFunction, Deadline: time.Now().Add(time.Hour),
 			Done: func(call.Answer) { answered = true }}
-		c.open.Add(1)
-		c.accept(k, &Handle{core: c})
-		c.answer(c.calls[c.last], call.Answer{Outcome: call.Failed})
+		c.inFlight.Add(1)
+		c.accept(submitted, &Handle{core: c})
+		c.answer(c.requests[c.lastID], call.Answer{Outcome: call.Failed})
 		require.True(t, answered)
 	}
-	assert.Empty(t, c.calls)
-	assert.LessOrEqual(t, len(c.timers), before+1, "the module's own timer")
+	assert.Empty(t, c.requests)
+	assert.LessOrEqual(t, c.timers.len(), timersBefore+1, "the balancer's own timer")
 }
 
-// That a link has no room is this side's own affair. Taken for a connection that failed, it left the worker out.
-func TestNoRoomOnALinkSaysNothingOfTheWorker(t *testing.T) {
-	c, err := New(Config{MaxInFlight: 10, MaxBodyBytes: 1 << 20, Pool: worker.Config{ConnLimit: worker.NewConnLimit(0)},
-		Settings: balancer.Settings{DrainGrace: time.Second, MaxAttempts: 4, Classes: []balancer.Class{{Name: "reserva",
-			Idempotency: balancer.NotIdempotent, LatencyObjective: time.Second, Deadline: time.Second}}}})
-	require.NoError(t, err)
-	c.onList(discovery.Update{Scope: balancer.ScopeFull, Endpoints: []discovery.Endpoint{{Addr: "127.0.0.1:1",
-		Worker: balancer.Worker{ID: "s-1", Weight: 1}}}})
+// That a pool has no room does not come from the worker. Reported as a failed connection, it got the worker ejected.
+func TestPoolWithoutRoomDoesNotCountAgainstWorker(t *testing.T) {
+	c := newStoppedCore(t, 0, balancer.Settings{
+		DrainGrace:  time.Second,
+		MaxAttempts: 4,
+		Classes: []balancer.Class{{Name: "reserva", Idempotency: balancer.NotIdempotent, LatencyObjective: time.Second,
+			Deadline: time.Second}},
+	})
+	c.updateEndpoints(discovery.Update{Scope: balancer.ScopeFull, Endpoints: []discovery.Endpoint{newEndpoint("s-1")}})
 	for range 2 {
-		c.accept(&call.Call{Class: "reserva", Function: "7f3a9c21e0b4d655", Deadline: time.Now().Add(time.Hour),
-			Done: func(call.Answer) {}}, &Handle{core: c})
-		assert.Len(t, c.calls[c.last].attempts, 1, "it is tried there")
+		submitted := &call.Call{Class: "reserva", Function: testFunction, Deadline: time.Now().Add(time.Hour),
+			Done: func(call.Answer) {}}
+		c.accept(submitted, &Handle{core: c})
+		assert.Len(t, c.requests[c.lastID].attempts, 1, "it is attempted at the worker")
 	}
 }
--- a/internal/dispatch/crossing_test.go
+++ b/internal/dispatch/crossing_test.go
@@ -15,128 +15,167 @@
 	"kitefall/internal/worker"
 )
 
+const testFunction = "7f3a9c21e0b4d655"
+
 func newCall(id uint64, body string, done func(call.Answer)) *call.Call {
-	return &call.Call{ID: id, Class: "reserva", Function: "7f3a9c21e0b4d655", Body: []byte(body),
+	return &call.Call{ID: id, Class: "reserva", Function: testFunction, Body: []byte(body),
 		Deadline: time.Now().Add(4 * time.Second), Done: done}
 }
 
-// The client leaves while its call waits in the owner's queue, and the owner is late: nothing of the call begins, though
-// the owner hears of the call before it hears of its end. Whether the site lets attempts be called off makes no difference.
-func TestCallGivenUpInTheQueueDoesNotBegin(t *testing.T) {
-	for _, cancel := range []bool{true, false} {
-		w := fakes.NewWorker(t)
-		s := fakes.Settings()
-		s.CanCancel, s.LoadOrders = cancel, false // no wait for a load before the first byte
-		core := fakes.NewCoreWithSettings(t, s, w)
-		t.Cleanup(core.Stop)
-		late, seen := make(chan bool), make(chan string, 1)
-		core.Post(func() { <-late })
-		gone, err := core.Submit(newCall(1, "gone", func(call.Answer) { t.Error("answered, though its client had left") }))
-		require.NoError(t, err)
-		answered := make(chan call.Answer, 1)
-		_, err = core.Submit(newCall(2, "stays", func(a call.Answer) { answered <- a }))
-		require.NoError(t, err)
-		core.Post(func() { seen <- w.Next().Body }) // before the owner hears that the first has gone
-		gone.Cancel()
-		close(late)
-		assert.Equal(t, "stays", <-seen)
-		require.Eventually(t, func() bool { return core.InFlight() == 1 }, time.Until(fakes.Deadline()), time.Millisecond)
+// startCore starts a core that knows the workers, and stops it when the test ends.
+func startCore(t *testing.T, settings balancer.Settings, workers ...*fakes.Worker) *dispatch.Core {
+	t.Helper()
+	core := fakes.NewCoreWithSettings(t, settings, workers...)
+	t.Cleanup(core.Stop)
+	return core
+}
+
+// startHookedCore starts a core that knows one worker, with a hook before its balancer.
+func startHookedCore(t *testing.T, settings balancer.Settings, pool worker.Config, w *fakes.Worker,
+	observe func(balancer.Event)) (*dispatch.Core, *dispatch.BalancerHook) {
+	t.Helper()
+	core, err := dispatch.New(dispatch.Config{Settings: settings, Seed: 1, Pool: pool, MaxInFlight: 100, MaxBodyBytes: 1 << 20})
+	require.NoError(t, err)
+	hook := dispatch.HookBalancer(core, observe)
+	go core.Run()
+	t.Cleanup(core.Stop)
+	core.UpdateEndpoints(fakes.Endpoints(w))
+	return core, hook
+}
+
+// submit hands in a call, which must be accepted.
+func submit(t *testing.T, core *dispatch.Core, submitted *call.Call) *dispatch.Handle {
+	t.Helper()
+	handle, err := core.Submit(submitted)
+	require.NoError(t, err)
+	return handle
+}
+
+// The client cancels while its call is queued, and the event loop is late: no attempt of the call starts, though the loop
+// learns of the call before it learns of its end. Whether the settings allow to cancel attempts makes no difference.
+func TestCallCancelledInTheQueueDoesNotStart(t *testing.T) {
+	for name, canCancel := range map[string]bool{"attempts can be cancelled": true, "attempts cannot be cancelled": false} {
+		t.Run(name, func(t *testing.T) {
+			w := fakes.NewWorker(t)
+			settings := fakes.Settings()
+			settings.CanCancel = canCancel
+			settings.LoadOrders = false // no wait for a load before the first attempt
+			core, hook := startHookedCore(t, settings, fakes.PoolConfig(), w, func(balancer.Event) {})
+
+			resume := make(chan bool)
+			hook.Inject(func() []balancer.Action { <-resume; return nil })
+			cancelled := submit(t, core, newCall(1, "cancelled", func(call.Answer) { t.Error("answered, though its client had cancelled") }))
+			submit(t, core, newCall(2, "waiting", func(call.Answer) {}))
+			firstBody := make(chan string, 1)
+			// Before the loop learns that the first call is cancelled.
+			hook.Inject(func() []balancer.Action { firstBody <- w.Next().Body; return nil })
+			cancelled.Cancel()
+			close(resume)
+
+			assert.Equal(t, "waiting", <-firstBody)
+			oneInFlight := func() bool { return core.InFlight() == 1 }
+			require.Eventually(t, oneInFlight, time.Until(fakes.Deadline()), time.Millisecond)
+		})
 	}
 }
 
-// A call that another attempt has answered is over also where the site lets none be called off: what still waits for a
-// connection must not begin.
-func TestAnsweredCallBeginsNothingMore(t *testing.T) {
+// A call that another attempt has answered is finished also where the settings do not allow to cancel attempts: one that
+// still waits for a connection must not start.
+func TestAnsweredCallStartsNoMoreAttempts(t *testing.T) {
 	w := fakes.NewWorker(t)
-	s := fakes.Settings()
-	s.CanCancel = false
-	core := fakes.NewCoreWithSettings(t, s, w)
-	t.Cleanup(core.Stop)
+	settings := fakes.Settings()
+	settings.CanCancel = false
+	core := startCore(t, settings, w)
 	answered := make(chan call.Answer, 1)
-	h, err := core.Submit(newCall(1, "x", func(a call.Answer) { answered <- a }))
-	require.NoError(t, err)
+	handle := submit(t, core, newCall(1, "x", func(a call.Answer) { answered <- a }))
 	w.Next().OK("done")
 	assert.Equal(t, call.Served, (<-answered).Outcome)
-	assert.True(t, h.Over())
+	assert.True(t, handle.Finished())
 }
 
-// ordering starts a core that knows one worker, and returns how each of its orders ends.
-func ordering(t *testing.T, links worker.Config) (*dispatch.Core, *fakes.Worker, chan balancer.LoadEndedEvent) {
-	w := fakes.NewWorker(t)
-	core, err := dispatch.New(dispatch.Config{Settings: fakes.Settings(), Seed: 1, Pool: links, MaxInFlight: 100, MaxBodyBytes: 1 << 20})
-	require.NoError(t, err)
-	loaded := make(chan balancer.LoadEndedEvent, 16)
-	core.Tap(func(e balancer.Event) {
-		if l, ok := e.(balancer.LoadEndedEvent); ok {
-			loaded <- l
+// loadOrderer has a core send load orders to its one worker.
+type loadOrderer struct {
+	hook  *dispatch.BalancerHook
+	id    balancer.WorkerID
+	ended chan balancer.LoadEndedEvent
+}
+
+func newLoadOrderer(t *testing.T, pool worker.Config, w *fakes.Worker) *loadOrderer {
+	t.Helper()
+	orderer := &loadOrderer{id: fakes.Endpoints(w).Endpoints[0].ID, ended: make(chan balancer.LoadEndedEvent, 16)}
+	_, orderer.hook = startHookedCore(t, fakes.Settings(), pool, w, func(e balancer.Event) {
+		if ended, ok := e.(balancer.LoadEndedEvent); ok {
+			orderer.ended <- ended
 		}
 	})
-	go core.Run()
-	t.Cleanup(core.Stop)
-	core.UpdateEndpoints(fakes.Endpoints(w))
-	return core, w, loaded
+	return orderer
+}
+
+// order sends a load order and returns the status with which it ends.
+func (o *loadOrderer) order(startWithin time.Duration) balancer.Status {
+	o.hook.Inject(func() []balancer.Action {
+		return []balancer.Action{balancer.Load{Worker: o.id, Function: testFunction, Copies: 1, StartWithin: startWithin}}
+	})
+	return (<-o.ended).Status
 }
 
-// An order that finds no room on this side says nothing of its worker: taken for a connection that failed, it left the
-// worker out of turn.
-func TestOrderWithoutRoomSaysNothingOfTheWorker(t *testing.T) {
-	links := fakes.PoolConfig()
-	links.MaxConns = 0
-	core, w, loaded := ordering(t, links)
-	core.Post(func() { core.Order(fakes.Endpoints(w).Endpoints[0].ID, "7f3a9c21e0b4d655", 0) })
-	assert.Equal(t, balancer.NotSent, (<-loaded).Status)
+// That a pool has no room for a load order does not come from the worker. Reported as a failed connection, it got the
+// worker ejected.
+func TestLoadOrderWithoutRoomDoesNotCountAgainstWorker(t *testing.T) {
+	pool := fakes.PoolConfig()
+	pool.MaxConns = 0
+	orderer := newLoadOrderer(t, pool, fakes.NewWorker(t))
+	assert.Equal(t, balancer.NotSent, orderer.order(0))
 }
 
-// An order begins within the time that the module's ration counts with, or not at all.
-func TestOrderCarriesTheTimeInWhichItMayBegin(t *testing.T) {
-	core, w, loaded := ordering(t, fakes.PoolConfig())
-	id := fakes.Endpoints(w).Endpoints[0].ID
-	for within, status := range map[time.Duration]balancer.Status{1: balancer.Rejected, time.Minute: balancer.OK} {
-		core.Post(func() { core.Order(id, "7f3a9c21e0b4d655", within) })
-		assert.Equal(t, status, (<-loaded).Status, "within %v", within)
+// A load order starts within the time that the balancer's load budget counts with, or not at all.
+func TestLoadOrderStartsWithinItsTimeOrNotAtAll(t *testing.T) {
+	w := fakes.NewWorker(t)
+	orderer := newLoadOrderer(t, fakes.PoolConfig(), w)
+	wantStatus := map[time.Duration]balancer.Status{1: balancer.Rejected, time.Minute: balancer.OK}
+	for startWithin, want := range wantStatus {
+		assert.Equal(t, want, orderer.order(startWithin), "start within %v", startWithin)
 	}
 	assert.Len(t, w.LoadOrderTimes(), 1)
 }
 
-// A change may name a worker without its address: the way to it stays, and with it what is open there.
-func TestChangeWithoutAnAddressKeepsTheWay(t *testing.T) {
+// A change of the endpoint list may leave out a worker's address: its connections stay, and with them what is in flight.
+func TestChangeWithoutAddressKeepsConnections(t *testing.T) {
 	w := fakes.NewWorker(t)
-	core := fakes.NewCore(t, w)
-	t.Cleanup(core.Stop)
-	first := make(chan call.Answer, 2)
-	_, err := core.Submit(newCall(1, "a", func(a call.Answer) { first <- a }))
-	require.NoError(t, err)
-	k := w.Next()
-	from := k.From()
-	k.OK("")
-	require.Equal(t, call.Served, (<-first).Outcome)
-	e := fakes.Endpoints(w).Endpoints[0]
-	e.Addr = ""
-	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: []discovery.Endpoint{e}})
-	_, err = core.Submit(newCall(2, "b", func(a call.Answer) { first <- a }))
-	require.NoError(t, err)
-	k = w.Next()
-	assert.Equal(t, from, k.From())
-	k.OK("")
-	require.Equal(t, call.Served, (<-first).Outcome)
+	core := startCore(t, fakes.Settings(), w)
+	answered := make(chan call.Answer, 2)
+	done := func(a call.Answer) { answered <- a }
+
+	submit(t, core, newCall(1, "a", done))
+	first := w.Next()
+	from := first.From()
+	first.OK("")
+	require.Equal(t, call.Served, (<-answered).Outcome)
+
+	endpoint := fakes.Endpoints(w).Endpoints[0]
+	endpoint.Addr = ""
+	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: []discovery.Endpoint{endpoint}})
+	submit(t, core, newCall(2, "b", done))
+	second := w.Next()
+	assert.Equal(t, from, second.From())
+	second.OK("")
+	require.Equal(t, call.Served, (<-answered).Outcome)
 }
 
-// A drain and a start under one uid in one list, and the other way round: the last word counts.
-func TestLastWordOfAListCounts(t *testing.T) {
+// Where one update names a worker as draining and as ready, the last entry counts, in either order.
+func TestLastEntryOfAnUpdateCounts(t *testing.T) {
 	w := fakes.NewWorker(t)
-	core := fakes.NewCore(t, w)
-	t.Cleanup(core.Stop)
+	core := startCore(t, fakes.Settings(), w)
 	ready := fakes.Endpoints(w).Endpoints[0]
-	drains := ready
-	drains.State = balancer.Draining
+	draining := ready
+	draining.State = balancer.Draining
 	answered := make(chan call.Answer, 1)
-	for i, list := range [][]discovery.Endpoint{{ready, drains}, {drains, ready}} {
-		core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: list})
-		k := newCall(uint64(i+1), "x", func(a call.Answer) { answered <- a })
-		k.Deadline = time.Now().Add(200 * time.Millisecond)
-		_, err := core.Submit(k)
-		require.NoError(t, err)
-		if list[1].State == balancer.Ready {
+	for i, endpoints := range [][]discovery.Endpoint{{ready, draining}, {draining, ready}} {
+		core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: endpoints})
+		submitted := newCall(uint64(i+1), "x", func(a call.Answer) { answered <- a })
+		submitted.Deadline = time.Now().Add(200 * time.Millisecond)
+		submit(t, core, submitted)
+		if endpoints[1].State == balancer.Ready {
 			w.Next().OK("")
 			assert.Equal(t, call.Served, (<-answered).Outcome)
 		} else {
@@ -146,26 +185,27 @@
 	}
 }
 
-// A whole list where a change was awaited: who is not in it is gone, also while a call waits for its connection there.
-func TestWholeListEndsWhatItDoesNotName(t *testing.T) {
+// A full list where a change was expected removes the workers that it does not name, also while a call waits for its
+// connection there.
+func TestFullListRemovesAbsentWorkers(t *testing.T) {
 	w, other := fakes.NewWorker(t), fakes.NewWorker(t)
-	core := fakes.NewCore(t, w)
-	t.Cleanup(core.Stop)
+	core := startCore(t, fakes.Settings(), w)
 	answered := make(chan call.Answer, 1)
+	done := func(a call.Answer) { answered <- a }
+
 	core.UpdateEndpoints(fakes.Endpoints(other))
-	_, err := core.Submit(newCall(1, "x", func(a call.Answer) { answered <- a }))
-	require.NoError(t, err)
+	submit(t, core, newCall(1, "x", done))
 	other.Next().OK("done")
 	assert.Equal(t, call.Served, (<-answered).Outcome)
-	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeFull}) // names nobody: what comes is refused, and the program goes on
-	k := newCall(2, "y", func(a call.Answer) { answered <- a })
-	k.Deadline = time.Now().Add(200 * time.Millisecond)
-	_, err = core.Submit(k)
-	require.NoError(t, err)
+
+	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeFull}) // names no worker: calls are rejected
+	submitted := newCall(2, "y", done)
+	submitted.Deadline = time.Now().Add(200 * time.Millisecond)
+	submit(t, core, submitted)
 	assert.Equal(t, call.Rejected, (<-answered).Outcome)
+
 	core.UpdateEndpoints(fakes.Endpoints(w))
-	_, err = core.Submit(newCall(3, "z", func(a call.Answer) { answered <- a }))
-	require.NoError(t, err)
+	submit(t, core, newCall(3, "z", done))
 	w.Next().OK("done")
 	assert.Equal(t, call.Served, (<-answered).Outcome)
 	assert.Zero(t, w.CallCount("x")+w.CallCount("y")+other.CallCount("y")+other.CallCount("z"))
--- /dev/null
+++ b/internal/dispatch/endpoints.go
@@ -0,0 +1,80 @@
+package dispatch
+
+import (
+	"log/slog"
+
+	"kitefall/internal/balancer"
+	"kitefall/internal/discovery"
+	"kitefall/internal/worker"
+)
+
+// endpoint is a worker's address and the connection pool for it.
+type endpoint struct {
+	addr    string
+	pool    *worker.Pool
+	removed bool // the worker is gone; the endpoint stays until its pool is idle
+}
+
+// updateEndpoints takes in an endpoint list or a change of it. Where it names a worker twice, the last entry counts.
+func (c *Core) updateEndpoints(update discovery.Update) {
+	listed := map[balancer.WorkerID]bool{}
+	workers := make([]balancer.Worker, 0, len(update.Endpoints))
+	for _, entry := range update.Endpoints {
+		listed[entry.ID] = true
+		workers = append(workers, entry.Worker)
+		c.updateEndpoint(entry)
+	}
+	if update.Scope != balancer.ScopeDelta {
+		c.markAbsentRemoved(listed)
+	}
+	c.deleteRemovedEndpoints()
+	slog.Info("core: endpoints updated", "scope", int(update.Scope), "entries", len(update.Endpoints), "workers", len(c.endpoints))
+	c.notifyBalancer(balancer.EndpointsEvent{Scope: update.Scope, Workers: workers})
+	c.endpointsKnown.Store(true)
+}
+
+// updateEndpoint brings the endpoint of one worker up to date.
+func (c *Core) updateEndpoint(entry discovery.Endpoint) {
+	e := c.endpointAt(entry.ID, entry.Addr)
+	e.removed = entry.State == balancer.Removed
+	if entry.State == balancer.Ready {
+		e.pool.MarkReady(entry.Started)
+	} else {
+		e.pool.MarkUnavailable(e.removed)
+	}
+}
+
+// endpointAt returns the endpoint of a worker at an address, and makes it where there is none. A change of the list may
+// leave the address out: then the known one stays.
+func (c *Core) endpointAt(id balancer.WorkerID, addr string) *endpoint {
+	known := c.endpoints[id]
+	if known != nil && (addr == "" || addr == known.addr) {
+		return known
+	}
+	if known != nil { // the worker came back at another address; its attempts at the old one may still be answered
+		known.pool.MarkUnavailable(true)
+	}
+	e := &endpoint{addr: addr, pool: worker.NewPool(string(id), addr, &c.config.Pool)}
+	c.endpoints[id] = e
+	return e
+}
+
+// markAbsentRemoved marks the workers that a full list does not name as removed.
+func (c *Core) markAbsentRemoved(listed map[balancer.WorkerID]bool) {
+	for id, e := range c.endpoints {
+		if !listed[id] {
+			e.removed = true
+			e.pool.MarkUnavailable(true)
+		}
+	}
+}
+
+// deleteRemovedEndpoints forgets removed workers whose pools are idle. Their ids do not come back, so endpoints kept
+// would only pile up.
+func (c *Core) deleteRemovedEndpoints() {
+	for id, e := range c.endpoints {
+		if e.removed && e.pool.Idle() {
+			delete(c.endpoints, id)
+		}
+	}
+}
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -1,33 +1,46 @@
 package dispatch
 
 import (
+	"math"
 	"time"
 
 	"kitefall/internal/balancer"
 )
 
-// Post has the owner do something, in turn.
-func (c *Core) Post(f func()) { c.post(f) }
+// injectedTimerID is the id of a balancer timer that the balancer itself never sets.
+const injectedTimerID = math.MinInt64
 
-// Tap passes every event that the module is given on to see, before Run.
-func (c *Core) Tap(see func(balancer.Event)) { c.module = tapped{c.module, see} }
+// BalancerHook stands between a core and its balancer.
+type BalancerHook struct {
+	core     *Core
+	balancer requestBalancer
+	observe  func(balancer.Event)
+	injected chan func() []balancer.Action
+}
 
-type tapped struct {
-	module interface {
-		Handle(time.Duration, balancer.Event) []balancer.Action
-	}
-	see func(balancer.Event)
+// HookBalancer puts a hook before the core's balancer, which passes each event to observe first. Call it before Run.
+func HookBalancer(core *Core, observe func(balancer.Event)) *BalancerHook {
+	hook := &BalancerHook{core: core, balancer: core.balancer, observe: observe, injected: make(chan func() []balancer.Action, 16)}
+	core.balancer = hook
+	return hook
 }
 
-func (t tapped) Handle(now time.Duration, e balancer.Event) []balancer.Action {
-	t.see(e)
-	return t.module.Handle(now, e)
+// Inject has the event loop call decide, in turn, and carry out the actions that it returns as if they came from the
+// balancer.
+func (h *BalancerHook) Inject(decide func() []balancer.Action) {
+	h.injected <- decide
+	h.core.post(balancerTimerFired{id: injectedTimerID})
 }
 
-// Order has a copy ordered, as the module would.
-func (c *Core) Order(w balancer.WorkerID, f balancer.FunctionID, within time.Duration) {
-	c.do(balancer.Load{Worker: w, Function: f, Copies: 1, StartWithin: within})
+// Handle implements requestBalancer.
+func (h *BalancerHook) Handle(now time.Duration, e balancer.Event) []balancer.Action {
+	if fired, ok := e.(balancer.TimerEvent); ok && fired.TimerID == injectedTimerID {
+		decide := <-h.injected
+		return decide()
+	}
+	h.observe(e)
+	return h.balancer.Handle(now, e)
 }
 
-// Over tells whether nothing of the call may begin any more.
-func (h *Handle) Over() bool { return h.over.Load() }
+// Finished reports whether no attempt of the call may start any more.
+func (h *Handle) Finished() bool { return h.finished.Load() }
--- /dev/null
+++ b/internal/dispatch/loads.go
@@ -0,0 +1,87 @@
+package dispatch
+
+import (
+	"time"
+
+	"kitefall/internal/balancer"
+	"kitefall/internal/worker"
+)
+
+// loadKey identifies a load order: there is one at a time for a function at a worker.
+type loadKey struct {
+	worker   balancer.WorkerID
+	function balancer.FunctionID
+}
+
+// loadOrder is an order to a worker to load copies of a function.
+type loadOrder struct {
+	key     loadKey
+	created time.Time
+
+	// Set once a pool has taken the order.
+
+	pool    *worker.Pool
+	pending *worker.PendingRequest
+	timeout *timer
+}
+
+// startLoad carries out the balancer's Load.
+func (c *Core) startLoad(load balancer.Load) {
+	order := &loadOrder{key: loadKey{load.Worker, load.Function}, created: time.Now()}
+	c.loads[order.key] = order
+	e := c.endpoints[load.Worker]
+	if e == nil {
+		c.endLoad(order, worker.Result{Status: balancer.ConnectFailed})
+		return
+	}
+	deadline := order.created.Add(c.config.Settings.LoadTimeout)
+	startBy := deadline
+	if load.StartWithin > 0 {
+		startBy = order.created.Add(load.StartWithin)
+	}
+	pending, err := e.pool.Load(string(load.Function), load.Copies, startBy, deadline, func(result worker.Result) {
+		c.post(loadEnded{order: order, result: result})
+	})
+	if err != nil { // no room in the pool, as for an attempt
+		c.endLoad(order, worker.Result{Status: balancer.NotSent})
+		return
+	}
+	order.pool = e.pool
+	order.pending = pending
+	order.timeout = c.timers.add(deadline, loadTimedOut{order: order})
+}
+
+// onLoadTimedOut stops waiting for a load order.
+func (c *Core) onLoadTimedOut(order *loadOrder) {
+	if !c.isCurrent(order) {
+		return
+	}
+	order.pool.Cancel(order.pending)
+	c.endLoad(order, worker.Result{Status: balancer.TimedOut})
+}
+
+// endLoad takes in the result of a load order, unless the order has ended or another one has replaced it.
+func (c *Core) endLoad(order *loadOrder, result worker.Result) {
+	if !c.isCurrent(order) {
+		return
+	}
+	delete(c.loads, order.key)
+	c.timers.remove(order.timeout)
+	c.notifyBalancer(balancer.LoadEndedEvent{
+		Worker:   order.key.worker,
+		Function: order.key.function,
+		Status:   result.Status,
+		Elapsed:  time.Since(order.created),
+		Copies:   result.Copies,
+	})
+}
+
+// isCurrent reports whether an order has neither ended nor been replaced.
+func (c *Core) isCurrent(order *loadOrder) bool { return c.loads[order.key] == order }
+
+// unload carries out the balancer's Unload. Nothing is reported back, not even that a pool has no room for it.
+func (c *Core) unload(unload balancer.Unload) {
+	if e := c.endpoints[unload.Worker]; e != nil {
+		e.pool.Unload(string(unload.Function), time.Now().Add(c.config.Settings.LoadTimeout))
+	}
+}
