--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds what passes between the fronts and the core: a call, and its one final answer. It knows
-// no wire.
+// Package call defines what passes between the frontends and the dispatcher: a call and its one final answer. It is
+// independent of the protocols on either side.
 package call
 
 import (
@@ -7,51 +7,55 @@
 	"time"
 )
 
-// MostBody is how many bytes the body of a call may have: the workers' protocol sets it, whichever front it comes by.
+// MaxBodyBytes is how many bytes the body of a call may have, whichever frontend it comes by (source: worker protocol).
 const MaxBodyBytes = 16 << 10
 
-// Hex16 tells whether a text is 16 hex digits, as the workers' protocol writes ids and functions.
+// hexIDLength is how many digits the workers' protocol writes an id with.
+const hexIDLength = 16
+
+// IsHexID reports whether a text is 16 hex digits, as ids and functions are written (source: worker protocol).
 func IsHexID(text string) bool {
 	_, err := strconv.ParseUint(text, 16, 64)
-	return err == nil && len(text) == 16
+	return err == nil && len(text) == hexIDLength
 }
 
-// Call is one request for a run of a function.
+// Call is one request to run a function. It must not be changed once it is submitted.
 type Call struct {
 	ID           uint64 // goes to the worker unchanged
 	Class        string
 	Tenant       string
 	Function     string
-	WorkEstimate time.Duration // rough hint at the work; 0: not told
-	MemoryMB     float64       // of one loaded copy, in MB
-	Concurrency  int           // calls that one copy runs at a time
-	LoadTime     time.Duration // usual time of a load
+	WorkEstimate time.Duration // rough; 0: unknown
+	MemoryMB     float64       // of one loaded copy, in MB; 0: unknown
+	Concurrency  int           // calls that one loaded copy runs at a time; 0: unknown
+	LoadTime     time.Duration // usual time of a load; 0: unknown
 	Body         []byte
-	Deadline     time.Time // no answer is of use after it
+	Deadline     time.Time // an answer is of no use after it
 
-	// MayRun, where set, runs once before the first attempt is written, on a goroutine of its own. An error
-	// from it means that the call is refused and never reaches a worker.
+	// BeforeFirstAttempt, where set, runs before the first attempt is sent, on a goroutine of its own. On an error
+	// the call is rejected and never reaches a worker.
 	BeforeFirstAttempt func() error
-	// Done takes the final answer. It is called exactly once for a call that the core has accepted, unless
-	// the call is given up first. It must not block.
+
+	// Done takes the final answer. It is called exactly once for a call that the dispatcher has accepted, unless
+	// the call is cancelled first. It runs on the dispatcher's event loop and must not block.
 	Done func(Answer)
 }
 
 // Outcome is how a call ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a call.
 const (
-	Served   Outcome = iota
-	Rejected         // trying again is harmless
-	Failed           // nothing is promised
+	Served   Outcome = iota // a worker served it
+	Rejected                // not served; a retry does no harm
+	Failed                  // not served, or unknown; a retry may run the call a second time
 )
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Outcome          Outcome
 	Body             []byte        // of a served call
-	MayHaveRun       bool          // an attempt may have run, or run still
-	DeadlineExceeded bool          // the deadline had come
-	RetryAfter       time.Duration // advice with Refused: come back after this; 0: none
+	MayHaveRun       bool          // a worker may have run an attempt, or may still be running one
+	DeadlineExceeded bool          // the answer came at the deadline or later
+	RetryAfter       time.Duration // with Rejected: advice to retry after this; 0: none
 }
--- /dev/null
+++ b/internal/fakes/core.go
@@ -0,0 +1,97 @@
+package fakes
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"kitefall/internal/balancer"
+	"kitefall/internal/discovery"
+	"kitefall/internal/dispatch"
+	"kitefall/internal/worker"
+)
+
+// Limits of the cores that tests start.
+const (
+	maxInFlight  = 100
+	maxBodyBytes = 1 << 20
+)
+
+// Settings returns the settings of a small site with two classes: requests of consulta are idempotent, those of reserva
+// are not.
+func Settings() balancer.Settings {
+	return balancer.Settings{
+		Dispatchers:   1,
+		CanCancel:     true,
+		Hedging:       true,
+		MaxAttempts:   4,
+		LoadOrders:    true,
+		IdleTTL:       10 * time.Second,
+		LoadTimeout:   5 * time.Second,
+		DialTimeout:   time.Second,
+		DrainGrace:    time.Second,
+		MaxRetryAfter: 2 * time.Second,
+		AnswerGrace:   16 * time.Millisecond,
+		Classes: []balancer.Class{
+			newClass("consulta", 1, balancer.Idempotent),
+			newClass("reserva", 2, balancer.NotIdempotent),
+		},
+	}
+}
+
+func newClass(name string, weight float64, idempotency balancer.Idempotency) balancer.Class {
+	return balancer.Class{
+		Name:             name,
+		Weight:           weight,
+		LatencyObjective: time.Second,
+		Deadline:         4 * time.Second,
+		Idempotency:      idempotency,
+	}
+}
+
+// PoolConfig returns the configuration of connection pools that suits Settings.
+func PoolConfig() worker.Config {
+	return worker.Config{
+		DialTimeout: time.Second,
+		IdleTimeout: 15 * time.Second,
+		MaxStreams:  32,
+		MaxConns:    4,
+		ConnLimit:   worker.NewConnLimit(64),
+	}
+}
+
+// NewCore starts a core with Settings that knows the workers. The caller stops it.
+func NewCore(t testing.TB, workers ...*Worker) *dispatch.Core {
+	t.Helper()
+	return NewCoreWithSettings(t, Settings(), workers...)
+}
+
+// NewCoreWithSettings is NewCore with settings of the test's own. Without workers the core knows no list yet.
+func NewCoreWithSettings(t testing.TB, settings balancer.Settings, workers ...*Worker) *dispatch.Core {
+	t.Helper()
+	core, err := dispatch.New(dispatch.Config{
+		Settings:     settings,
+		Seed:         1,
+		Pool:         PoolConfig(),
+		MaxInFlight:  maxInFlight,
+		MaxBodyBytes: maxBodyBytes,
+	})
+	require.NoError(t, err)
+	go core.Run()
+	if len(workers) > 0 {
+		core.UpdateEndpoints(Endpoints(workers...))
+	}
+	return core
+}
+
+// Endpoints returns a full endpoint list of the workers, all ready. The id of each is made from its address.
+func Endpoints(workers ...*Worker) discovery.Update {
+	update := discovery.Update{Scope: balancer.ScopeFull}
+	for _, w := range workers {
+		id := balancer.WorkerID("s-" + strings.ReplaceAll(w.Addr, ":", "-"))
+		update.Endpoints = append(update.Endpoints, discovery.Endpoint{Worker: balancer.Worker{ID: id, Weight: 1}, Addr: w.Addr})
+	}
+	return update
+}
--- a/internal/fakes/identity.go
+++ b/internal/fakes/identity.go
@@ -27,71 +27,117 @@
 // Domain is the trust domain of the identities.
 const Domain = "spiffe://turnos.example"
 
-// Authority issues SVIDs and serves them by the Workload API.
+// dispatcherID is the identity that the Workload API gives to its callers.
+const dispatcherID = Domain + "/edge"
+
+// securityHeader is the metadata key that the Workload API demands of its callers.
+const securityHeader = "workload.spiffe.io"
+
+// certificateValidity is how long before and after its issue a certificate is valid.
+const certificateValidity = time.Hour
+
+// Authority issues SVIDs and serves them by the SPIFFE Workload API.
 type Authority struct {
 	workload.UnimplementedSpiffeWorkloadAPIServer
-	t    testing.TB
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
 	Addr string // of the Workload API
+
+	t           testing.TB
+	certificate *x509.Certificate
+	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority starts an authority; its Workload API gives every caller the SVID of /edge.
+// NewAuthority starts an authority, which ends with the test. Its Workload API gives every caller the SVID of /edge.
 func NewAuthority(t testing.TB) *Authority {
+	t.Helper()
 	a := &Authority{t: t}
-	a.cert, a.key = a.issue(Domain, true)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	a.certificate, a.key = a.newRoot()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	a.Addr = "tcp://" + ln.Addr().String()
+	a.Addr = "tcp://" + listener.Addr().String()
 	server := grpc.NewServer()
 	workload.RegisterSpiffeWorkloadAPIServer(server, a)
-	go server.Serve(ln)
+	go server.Serve(listener) // until the server is stopped
 	t.Cleanup(server.Stop)
 	return a
 }
 
-func (a *Authority) issue(id string, ca bool) (*x509.Certificate, *ecdsa.PrivateKey) {
+// newRoot returns a self-signed certificate of the trust domain.
+func (a *Authority) newRoot() (*x509.Certificate, *ecdsa.PrivateKey) {
+	key := a.newKey()
+	template := a.newTemplate(Domain, x509.KeyUsageCertSign)
+	template.IsCA = true
+	return a.sign(template, template, key, key), key
+}
+
+// issue returns a certificate for an identity, signed by the authority.
+func (a *Authority) issue(id string) (*x509.Certificate, *ecdsa.PrivateKey) {
+	key := a.newKey()
+	template := a.newTemplate(id, x509.KeyUsageDigitalSignature)
+	return a.sign(template, a.certificate, key, a.key), key
+}
+
+func (a *Authority) newKey() *ecdsa.PrivateKey {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
+	return key
+}
+
+func (a *Authority) newTemplate(id string, usage x509.KeyUsage) *x509.Certificate {
 	uri, err := url.Parse(id)
 	require.NoError(a.t, err)
-	c := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), URIs: []*url.URL{uri},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), BasicConstraintsValid: true, IsCA: ca,
-		KeyUsage: x509.KeyUsageDigitalSignature}
-	parent, signer := a.cert, a.key
-	if ca {
-		c.KeyUsage, parent, signer = x509.KeyUsageCertSign, c, key
+	now := time.Now()
+	return &x509.Certificate{
+		SerialNumber:          big.NewInt(now.UnixNano()),
+		URIs:                  []*url.URL{uri},
+		NotBefore:             now.Add(-certificateValidity),
+		NotAfter:              now.Add(certificateValidity),
+		BasicConstraintsValid: true,
+		KeyUsage:              usage,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, c, parent, key.Public(), signer)
+}
+
+// sign returns the template as a certificate of key, signed by the parent with signer.
+func (a *Authority) sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) *x509.Certificate {
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, key.Public(), signer)
 	require.NoError(a.t, err)
-	c, err = x509.ParseCertificate(der)
+	certificate, err := x509.ParseCertificate(der)
 	require.NoError(a.t, err)
-	return c, key
+	return certificate
 }
 
-// FetchX509SVID is the Workload API's call of that name.
-func (a *Authority) FetchX509SVID(_ *workload.X509SVIDRequest, s workload.SpiffeWorkloadAPI_FetchX509SVIDServer) error {
-	if m, _ := metadata.FromIncomingContext(s.Context()); len(m.Get("workload.spiffe.io")) == 0 {
+// FetchX509SVID implements the Workload API: it sends one SVID and keeps the stream open until the caller ends it.
+func (a *Authority) FetchX509SVID(_ *workload.X509SVIDRequest, stream workload.SpiffeWorkloadAPI_FetchX509SVIDServer) error {
+	header, _ := metadata.FromIncomingContext(stream.Context())
+	if len(header.Get(securityHeader)) == 0 {
 		return status.Error(codes.InvalidArgument, "security header missing")
 	}
-	cert, key := a.issue(Domain+"/edge", false)
+	certificate, key := a.issue(dispatcherID)
 	pkcs8, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
 	}
-	err = s.Send(&workload.X509SVIDResponse{Svids: []*workload.X509SVID{{SpiffeId: Domain + "/edge",
-		X509Svid: cert.Raw, X509SvidKey: pkcs8, Bundle: a.cert.Raw}}})
-	<-s.Context().Done()
+	svid := &workload.X509SVID{
+		SpiffeId:    dispatcherID,
+		X509Svid:    certificate.Raw,
+		X509SvidKey: pkcs8,
+		Bundle:      a.certificate.Raw,
+	}
+	err = stream.Send(&workload.X509SVIDResponse{Svids: []*workload.X509SVID{svid}})
+	<-stream.Context().Done()
 	return err
 }
 
-// Client is an HTTP client with the SVID of an id, which accepts /edge alone.
+// Client returns an HTTP client with the SVID of an id. It accepts a server with the SVID of /edge alone.
 func (a *Authority) Client(id string) *http.Client {
-	cert, key := a.issue(id, false)
-	svid := &x509svid.SVID{ID: spiffeid.RequireFromString(id), Certificates: []*x509.Certificate{cert}, PrivateKey: key}
-	bundle := x509bundle.FromX509Authorities(svid.ID.TrustDomain(), []*x509.Certificate{a.cert})
-	edge := tlsconfig.AuthorizeID(spiffeid.RequireFromString(Domain + "/edge"))
-	tr := &http.Transport{TLSClientConfig: tlsconfig.MTLSClientConfig(svid, bundle, edge)}
-	a.t.Cleanup(tr.CloseIdleConnections)
-	return &http.Client{Transport: tr}
+	certificate, key := a.issue(id)
+	svid := &x509svid.SVID{
+		ID:           spiffeid.RequireFromString(id),
+		Certificates: []*x509.Certificate{certificate},
+		PrivateKey:   key,
+	}
+	bundle := x509bundle.FromX509Authorities(svid.ID.TrustDomain(), []*x509.Certificate{a.certificate})
+	authorizer := tlsconfig.AuthorizeID(spiffeid.RequireFromString(dispatcherID))
+	transport := &http.Transport{TLSClientConfig: tlsconfig.MTLSClientConfig(svid, bundle, authorizer)}
+	a.t.Cleanup(transport.CloseIdleConnections)
+	return &http.Client{Transport: transport}
 }
