--- a/internal/dispatch/crossing_test.go
+++ b/internal/dispatch/loopback_test.go
@@ -1,6 +1,7 @@
 package dispatch_test
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -79,6 +80,52 @@
 	}
 }
 
+// A call whose BeforeFirstAttempt fails is rejected and does not reach a worker.
+func TestCallThatCannotBePersistedIsRejected(t *testing.T) {
+	w := fakes.NewWorker(t)
+	core := startCore(t, fakes.Settings(), w)
+	answered := make(chan call.Answer, 1)
+	submitted := newCall(1, "x", func(a call.Answer) { answered <- a })
+	submitted.BeforeFirstAttempt = func() error { return errors.New("disk full") }
+	submit(t, core, submitted)
+	assert.Equal(t, call.Answer{Outcome: call.Rejected}, <-answered)
+	assert.Zero(t, core.InFlight())
+	assert.Zero(t, w.CallCount("x"))
+}
+
+// A call that is cancelled while its BeforeFirstAttempt runs does not reach a worker.
+func TestCallCancelledWhileItIsPersistedDoesNotStart(t *testing.T) {
+	for name, canCancel := range map[string]bool{"attempts can be cancelled": true, "attempts cannot be cancelled": false} {
+		t.Run(name, func(t *testing.T) {
+			w := fakes.NewWorker(t)
+			settings := fakes.Settings()
+			settings.CanCancel = canCancel
+			settings.LoadOrders = false
+			outcomes := make(chan balancer.OutcomeEvent, 1)
+			core, _ := startHookedCore(t, settings, fakes.PoolConfig(), w, func(e balancer.Event) {
+				if outcome, ok := e.(balancer.OutcomeEvent); ok {
+					outcomes <- outcome
+				}
+			})
+			persisting, persisted := make(chan bool), make(chan bool)
+			submitted := newCall(1, "x", func(call.Answer) { t.Error("answered, though its client had cancelled") })
+			submitted.BeforeFirstAttempt = func() error {
+				close(persisting)
+				<-persisted
+				return nil
+			}
+			handle := submit(t, core, submitted)
+			<-persisting
+			handle.Cancel()
+			close(persisted)
+			outcome := <-outcomes
+			assert.Equal(t, balancer.NotSent, outcome.Status)
+			assert.True(t, outcome.Answered, "nobody waits for it any more")
+			assert.Zero(t, w.CallCount("x"))
+		})
+	}
+}
+
 // A call that another attempt has answered is finished also where the settings do not allow to cancel attempts: one that
 // still waits for a connection must not start.
 func TestAnsweredCallStartsNoMoreAttempts(t *testing.T) {
