--- /dev/null
+++ b/internal/frontend/resp/listener.go
@@ -0,0 +1,72 @@
+package resp
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"time"
+)
+
+// acceptRetryDelay is the pause after an accept that failed for want of descriptors or memory.
+const acceptRetryDelay = 10 * time.Millisecond
+
+// listener accepts connections for redcon, up to maxConns at a time, and tracks each with its server. When all are
+// taken, the connection that is idle longest makes room.
+type listener struct {
+	net.Listener
+	server   *Server
+	maxConns int
+}
+
+// Accept returns the next connection, a *trackedConn. Its only error is the end of the listener, wrapping
+// net.ErrClosed; all others are logged and the accept is tried again.
+func (l *listener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			// At the end of its listener redcon closes all connections that it still holds, also one whose first
+			// request has come or is being handed over at this moment. So it learns of the end after the last of them.
+			l.server.waitForLastConn()
+			return nil, err
+		case err != nil:
+			l.handleAcceptError(err)
+		case !l.makeRoom():
+			l.reject(conn)
+		default:
+			return l.server.track(conn), nil
+		}
+	}
+}
+
+// handleAcceptError closes the connection that is idle longest, since the process is most likely out of descriptors, and
+// pauses: redcon would try again at once and keep the processor busy.
+func (l *listener) handleAcceptError(err error) {
+	l.server.logs.acceptFailed.Log(slog.LevelWarn, "frontend: cannot accept a connection", "err", err)
+	if idle := l.server.longestIdle(); idle != nil {
+		idle.closeIfIdle()
+	}
+	time.Sleep(acceptRetryDelay)
+}
+
+// makeRoom closes idle connections until there is room for one more, and reports whether there is. Clients that connect
+// and stay must not keep others out; nor may the frontend exceed its limit, since the remaining descriptors are for the
+// workers, and without these no request in flight could end well.
+func (l *listener) makeRoom() bool {
+	for l.full() {
+		idle := l.server.longestIdle()
+		if idle == nil {
+			break
+		}
+		idle.closeIfIdle()
+	}
+	return !l.full()
+}
+
+func (l *listener) full() bool { return l.server.ActiveConns() >= l.maxConns }
+
+func (l *listener) reject(conn net.Conn) {
+	l.server.logs.connRejected.Log(slog.LevelWarn, "frontend: connection rejected, all connections have requests in flight",
+		"addr", conn.RemoteAddr().String(), "connections", l.maxConns)
+	conn.Close()
+}
--- a/internal/frontend/resp/crossing_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -94,7 +94,7 @@
 		_, err = newcomer.Read(make([]byte, 64))
 		assert.NoError(t, err)
 		assert.LessOrEqual(t, ln.asked.Load()-asked, int64(5))
-		assert.GreaterOrEqual(t, time.Since(began), 3*acceptAgain)
+		assert.GreaterOrEqual(t, time.Since(began), 3*acceptRetryDelay)
 		ln.Close()
 		s.Drain()
 		synctest.Wait()
--- /dev/null
+++ b/internal/frontend/resp/server.go
@@ -0,0 +1,180 @@
+// Package resp is the frontend for the platform's clients. It accepts RESP requests over TCP, hands them to the
+// dispatcher as calls, and writes each answer as soon as it is known, in whatever order that is. Which worker gets a call,
+// and whether it is retried, is the dispatcher's business alone.
+//
+// Source: client protocol. The words of requests and answers are translated here and nowhere else.
+//
+// Locks are taken in this order: Server.mu, clientConn.mu, requestIDs.mu.
+package resp
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"kitefall/internal/balancer"
+	"kitefall/internal/dispatch"
+	"kitefall/internal/logthrottle"
+)
+
+// Timeouts bounds how long a client may hold a connection without a request in flight. A connection with requests in
+// flight is closed by none of them. The protocol owes a client an answer or a close 3 s after it has connected.
+type Timeouts struct {
+	FirstRequest time.Duration // from the accept to the end of its first request
+	Request      time.Duration // from the first byte of a request to its last
+	Idle         time.Duration // since its last request or answer; clients usually close after 4 s themselves
+}
+
+// DefaultTimeouts are the timeouts used in service.
+var DefaultTimeouts = Timeouts{
+	FirstRequest: 2500 * time.Millisecond,
+	Request:      2500 * time.Millisecond,
+	Idle:         5 * time.Second,
+}
+
+const (
+	minSweepInterval = time.Millisecond
+	// sweepsPerTimeout is how many sweeps fall into Timeouts.FirstRequest: it sets how late a timeout may be noticed.
+	sweepsPerTimeout = 10
+)
+
+// Server serves clients on one address. The exported fields are set before Serve and not changed after it.
+type Server struct {
+	Core     *dispatch.Core
+	Ready    func() bool // the answer to CHECK
+	Settings balancer.Settings
+	Timeouts Timeouts
+
+	logs       logs
+	requestIDs *requestIDs // of the requests in flight on all connections
+
+	mu         sync.Mutex
+	conns      map[*trackedConn]bool
+	connClosed *sync.Cond // signals that a connection has left conns
+	draining   bool
+}
+
+// logs holds one throttled log line per fault that clients can cause at will.
+type logs struct {
+	connRejected  *logthrottle.Logger
+	acceptFailed  *logthrottle.Logger
+	protocolError *logthrottle.Logger
+	requestFailed *logthrottle.Logger
+}
+
+// Serve accepts up to maxConns connections at a time on ln. It returns once ln is closed and the last connection has
+// ended. It must be called once only.
+func (s *Server) Serve(ln net.Listener, maxConns int) error {
+	s.init()
+	listenerEnded := make(chan struct{})
+	defer close(listenerEnded)
+	go s.sweepUntilLastConn(listenerEnded) // ends by itself after the last connection
+	limited := &listener{Listener: ln, server: s, maxConns: maxConns}
+	return redcon.NewServer(ln.Addr().String(), s.handleFirstRequest, nil, nil).Serve(limited)
+}
+
+func (s *Server) init() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns = map[*trackedConn]bool{}
+	s.connClosed = sync.NewCond(&s.mu)
+	s.requestIDs = newRequestIDs()
+	s.logs = logs{
+		connRejected:  logthrottle.New(),
+		acceptFailed:  logthrottle.New(),
+		protocolError: logthrottle.New(),
+		requestFailed: logthrottle.New(),
+	}
+}
+
+// ActiveConns returns the number of open connections. It is safe for concurrent use.
+func (s *Server) ActiveConns() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
+}
+
+// handleFirstRequest takes a connection out of redcon's hands at its first request: redcon answers requests in their
+// order, and here an answer may come long after those to later requests. The two goroutines that it starts end when
+// the connection is closed.
+func (s *Server) handleFirstRequest(conn redcon.Conn, command redcon.Command) {
+	tracked := conn.NetConn().(*trackedConn)
+	client := newClientConn(s, tracked, conn.Detach())
+	if !tracked.attach(client) {
+		return
+	}
+	go client.writeAnswers()
+	go client.readRequests(command)
+}
+
+// sweepUntilLastConn closes connections that have exceeded a timeout, until the listener has ended and no connection
+// is left.
+func (s *Server) sweepUntilLastConn(listenerEnded <-chan struct{}) {
+	ticker := time.NewTicker(max(s.Timeouts.FirstRequest/sweepsPerTimeout, minSweepInterval))
+	defer ticker.Stop()
+	accepting := true
+	for accepting || s.ActiveConns() > 0 {
+		select {
+		case now := <-ticker.C:
+			s.closeTimedOut(now)
+		case <-listenerEnded:
+			accepting = false
+			listenerEnded = nil // a nil channel is never ready
+		}
+	}
+}
+
+func (s *Server) closeTimedOut(now time.Time) {
+	for _, conn := range s.timedOut(now) {
+		conn.closeIfIdle()
+	}
+}
+
+func (s *Server) timedOut(now time.Time) []*trackedConn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var timedOut []*trackedConn
+	for conn := range s.conns {
+		if conn.timedOutLocked(now) {
+			timedOut = append(timedOut, conn)
+		}
+	}
+	return timedOut
+}
+
+// longestIdle returns the connection that costs least to close, see idleConn.cheaperThan; nil if all have requests in
+// flight.
+func (s *Server) longestIdle() *trackedConn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var best idleConn
+	for conn := range s.conns {
+		since, idle := conn.idleSinceLocked()
+		if !idle {
+			continue
+		}
+		candidate := idleConn{conn: conn, silent: conn.client == nil, since: since}
+		if best.conn == nil || candidate.cheaperThan(best) {
+			best = candidate
+		}
+	}
+	return best.conn
+}
+
+// idleConn is a connection that may be closed to make room for another.
+type idleConn struct {
+	conn   *trackedConn
+	silent bool // it has never sent a whole request
+	since  time.Time
+}
+
+// cheaperThan reports whether closing c does less harm than closing other: silent connections go first, then those idle
+// longest.
+func (c idleConn) cheaperThan(other idleConn) bool {
+	if c.silent != other.silent {
+		return c.silent
+	}
+	return c.since.Before(other.since)
+}
--- /dev/null
+++ b/internal/frontend/resp/trackedconn.go
@@ -0,0 +1,109 @@
+package resp
+
+import (
+	"net"
+	"sync/atomic"
+	"time"
+)
+
+// trackedConn is an accepted network connection. It validates what the client sends before redcon reads it, and is one
+// of its server's connections until it is closed.
+type trackedConn struct {
+	net.Conn
+	server       *Server
+	acceptedAt   time.Time
+	validator    requestValidator // used by the goroutine that reads, alone
+	requestBegan atomic.Int64     // Unix nanoseconds of the first byte of an incomplete request; 0: there is none
+
+	client *clientConn // from the first request on; guarded by server.mu
+	closed bool        // guarded by server.mu
+}
+
+// track adds an accepted connection to those of the server.
+func (s *Server) track(conn net.Conn) *trackedConn {
+	tracked := &trackedConn{Conn: conn, server: s, acceptedAt: time.Now()}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns[tracked] = true
+	return tracked
+}
+
+// Read reads what the client sends. It fails with errMalformedRequest where that is no request of the client protocol.
+func (t *trackedConn) Read(buffer []byte) (int, error) {
+	n, err := t.Conn.Read(buffer)
+	if !t.validator.accept(buffer[:n]) {
+		return 0, errMalformedRequest
+	}
+	if !t.validator.withinRequest() {
+		t.requestBegan.Store(0)
+	} else if t.requestBegan.Load() == 0 {
+		t.requestBegan.Store(time.Now().UnixNano())
+	}
+	return n, err
+}
+
+// Close closes the connection and makes room for another. It may be called more than once.
+func (t *trackedConn) Close() error {
+	t.server.mu.Lock()
+	t.closed = true
+	delete(t.server.conns, t)
+	t.server.connClosed.Broadcast()
+	t.server.mu.Unlock()
+	return t.Conn.Close()
+}
+
+// attach hands the connection to client, at its first request, and reports whether it is open still: it may have timed
+// out before the request was complete.
+func (t *trackedConn) attach(client *clientConn) bool {
+	t.server.mu.Lock()
+	defer t.server.mu.Unlock()
+	t.client = client
+	return !t.closed
+}
+
+// closeIfIdle closes the connection unless requests are in flight on it.
+func (t *trackedConn) closeIfIdle() {
+	t.server.mu.Lock()
+	client := t.client
+	if client == nil {
+		t.closed = true // a first request that arrives at this moment is not accepted any more
+	}
+	t.server.mu.Unlock()
+	if client == nil {
+		t.Close()
+		return
+	}
+	client.closeIfIdle()
+}
+
+// idleSinceLocked reports whether no request is in flight, and since when. The caller holds server.mu.
+func (t *trackedConn) idleSinceLocked() (since time.Time, idle bool) {
+	if t.client == nil {
+		return t.acceptedAt, true
+	}
+	return t.client.idleSince()
+}
+
+// timedOutLocked reports whether the connection is to be closed because the client has exceeded a timeout or, idle, was
+// accepted while the server began to drain. It never is with requests in flight, whose answers would be lost. The
+// caller holds server.mu.
+func (t *trackedConn) timedOutLocked(now time.Time) bool {
+	since, idle := t.idleSinceLocked()
+	if !idle {
+		return false
+	}
+	if t.server.draining {
+		return true
+	}
+	timeouts := &t.server.Timeouts
+	if t.client == nil {
+		return now.After(since.Add(timeouts.FirstRequest))
+	}
+	return t.requestTimedOut(now) || now.After(since.Add(timeouts.Idle))
+}
+
+// requestTimedOut reports whether a request is incomplete for too long.
+func (t *trackedConn) requestTimedOut(now time.Time) bool {
+	began := t.requestBegan.Load()
+	return began != 0 && now.After(time.Unix(0, began).Add(t.server.Timeouts.Request))
+}
