--- /dev/null
+++ b/internal/frontend/resp/client_test.go
@@ -0,0 +1,114 @@
+package resp_test
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"kitefall/internal/balancer"
+	"kitefall/internal/fakes"
+	"kitefall/internal/frontend/resp"
+)
+
+const defaultMaxConns = 64
+
+// startServer starts a dispatcher for the workers with its RESP frontend, and returns that and a way to connect to it.
+func startServer(t *testing.T, workers ...*fakes.Worker) (*resp.Server, func() *client) {
+	t.Helper()
+	return startServerWith(t, defaultMaxConns, resp.DefaultTimeouts, workers...)
+}
+
+func startServerWith(t *testing.T, maxConns int, timeouts resp.Timeouts, workers ...*fakes.Worker) (*resp.Server, func() *client) {
+	t.Helper()
+	core := fakes.NewCore(t, workers...)
+	t.Cleanup(core.Stop)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { ln.Close() })
+	server := &resp.Server{Core: core, Ready: core.EndpointsKnown, Settings: fakes.Settings(), Timeouts: timeouts}
+	server.Settings.Tenants = []balancer.Tenant{{Name: "acme"}}
+	go server.Serve(ln, maxConns)
+	connect := func() *client {
+		t.Helper()
+		conn, err := net.Dial("tcp", ln.Addr().String())
+		require.NoError(t, err)
+		t.Cleanup(func() { conn.Close() })
+		require.NoError(t, conn.SetDeadline(fakes.Deadline()))
+		return &client{Conn: conn, t: t, reader: bufio.NewReader(conn)}
+	}
+	return server, connect
+}
+
+// startAndConnect starts a dispatcher for the workers and connects a client to its RESP frontend.
+func startAndConnect(t *testing.T, workers ...*fakes.Worker) *client {
+	t.Helper()
+	_, connect := startServer(t, workers...)
+	return connect()
+}
+
+// client is a client of the RESP frontend.
+type client struct {
+	net.Conn
+	t      testing.TB
+	reader *bufio.Reader
+}
+
+// sendCommand sends a request.
+func (c *client) sendCommand(arguments ...string) {
+	c.t.Helper()
+	c.sendRaw(encodeCommand(arguments...))
+}
+
+func (c *client) sendRaw(data string) {
+	c.t.Helper()
+	_, err := io.WriteString(c, data)
+	require.NoError(c.t, err)
+}
+
+func encodeCommand(arguments ...string) string {
+	encoded := fmt.Sprintf("*%d\r\n", len(arguments))
+	for _, argument := range arguments {
+		encoded += fmt.Sprintf("$%d\r\n%s\r\n", len(argument), argument)
+	}
+	return encoded
+}
+
+// sendCall sends a CALL with usual fields and an id of its tag.
+func (c *client) sendCall(tag int, class, body string) {
+	c.t.Helper()
+	fields := fmt.Sprintf("id=%016x,wait=4000,tenant=acme,key=7f3a9c21e0b4d655,cost=8.2,"+
+		"spec=memory_mb:512;lanes:2;load_ms:640", callID(tag))
+	c.sendCommand("CALL", strconv.Itoa(tag), class, fields, body)
+}
+
+// callID is the id of the call that sendCall sends under a tag.
+func callID(tag int) uint64 { return 0x9b1f03aa5c7e2d00 + uint64(tag) }
+
+// receive reads an answer: tag, word, fields and body, with a blank between each.
+func (c *client) receive() string {
+	c.t.Helper()
+	var parts []string
+	for range c.receiveNumber('*') {
+		data := make([]byte, c.receiveNumber('$')+len("\r\n"))
+		_, err := io.ReadFull(c.reader, data)
+		require.NoError(c.t, err)
+		parts = append(parts, strings.TrimSuffix(string(data), "\r\n"))
+	}
+	return strings.Join(parts, " ")
+}
+
+func (c *client) receiveNumber(marker byte) int {
+	c.t.Helper()
+	line, err := c.reader.ReadString('\n')
+	require.NoError(c.t, err)
+	require.Equal(c.t, marker, line[0])
+	number, err := strconv.Atoi(strings.TrimSpace(line[1:]))
+	require.NoError(c.t, err)
+	return number
+}
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -13,91 +13,105 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scripted is a listener whose accepts the test ends one by one.
-type scripted struct {
-	accepts chan any // a net.Conn or an error
-	asked   atomic.Int64
-	ended   chan struct{}
-	end     sync.Once
+const checkRequest = "*3\r\n$5\r\nCHECK\r\n$1\r\n1\r\n$0\r\n\r\n"
+
+// fakeListener is a listener whose accepts return what the test puts into results.
+type fakeListener struct {
+	results     chan any // a net.Conn or an error each
+	acceptCalls atomic.Int64
+	closed      chan struct{}
+	closeOnce   sync.Once
 }
 
-func newScripted() *scripted {
-	return &scripted{accepts: make(chan any, 8), ended: make(chan struct{})}
+func newFakeListener() *fakeListener {
+	return &fakeListener{results: make(chan any, 8), closed: make(chan struct{})}
 }
 
-func (s *scripted) Accept() (net.Conn, error) {
-	s.asked.Add(1)
+func (l *fakeListener) Accept() (net.Conn, error) {
+	l.acceptCalls.Add(1)
 	select {
-	case a := <-s.accepts:
-		if c, ok := a.(net.Conn); ok {
-			return c, nil
+	case result := <-l.results:
+		if conn, ok := result.(net.Conn); ok {
+			return conn, nil
 		}
-		return nil, a.(error)
-	case <-s.ended:
+		return nil, result.(error)
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (s *scripted) Close() error   { s.end.Do(func() { close(s.ended) }); return nil }
-func (s *scripted) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serveScripted starts a front with no core: nothing here comes to a call.
-func serveScripted(ln net.Listener) (*Server, chan error) {
-	s := &Server{Ready: func() bool { return true }, Timeouts: Timeouts{FirstRequest: time.Hour, Request: time.Hour, Idle: time.Hour}}
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(ln, 8) }()
+func (l *fakeListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return nil
+}
+
+func (l *fakeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// connect lets the listener accept a connection and returns the client's end of it.
+func (l *fakeListener) connect() net.Conn {
+	client, server := net.Pipe()
+	l.results <- server
+	return client
+}
+
+// serveOn starts a server without a dispatcher, for tests that send no CALL. Its Serve returns into the channel.
+func serveOn(ln net.Listener) (*Server, <-chan error) {
+	server := &Server{
+		Ready:    func() bool { return true },
+		Timeouts: Timeouts{FirstRequest: time.Hour, Request: time.Hour, Idle: time.Hour},
+	}
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(ln, 8) }()
 	synctest.Wait()
-	return s, ended
+	return server, serveErr
 }
 
-// Told that the listener has ended, redcon closes every connection that it still holds. One that has not sent its first
-// request yet, or whose first request is being handed over, lost it: a planned restart must take it and answer.
-func TestListenerEndsWhileAClientIsConnected(t *testing.T) {
+// At the end of its listener redcon closes every connection that it still holds. One that had not sent its first
+// request yet, or whose first request was being handed over, lost it: a planned restart must accept and answer it.
+func TestRequestIsAnsweredAfterTheListenerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ln := newScripted()
-		s, ended := serveScripted(ln)
-		client, server := net.Pipe()
-		ln.accepts <- server
+		ln := newFakeListener()
+		server, serveErr := serveOn(ln)
+		client := ln.connect()
 		synctest.Wait()
 		ln.Close()
 		synctest.Wait()
-		require.Equal(t, 1, s.ActiveConns(), "closed with the listener")
-		go client.Write([]byte("*3\r\n$5\r\nCHECK\r\n$1\r\n1\r\n$0\r\n\r\n"))
+		require.Equal(t, 1, server.ActiveConns(), "closed with the listener")
+		go client.Write([]byte(checkRequest))
 		answer := make([]byte, 64)
 		n, err := client.Read(answer)
 		require.NoError(t, err)
-		assert.Contains(t, string(answer[:n]), "yes")
-		s.Drain()
+		assert.Contains(t, string(answer[:n]), wordReady)
+		server.Drain()
 		synctest.Wait()
-		require.Len(t, ended, 1, "the front ends with its last client")
-		assert.NoError(t, <-ended)
+		require.Len(t, serveErr, 1, "Serve returns after its last connection")
+		assert.NoError(t, <-serveErr)
 	})
 }
 
-// Out of descriptors, every accept fails at once. Redcon asks again without a pause, and nothing else of the program got
-// to run; the connection idle longest makes room, and the next client is let in.
-func TestAcceptThatFailsMakesRoomAndPauses(t *testing.T) {
+// Out of descriptors, every accept fails at once. Redcon tried again without a pause, and nothing else of the program
+// got to run; now the connection idle longest makes room, and the next client is accepted.
+func TestAcceptErrorMakesRoomAndPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ln := newScripted()
-		s, ended := serveScripted(ln)
-		idle, first := net.Pipe()
-		ln.accepts <- first
+		ln := newFakeListener()
+		server, serveErr := serveOn(ln)
+		idle := ln.connect()
 		synctest.Wait()
-		asked, began := ln.asked.Load(), time.Now()
+		acceptCalls, began := ln.acceptCalls.Load(), time.Now()
 		for range 3 {
-			ln.accepts <- syscall.EMFILE
+			ln.results <- syscall.EMFILE
 		}
-		newcomer, second := net.Pipe()
-		ln.accepts <- second
+		next := ln.connect()
 		_, err := idle.Read(make([]byte, 1))
 		assert.Error(t, err, "it made room")
-		go newcomer.Write([]byte("*3\r\n$5\r\nCHECK\r\n$1\r\n1\r\n$0\r\n\r\n"))
-		_, err = newcomer.Read(make([]byte, 64))
+		go next.Write([]byte(checkRequest))
+		_, err = next.Read(make([]byte, 64))
 		assert.NoError(t, err)
-		assert.LessOrEqual(t, ln.asked.Load()-asked, int64(5))
+		assert.LessOrEqual(t, ln.acceptCalls.Load()-acceptCalls, int64(5))
 		assert.GreaterOrEqual(t, time.Since(began), 3*acceptRetryDelay)
 		ln.Close()
-		s.Drain()
+		server.Drain()
 		synctest.Wait()
-		assert.NoError(t, <-ended)
+		assert.NoError(t, <-serveErr)
 	})
 }
