--- a/internal/frontend/invoke/problem.go
+++ b/internal/frontend/invoke/problem.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"math"
 	"net/http"
 	"strconv"
@@ -12,59 +13,97 @@
 	"kitefall/internal/invocation/executor"
 )
 
-// problem is an RFC 9457 problem document, with two members of ours.
+// problemTypePrefix comes before the name of a problem's type.
+const problemTypePrefix = "urn:kitefall:problem:"
+
+const (
+	quotaRetryAfter   = time.Minute      // after a rejection because too many invocations are kept
+	storageRetryAfter = 10 * time.Second // after a failure of the store
+)
+
+// problem is a problem document by RFC 9457, with extension members. It is an error of a handler.
 type problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
 	Status     int    `json:"status"`
 	Detail     string `json:"detail,omitempty"`
 	Instance   string `json:"instance,omitempty"`
-	Retryable  bool   `json:"retryable"`      // another try does no harm
+	Retryable  bool   `json:"retryable"`      // a retry does no harm
 	MayHaveRun bool   `json:"may_have_run"`   // the function may have run, or run still
-	Heir       string `json:"heir,omitempty"` // the ticket that the operators have had go again for this one
+	RedrivenAs string `json:"heir,omitempty"` // the invocation that the operators have started in place of this one
 
-	retryAt time.Time
+	retryAt time.Time // sent as Retry-After; zero: not sent
 }
 
-const typeBase = "urn:kitefall:problem:"
+func (p *problem) Error() string {
+	if p.Detail == "" {
+		return p.Title
+	}
+	return p.Title + ": " + p.Detail
+}
 
-func newProblem(status int, kind, title string) *problem {
-	return &problem{Type: typeBase + kind, Title: title, Status: status}
+func newProblem(status int, name, title string) *problem {
+	return &problem{Type: problemTypePrefix + name, Title: title, Status: status}
 }
 
-func (p *problem) because(detail string) *problem {
+func (p *problem) withDetail(detail string) *problem {
 	p.Detail = detail
 	return p
 }
 
+func (p *problem) withRetryAt(retryAt time.Time) *problem {
+	p.Retryable = true
+	p.retryAt = retryAt
+	return p
+}
+
 func badRequest(detail string) *problem {
-	return newProblem(http.StatusBadRequest, "bad-request", "The request cannot be used").because(detail)
+	return newProblem(http.StatusBadRequest, "bad-request", "The request cannot be used").withDetail(detail)
 }
 
 func notFound() *problem {
 	return newProblem(http.StatusNotFound, "not-found", "There is nothing here for you")
 }
 
-func refused(at time.Time) *problem {
-	p := newProblem(http.StatusServiceUnavailable, "refused", "The call was refused; trying again does no harm")
-	p.Retryable, p.retryAt = true, at
-	return p
+func methodNotAllowed() *problem {
+	return newProblem(http.StatusMethodNotAllowed, "method", "The method is not for this resource")
+}
+
+func forbidden() *problem {
+	return newProblem(http.StatusForbidden, "forbidden", "The SPIFFE ID is that of no tenant")
 }
 
+func unsupportedMediaType(accepted string) *problem {
+	return newProblem(http.StatusUnsupportedMediaType, "media-type", "The function takes "+accepted+" as it is")
+}
+
+func bodyTooLarge(maxBytes int64) *problem {
+	return newProblem(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("The function takes %d bytes at most", maxBytes))
+}
+
+func rejected(retryAt time.Time) *problem {
+	return newProblem(http.StatusServiceUnavailable, "refused", "The call was refused; trying again does no harm").
+		withRetryAt(retryAt)
+}
+
+// write answers with the problem.
 func (p *problem) write(w http.ResponseWriter) {
-	h := w.Header()
-	h.Set("Content-Type", "application/problem+json")
+	header := w.Header()
+	header.Set("Content-Type", "application/problem+json")
 	if !p.retryAt.IsZero() {
 		seconds := math.Ceil(time.Until(p.retryAt).Seconds())
-		h.Set("Retry-After", strconv.Itoa(int(max(1, seconds))))
+		header.Set("Retry-After", strconv.Itoa(int(max(1, seconds))))
 	}
 	w.WriteHeader(p.Status)
 	json.NewEncoder(w).Encode(p)
 }
 
-// problemOf words an error of the desk.
-func problemOf(err error) *problem {
+// problemFor returns the problem document for an error of a handler: a problem itself, or an error of the executor.
+func problemFor(err error) *problem {
+	var p *problem
 	switch {
+	case errors.As(err, &p):
+		return p
 	case errors.Is(err, invocation.ErrNotFound):
 		return notFound()
 	case errors.Is(err, invocation.ErrExpired):
@@ -72,40 +111,44 @@
 	case errors.Is(err, invocation.ErrKeyReused):
 		return newProblem(http.StatusUnprocessableEntity, "key-reused", "The Idempotency-Key belongs to another request")
 	case errors.Is(err, invocation.ErrStoreFull):
-		return refused(time.Now().Add(time.Minute)).because("too many tickets are kept")
+		return rejected(time.Now().Add(quotaRetryAfter)).withDetail("too many tickets are kept")
 	case errors.Is(err, invocation.ErrQuotaExceeded):
-		return refused(time.Now().Add(time.Minute)).because("this tenant has too many tickets, or too large ones")
-	default: // nothing was taken on that is not on record
-		p := newProblem(http.StatusServiceUnavailable, "storage", "Calls cannot be put on record at present")
-		p.Retryable, p.retryAt = true, time.Now().Add(10*time.Second)
-		return p
+		return rejected(time.Now().Add(quotaRetryAfter)).withDetail("this tenant has too many tickets, or too large ones")
+	default: // the store does not work: no invocation was accepted that it does not hold
+		return newProblem(http.StatusServiceUnavailable, "storage", "Calls cannot be put on record at present").
+			withRetryAt(time.Now().Add(storageRetryAfter))
 	}
 }
 
-// problemOfEnd words the end of a ticket that was not served.
-func problemOfEnd(t executor.View, safe bool) *problem {
+// problemForOutcome returns the problem document for an invocation that was not served.
+func problemForOutcome(view executor.View, idempotent bool) *problem {
+	p := outcomeProblem(view, idempotent)
+	p.MayHaveRun = view.MayHaveRun
+	if view.Durable {
+		p.Instance = invocationPath(view.ID)
+	}
+	if view.RedrivenAs != "" {
+		p.RedrivenAs = invocationPath(view.RedrivenAs)
+	}
+	return p
+}
+
+func outcomeProblem(view executor.View, idempotent bool) *problem {
 	var p *problem
 	switch {
-	case t.Outcome == invocation.OutcomeRejected:
-		p = refused(t.RetryAt)
-	case t.Outcome == invocation.OutcomeDeadlineExceeded:
+	case view.Outcome == invocation.OutcomeRejected:
+		return rejected(view.RetryAt)
+	case view.Outcome == invocation.OutcomeDeadlineExceeded:
 		p = newProblem(http.StatusGatewayTimeout, "deadline", "The deadline came before the answer")
-		p.Retryable = safe || !t.MayHaveRun
-	case t.Outcome == invocation.OutcomeCancelled:
+		p.Retryable = idempotent || !view.MayHaveRun
+	case view.Outcome == invocation.OutcomeCancelled:
 		p = newProblem(http.StatusConflict, "given-up", "The call was given up by its owner")
-		p.Retryable = safe || !t.MayHaveRun
-	case t.MayHaveRun:
+		p.Retryable = idempotent || !view.MayHaveRun
+	case view.MayHaveRun:
 		p = newProblem(http.StatusBadGateway, "may-have-run", "The call may have run: do not repeat it")
 	default:
 		p = newProblem(http.StatusInternalServerError, "failed", "The call failed before it ran")
 		p.Retryable = true
 	}
-	p.MayHaveRun = t.MayHaveRun
-	if t.Durable {
-		p.Instance = path(t.ID)
-	}
-	if t.RedrivenAs != "" {
-		p.Heir = path(t.RedrivenAs)
-	}
 	return p
 }
--- /dev/null
+++ b/internal/frontend/invoke/request.go
@@ -0,0 +1,139 @@
+package invoke
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"io"
+	"mime"
+	"net/http"
+	"time"
+
+	"kitefall/internal/invocation"
+)
+
+// maxIdempotencyKeyBytes is the longest Idempotency-Key that is accepted.
+const maxIdempotencyKeyBytes = 255
+
+// parseRequest reads and validates a request to invoke a function. What the workers need to know comes from the catalog
+// alone. The error is a *problem.
+func (s *Server) parseRequest(w http.ResponseWriter, r *http.Request, tenant string, deferred bool,
+	now time.Time) (invocation.Request, error) {
+	name := r.PathValue(functionParameter)
+	function := s.config.Functions[name]
+	if function == nil {
+		return invocation.Request{}, notFound()
+	}
+	request := invocation.Request{
+		Tenant:     tenant,
+		Function:   name,
+		Class:      function.Class,
+		Idempotent: function.idempotent,
+		Deferred:   deferred,
+		RunTimeout: function.MaxDeadline,
+	}
+	if err := parseHeaders(r.Header, function, &request, now); err != nil {
+		return invocation.Request{}, err
+	}
+	body, err := readBody(w, r, function.MaxBody, now)
+	if err != nil {
+		return invocation.Request{}, err
+	}
+	request.Body = body
+	request.Fingerprint = fingerprint(name, body)
+	return request, nil
+}
+
+// parseHeaders fills in what the headers say of a request for the function.
+func parseHeaders(header http.Header, function *Function, request *invocation.Request, now time.Time) error {
+	if err := checkMediaType(header, function.ContentType); err != nil {
+		return err
+	}
+	key, err := parseIdempotencyKey(header)
+	if err != nil {
+		return err
+	}
+	lifetime, err := parseLifetime(header, function, request.Deferred)
+	if err != nil {
+		return err
+	}
+	notBefore, err := parseNotBefore(header, request.Deferred, lifetime, now)
+	if err != nil {
+		return err
+	}
+	request.IdempotencyKey = key
+	request.Urgency = parseUrgency(header)
+	request.NotBefore = notBefore
+	request.Expires = now.Add(lifetime)
+	return nil
+}
+
+func checkMediaType(header http.Header, accepted string) error {
+	mediaType, _, err := mime.ParseMediaType(header.Get("Content-Type"))
+	if err != nil || mediaType != accepted || header.Get("Content-Encoding") != "" {
+		return unsupportedMediaType(accepted)
+	}
+	return nil
+}
+
+func parseIdempotencyKey(header http.Header) (string, error) {
+	key := header.Get(idempotencyKeyHeader)
+	if len(key) > maxIdempotencyKeyBytes || len(header.Values(idempotencyKeyHeader)) > 1 {
+		return "", badRequest(idempotencyKeyHeader + " is too long, or given twice")
+	}
+	return key, nil
+}
+
+// parseLifetime returns how long the invocation may take: what the client asks for, within the bounds of the function.
+func parseLifetime(header http.Header, function *Function, deferred bool) (time.Duration, error) {
+	lifetime := function.Deadline
+	longest := function.MaxDeadline
+	if deferred {
+		lifetime = function.Lifetime
+		longest = function.MaxLifetime
+	}
+	asked, err := parseSeconds(header, timeoutHeader)
+	if err != nil {
+		return 0, err
+	}
+	if asked > 0 {
+		lifetime = min(asked, longest)
+	}
+	return lifetime, nil
+}
+
+// parseNotBefore returns the time before which no run may begin; zero if the client does not ask for a delay.
+func parseNotBefore(header http.Header, deferred bool, lifetime time.Duration, now time.Time) (time.Time, error) {
+	delay, err := parseSeconds(header, delayHeader)
+	if err != nil || delay == 0 {
+		return time.Time{}, err
+	}
+	if !deferred || delay >= lifetime {
+		return time.Time{}, badRequest(delayHeader + " is for deferred calls, and less than their life")
+	}
+	return now.Add(delay), nil
+}
+
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64, now time.Time) ([]byte, error) {
+	// The read deadline is for the body alone: left in force it would end the wait for the outcome too.
+	controller := http.NewResponseController(w)
+	controller.SetReadDeadline(now.Add(readTimeout))
+	defer controller.SetReadDeadline(time.Time{})
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return nil, bodyTooLarge(maxBytes)
+	}
+	if err != nil {
+		return nil, badRequest("the body ended early")
+	}
+	return body, nil
+}
+
+// fingerprint hashes all that a repeat under the same Idempotency-Key must share. It is stored: it must not change.
+func fingerprint(function string, body []byte) []byte {
+	hash := sha256.New()
+	fmt.Fprintf(hash, "%q\n", function)
+	hash.Write(body)
+	return hash.Sum(nil)
+}
