--- /dev/null
+++ b/internal/frontend/invoke/config_test.go
@@ -0,0 +1,34 @@
+package invoke_test
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"kitefall/internal/fakes"
+	"kitefall/internal/frontend/invoke"
+)
+
+func TestDeployedFileIsValid(t *testing.T) {
+	_, err := invoke.ReadConfig("../../../deploy/invoke.toml", fakes.Settings())
+	require.NoError(t, err)
+}
+
+// A file that would not do what it says stops the program, rather than run with a bound less.
+func TestInvalidFilesAreRejected(t *testing.T) {
+	for valid, invalid := range map[string]string{
+		"most_body = 64":       "most_bodies = 64",
+		`"reserva"`:            `"reservas"`,
+		`most_deadline = "4s"`: `most_deadline = "5s"`,
+		"7f3a9c21e0b4d655":     "a,b=c",
+		"spiffe://":            "https://",
+	} {
+		t.Run(invalid, func(t *testing.T) {
+			path := writeOperatorsFile(t, strings.Replace(operatorsFile, valid, invalid, 1))
+			_, err := invoke.ReadConfig(path, fakes.Settings())
+			assert.Error(t, err)
+		})
+	}
+}
--- /dev/null
+++ b/internal/frontend/invoke/harness_test.go
@@ -0,0 +1,218 @@
+package invoke_test
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"kitefall/internal/dispatch"
+	"kitefall/internal/fakes"
+	"kitefall/internal/frontend/invoke"
+	"kitefall/internal/invocation/executor"
+	"kitefall/internal/invocation/store"
+	"kitefall/internal/monotonic"
+)
+
+const operatorsFile = `
+listen = "127.0.0.1:0"
+workload_api = "unused"
+store = "unused"
+retention = "1h"
+[tenants]
+"spiffe://turnos.example/desk/a" = "a"
+"spiffe://turnos.example/desk/b" = "b"
+[functions.book]
+class = "reserva"
+key = "7f3a9c21e0b4d655"
+lanes = 4
+load = "10ms"
+deadline = "4s"
+most_deadline = "4s"
+most_body = 64
+[functions.look]
+class = "consulta"
+key = "0000007c55d20a01"
+lanes = 4
+load = "10ms"
+deadline = "4s"
+most_deadline = "4s"
+`
+
+// The paths of the functions in operatorsFile: bookPath's is not idempotent, lookPath's is.
+const (
+	bookPath = "/v1/functions/book/invocations"
+	lookPath = "/v1/functions/look/invocations"
+)
+
+// writeOperatorsFile writes an operator's file and returns its path.
+func writeOperatorsFile(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "invoke.toml")
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	return path
+}
+
+// testFrontend is a dispatcher with an invoke frontend. It can be restarted on its store.
+type testFrontend struct {
+	t         *testing.T
+	authority *fakes.Authority
+	storePath string
+	clientA   *http.Client // of tenant a
+	clientB   *http.Client // of tenant b
+
+	// Of the present run.
+	url      string
+	core     *dispatch.Core
+	store    *store.Store
+	executor *executor.Executor
+	server   *invoke.Server
+}
+
+func newTestFrontend(t *testing.T, workers ...*fakes.Worker) *testFrontend {
+	t.Helper()
+	authority := fakes.NewAuthority(t)
+	f := &testFrontend{
+		t:         t,
+		authority: authority,
+		storePath: filepath.Join(t.TempDir(), "invocations.db"),
+		clientA:   authority.Client(fakes.Domain + "/desk/a"),
+		clientB:   authority.Client(fakes.Domain + "/desk/b"),
+	}
+	f.start(workers...)
+	t.Cleanup(f.stop)
+	return f
+}
+
+func (f *testFrontend) start(workers ...*fakes.Worker) {
+	f.t.Helper()
+	config, err := invoke.ReadConfig(writeOperatorsFile(f.t, operatorsFile), fakes.Settings())
+	require.NoError(f.t, err)
+	ctx, cancel := context.WithDeadline(context.Background(), fakes.Deadline())
+	defer cancel()
+	identity, err := invoke.WaitForIdentity(ctx, f.authority.Addr)
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { identity.Close() })
+	f.core = fakes.NewCore(f.t, workers...)
+	f.store, err = store.Open(f.storePath, config.StoreOptions())
+	require.NoError(f.t, err)
+	f.executor, err = executor.New(f.store, f.core, config, config.SchedulerConfig(), monotonic.Start(time.Now()))
+	require.NoError(f.t, err)
+	require.NoError(f.t, f.executor.Recover())
+	f.server = invoke.New(config, f.executor, identity)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(f.t, err)
+	f.url = "https://" + ln.Addr().String()
+	go f.server.Serve(ln)
+}
+
+// stop ends the dispatcher as a crash would: invocations in flight stay so in the store.
+func (f *testFrontend) stop() {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	f.server.Shutdown(ctx)
+	f.core.Stop()
+	f.executor.Close()
+}
+
+// restart stops the dispatcher and starts it on the same store.
+func (f *testFrontend) restart(workers ...*fakes.Worker) {
+	f.t.Helper()
+	f.stop()
+	f.start(workers...)
+}
+
+// response is an answer of the API, read whole.
+type response struct {
+	status  int
+	header  http.Header
+	body    string
+	problem problem // its zero value if the answer is no problem document
+}
+
+// location is where a deferred invocation can be asked for.
+func (r response) location() string { return r.header.Get("Location") }
+
+// problem is what a client needs to know of a problem document.
+type problem struct {
+	status     int
+	name       string // the type without its prefix
+	retryable  bool
+	mayHaveRun bool
+}
+
+func parseProblem(t testing.TB, data []byte) problem {
+	t.Helper()
+	var document struct {
+		Type       string
+		Status     int
+		Retryable  bool
+		MayHaveRun bool `json:"may_have_run"`
+	}
+	require.NoError(t, json.Unmarshal(data, &document))
+	return problem{
+		status:     document.Status,
+		name:       strings.TrimPrefix(document.Type, "urn:kitefall:problem:"),
+		retryable:  document.Retryable,
+		mayHaveRun: document.MayHaveRun,
+	}
+}
+
+// send sends a request, with headers as pairs of name and value.
+func (f *testFrontend) send(ctx context.Context, client *http.Client, method, path, body string, headers ...string) (response, error) {
+	request, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader(body))
+	require.NoError(f.t, err)
+	request.Header.Set("Content-Type", "application/json")
+	for i := 0; i < len(headers); i += 2 {
+		request.Header.Set(headers[i], headers[i+1])
+	}
+	answer, err := client.Do(request)
+	if err != nil {
+		return response{}, err
+	}
+	defer answer.Body.Close()
+	data, err := io.ReadAll(answer.Body)
+	require.NoError(f.t, err)
+	received := response{status: answer.StatusCode, header: answer.Header, body: string(data)}
+	if answer.Header.Get("Content-Type") == "application/problem+json" {
+		received.problem = parseProblem(f.t, data)
+		require.Equal(f.t, answer.StatusCode, received.problem.status)
+	}
+	return received, nil
+}
+
+// mustSend sends a request that must be answered.
+func (f *testFrontend) mustSend(client *http.Client, method, path, body string, headers ...string) response {
+	f.t.Helper()
+	received, err := f.send(context.Background(), client, method, path, body, headers...)
+	require.NoError(f.t, err)
+	return received
+}
+
+// invoke invokes a function for tenant a.
+func (f *testFrontend) invoke(path, body string, headers ...string) response {
+	f.t.Helper()
+	return f.mustSend(f.clientA, http.MethodPost, path, body, headers...)
+}
+
+// invokeDeferred invokes a function for tenant a and does not wait for the outcome.
+func (f *testFrontend) invokeDeferred(path, body string, headers ...string) response {
+	f.t.Helper()
+	accepted := f.invoke(path, body, append(headers, "Prefer", "respond-async")...)
+	require.Equal(f.t, http.StatusAccepted, accepted.status, accepted.body)
+	return accepted
+}
+
+// awaitOutcome polls an invocation of tenant a until it has an outcome.
+func (f *testFrontend) awaitOutcome(path string) response {
+	f.t.Helper()
+	return f.mustSend(f.clientA, http.MethodGet, path, "", "Prefer", "wait=10")
+}
