--- a/internal/frontend/invoke/catalog.go
+++ b/internal/frontend/invoke/catalog.go
@@ -20,7 +20,7 @@
 	return executor.Function{Key: function.Key, Cost: max(function.WorkEstimate.Seconds(), minRunCost)}, true
 }
 
-// Call makes a call for a run of an invocation, with the figures of the catalog.
+// Call makes a call for a run of an invocation, with the properties of its function.
 func (c *Config) Call(request *invocation.Request) (*call.Call, error) {
 	function := c.Functions[request.Function]
 	if function == nil {
--- a/internal/frontend/invoke/config.go
+++ b/internal/frontend/invoke/config.go
@@ -19,7 +19,7 @@
 	Store          string               `toml:"store"`        // file of the invocation store
 	Control        string               `toml:"control"`      // the control socket; by default beside the store
 	Retention      time.Duration        `toml:"retention"`    // how long completed invocations are kept
-	MaxWait        time.Duration        `toml:"most_wait"`    // how long a request may wait for an outcome to be polled
+	MaxWait        time.Duration        `toml:"most_wait"`    // how long a poll may wait for the outcome
 	MaxInFlight    int                  `toml:"most_open"`    // HTTP requests in flight
 	MaxInvocations int64                `toml:"most_tickets"` // invocations kept
 	Deferred       Deferred             `toml:"deferred"`
@@ -35,18 +35,18 @@
 type Deferred struct {
 	DeadRetention   time.Duration `toml:"dead_retention"`    // how long dead letters are kept
 	MaxPerTenant    int64         `toml:"tenant_tickets"`    // invocations kept of one tenant; 0: no bound of its own
-	MaxMBPerTenant  int64         `toml:"tenant_mb"`         // MiB of bodies and results kept of one tenant; 0: no bound of its own
+	MaxMBPerTenant  int64         `toml:"tenant_mb"`         // MiB of bodies and results of one tenant; 0: as above
 	MinConcurrency  int           `toml:"least_running"`     // runs at a time that are always allowed
 	MaxConcurrency  int           `toml:"most_running"`      // runs at a time
 	MaxPerFunction  int           `toml:"most_per_function"` // runs at a time of one function
 	MaxRuns         int           `toml:"most_runs"`         // of one invocation, which then becomes a dead letter
-	Backoff         time.Duration `toml:"backoff"`           // bound on the pause after the first run, doubled after each further one
+	Backoff         time.Duration `toml:"backoff"`           // bound on the pause after the first run, then doubled
 	MaxBackoff      time.Duration `toml:"most_backoff"`      // bound on every pause
 	RetryRatio      float64       `toml:"retry_share"`       // budget of retries: for each first run
 	RetryRate       float64       `toml:"retry_per_second"`  // budget of retries: per second
 	BatchWait       time.Duration `toml:"gather"`            // how long a run may wait for others of its function
 	BatchSize       int           `toml:"gather_runs"`       // runs of one function that end such a wait
-	StarvationLimit time.Duration `toml:"starve"`            // an invocation ready for longer goes before others of its tenant
+	StarvationLimit time.Duration `toml:"starve"`            // invocations ready for longer go first in their tenant
 
 	scheduler schedule.Config // the above, with what the settings say of tenants and classes
 }
--- a/internal/frontend/invoke/create.go
+++ b/internal/frontend/invoke/create.go
@@ -11,8 +11,8 @@
 // answerGrace is how long past its deadline a synchronous invocation may take to store its outcome.
 const answerGrace = 250 * time.Millisecond
 
-// handleCreate creates an invocation. A synchronous one is answered with its outcome; a deferred one with that too, if it
-// comes while the client prefers to wait, or else with where to ask for it.
+// handleCreate creates an invocation. A synchronous one is answered with its outcome; a deferred one with that too, if
+// it comes while the client prefers to wait, or else with where to ask for it.
 func (s *Server) handleCreate(w http.ResponseWriter, r *http.Request, tenant string) error {
 	now := time.Now()
 	if s.draining.Load() {
@@ -46,7 +46,8 @@
 }
 
 // createDeferred submits a deferred invocation. Where waitUntil is after now, it waits for the outcome until then.
-func (s *Server) createDeferred(w http.ResponseWriter, r *http.Request, request invocation.Request, waitUntil, now time.Time) error {
+func (s *Server) createDeferred(w http.ResponseWriter, r *http.Request, request invocation.Request,
+	waitUntil, now time.Time) error {
 	view, err := s.executor.Submit(request)
 	if err != nil {
 		return err
--- a/internal/frontend/invoke/harness_test.go
+++ b/internal/frontend/invoke/harness_test.go
@@ -167,7 +167,8 @@
 }
 
 // send sends a request, with headers as pairs of name and value.
-func (f *testFrontend) send(ctx context.Context, client *http.Client, method, path, body string, headers ...string) (response, error) {
+func (f *testFrontend) send(ctx context.Context, client *http.Client, method, path, body string,
+	headers ...string) (response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader(body))
 	require.NoError(f.t, err)
 	request.Header.Set("Content-Type", "application/json")
--- a/internal/frontend/invoke/headers.go
+++ b/internal/frontend/invoke/headers.go
@@ -59,7 +59,8 @@
 	return invocation.DefaultUrgency
 }
 
-// parsePreferences reads the Prefer header, by RFC 7240, into values by name. Of several with one name the first counts.
+// parsePreferences reads the Prefer header, by RFC 7240, into values by name. Of several with one name the first
+// counts.
 func parsePreferences(header http.Header) map[string]string {
 	preferences := map[string]string{}
 	for _, line := range header.Values(preferHeader) {
@@ -76,8 +77,8 @@
 	return preferences
 }
 
-// waitDeadline returns until when the client prefers to wait for an outcome, within the operator's bound; now if it does
-// not say.
+// waitDeadline returns until when the client prefers to wait for an outcome, within the operator's bound; now if it
+// does not say.
 func (s *Server) waitDeadline(preferences map[string]string, now time.Time) (time.Time, error) {
 	text, ok := preferences[preferWait]
 	if !ok {
--- a/internal/frontend/invoke/poll.go
+++ b/internal/frontend/invoke/poll.go
@@ -31,7 +31,8 @@
 }
 
 // awaitAndWriteView waits for the outcome of an invocation up to a moment, and answers with what there is then.
-func (s *Server) awaitAndWriteView(w http.ResponseWriter, r *http.Request, waitUntil time.Time, tenant, id string) error {
+func (s *Server) awaitAndWriteView(w http.ResponseWriter, r *http.Request, waitUntil time.Time,
+	tenant, id string) error {
 	ctx, cancel := context.WithDeadline(r.Context(), waitUntil)
 	defer cancel()
 	view, err := s.executor.Wait(ctx, tenant, id)
--- a/internal/frontend/invoke/problem.go
+++ b/internal/frontend/invoke/problem.go
@@ -78,7 +78,8 @@
 }
 
 func bodyTooLarge(maxBytes int64) *problem {
-	return newProblem(http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("The function takes %d bytes at most", maxBytes))
+	title := fmt.Sprintf("The function takes %d bytes at most", maxBytes)
+	return newProblem(http.StatusRequestEntityTooLarge, "too-large", title)
 }
 
 func rejected(retryAt time.Time) *problem {
--- a/internal/frontend/invoke/routes.go
+++ b/internal/frontend/invoke/routes.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// acquireSlot reports whether one more request may be in flight. It does not wait for a slot: a request that waits holds
-// memory and a goroutine.
+// acquireSlot reports whether one more request may be in flight. It does not wait for a slot: a request that waits
+// holds memory and a goroutine.
 func (s *Server) acquireSlot() bool {
 	select {
 	case s.slots <- struct{}{}:
--- a/internal/frontend/invoke/server.go
+++ b/internal/frontend/invoke/server.go
@@ -34,7 +34,7 @@
 type Server struct {
 	config       *Config
 	executor     *executor.Executor
-	http         *http.Server
+	httpServer   *http.Server
 	slots        chan struct{} // holds an element for each request in flight
 	draining     atomic.Bool
 	forbiddenLog *logthrottle.Logger
@@ -48,7 +48,7 @@
 		slots:        make(chan struct{}, config.MaxInFlight),
 		forbiddenLog: logthrottle.New(),
 	}
-	s.http = &http.Server{
+	s.httpServer = &http.Server{
 		Handler:           s.routes(),
 		TLSConfig:         newTLSConfig(identity),
 		ReadHeaderTimeout: readTimeout,
@@ -69,7 +69,7 @@
 
 // Serve accepts connections on ln until Shutdown, and then returns nil.
 func (s *Server) Serve(ln net.Listener) error {
-	err := s.http.ServeTLS(netutil.LimitListener(ln, s.config.MaxConns), "", "")
+	err := s.httpServer.ServeTLS(netutil.LimitListener(ln, s.config.MaxConns), "", "")
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -80,4 +80,4 @@
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // Shutdown accepts no more connections and waits for the requests in flight, until ctx ends.
-func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
+func (s *Server) Shutdown(ctx context.Context) error { return s.httpServer.Shutdown(ctx) }
--- a/internal/frontend/invoke/validate.go
+++ b/internal/frontend/invoke/validate.go
@@ -15,8 +15,8 @@
 // maxLifetime is the longest lifetime that an operator may allow a deferred invocation.
 const maxLifetime = 30 * 24 * time.Hour
 
-// ReadConfig reads the operator's file and validates it against the classes and tenants of the settings. The error joins
-// one for each setting that cannot work, with its line.
+// ReadConfig reads the operator's file and validates it against the classes and tenants of the settings. The error
+// joins one for each setting that cannot work, with its line.
 func ReadConfig(path string, settings balancer.Settings) (*Config, error) {
 	return CheckConfig(path, settings, true)
 }
@@ -51,8 +51,8 @@
 	return config, nil
 }
 
-// configValidator collects what is wrong with an operator's file, and completes the configuration where that depends on the
-// settings.
+// configValidator collects what is wrong with an operator's file, and completes the configuration where that depends on
+// the settings.
 type configValidator struct {
 	file          *tomlfile.File
 	settingsKnown bool
@@ -79,7 +79,8 @@
 	v.require(c.MaxConns >= 1, "has to be at least 1", "connections")
 }
 
-// checkTenants checks the SPIFFE IDs and their tenants, and parses them. Without tenants in the settings any is accepted.
+// checkTenants checks the SPIFFE IDs and their tenants, and parses them. Without tenants in the settings any is
+// accepted.
 func (v *configValidator) checkTenants(c *Config) {
 	for text, tenant := range c.Tenants {
 		id, err := spiffeid.FromString(text)
--- a/internal/frontend/resp/client_test.go
+++ b/internal/frontend/resp/client_test.go
@@ -24,7 +24,8 @@
 	return startServerWith(t, defaultMaxConns, resp.DefaultTimeouts, workers...)
 }
 
-func startServerWith(t *testing.T, maxConns int, timeouts resp.Timeouts, workers ...*fakes.Worker) (*resp.Server, func() *client) {
+func startServerWith(t *testing.T, maxConns int, timeouts resp.Timeouts,
+	workers ...*fakes.Worker) (*resp.Server, func() *client) {
 	t.Helper()
 	core := fakes.NewCore(t, workers...)
 	t.Cleanup(core.Stop)
--- a/internal/frontend/resp/conncall.go
+++ b/internal/frontend/resp/conncall.go
@@ -39,7 +39,8 @@
 		return err
 	}
 	if err != nil {
-		c.server.logs.requestFailed.Log(slog.LevelWarn, "frontend: request failed", "tag", tag, "addr", c.remoteAddr(), "err", err)
+		c.server.logs.requestFailed.Log(slog.LevelWarn, "frontend: request failed",
+			"tag", tag, "addr", c.remoteAddr(), "err", err)
 		c.reply(tag, wordFailed)
 		return nil
 	}
--- a/internal/frontend/resp/connwriter.go
+++ b/internal/frontend/resp/connwriter.go
@@ -5,7 +5,8 @@
 // answerQueueSize leaves room for the answers to all requests in flight, and as many to others.
 const answerQueueSize = 2 * maxRequestsPerConn
 
-// enqueueLocked queues an answer. It never blocks, since the dispatcher's own goroutine calls it. The caller holds c.mu.
+// enqueueLocked queues an answer. It never blocks, since the dispatcher's own goroutine calls it. The caller holds
+// c.mu.
 func (c *clientConn) enqueueLocked(a answer) {
 	select {
 	case c.answers <- a:
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// handleAcceptError closes the connection that is idle longest, since the process is most likely out of descriptors, and
-// pauses: redcon would try again at once and keep the processor busy.
+// handleAcceptError closes the connection that is idle longest, since the process is most likely out of descriptors,
+// and pauses: redcon would try again at once and keep the processor busy.
 func (l *listener) handleAcceptError(err error) {
 	l.server.logs.acceptFailed.Log(slog.LevelWarn, "frontend: cannot accept a connection", "err", err)
 	if idle := l.server.longestIdle(); idle != nil {
@@ -66,7 +66,8 @@
 func (l *listener) full() bool { return l.server.ActiveConns() >= l.maxConns }
 
 func (l *listener) reject(conn net.Conn) {
-	l.server.logs.connRejected.Log(slog.LevelWarn, "frontend: connection rejected, all connections have requests in flight",
+	l.server.logs.connRejected.Log(slog.LevelWarn,
+		"frontend: connection rejected, all connections have requests in flight",
 		"addr", conn.RemoteAddr().String(), "connections", l.maxConns)
 	conn.Close()
 }
--- a/internal/frontend/resp/parse.go
+++ b/internal/frontend/resp/parse.go
@@ -12,7 +12,7 @@
 	"kitefall/internal/call"
 )
 
-// The bounds of the figures in a CALL request.
+// The bounds of the numbers in a CALL request.
 const (
 	maxDurationMS  = 600_000 // of every duration
 	maxConcurrency = 1 << 10
@@ -92,14 +92,14 @@
 	return err
 }
 
-// setSpecField sets a figure of the function's loaded copies.
+// setSpecField sets a property of the function's loaded copies.
 func (p *callParser) setSpecField(name, value string) (err error) {
 	switch name {
 	case "memory_mb":
-		p.call.MemoryMB, err = parseFigure(name, value, 0, maxMemoryMB)
+		p.call.MemoryMB, err = parseNumber(name, value, 0, maxMemoryMB)
 	case "lanes":
 		var lanes float64
-		lanes, err = parseFigure(name, value, 1, maxConcurrency)
+		lanes, err = parseNumber(name, value, 1, maxConcurrency)
 		p.call.Concurrency = int(lanes)
 	case "load_ms":
 		p.call.LoadTime, err = parseMilliseconds(name, value, 0)
@@ -142,20 +142,20 @@
 }
 
 func parseMilliseconds(name, value string, minimum float64) (time.Duration, error) {
-	milliseconds, err := parseFigure(name, value, minimum, maxDurationMS)
+	milliseconds, err := parseNumber(name, value, minimum, maxDurationMS)
 	return time.Duration(milliseconds * float64(time.Millisecond)), err
 }
 
-// parseFigure reads a number from minimum to maximum.
-func parseFigure(name, value string, minimum, maximum float64) (float64, error) {
-	figure, err := strconv.ParseFloat(value, 64)
-	if err != nil || math.IsNaN(figure) {
+// parseNumber reads a number from minimum to maximum.
+func parseNumber(name, value string, minimum, maximum float64) (float64, error) {
+	number, err := strconv.ParseFloat(value, 64)
+	if err != nil || math.IsNaN(number) {
 		return 0, &fieldError{field: name, value: value, reason: "must be a number"}
 	}
-	if figure < minimum || figure > maximum {
+	if number < minimum || number > maximum {
 		return 0, &fieldError{field: name, value: value, reason: fmt.Sprintf("must be from %v to %v", minimum, maximum)}
 	}
-	return figure, nil
+	return number, nil
 }
 
 // forEachField calls visit for each name and value in a list of fields. A name that is there twice is an error, as is
--- a/internal/frontend/resp/reply.go
+++ b/internal/frontend/resp/reply.go
@@ -38,8 +38,8 @@
 	return answer{tag: tag, word: word, writeDeadline: deadline.Add(writeGrace)}
 }
 
-// newCallAnswer returns the answer to a call with a deadline. With sendRetryAfter a rejected client is told when to come
-// back.
+// newCallAnswer returns the answer to a call with a deadline. With sendRetryAfter a rejected client is told when to
+// come back.
 func newCallAnswer(tag uint64, result call.Answer, deadline time.Time, sendRetryAfter bool) answer {
 	switch result.Outcome {
 	case call.Served:
--- a/internal/frontend/resp/request_test.go
+++ b/internal/frontend/resp/request_test.go
@@ -56,8 +56,8 @@
 	assert.Equal(t, "5 fault  ", c.receive())
 }
 
-// Without the validator the first of these keeps redcon in a loop, the second grows its buffer, the third is a command to
-// it. All end the connection; other clients are served as before.
+// Without the validator the first of these keeps redcon in a loop, the second grows its buffer, the third is a command
+// to it. All end the connection; other clients are served as before.
 func TestMalformedRequestsEndTheConnection(t *testing.T) {
 	w := fakes.NewWorker(t)
 	_, connect := startServer(t, w)
--- a/internal/frontend/resp/server.go
+++ b/internal/frontend/resp/server.go
@@ -1,6 +1,6 @@
 // Package resp is the frontend for the platform's clients. It accepts RESP requests over TCP, hands them to the
-// dispatcher as calls, and writes each answer as soon as it is known, in whatever order that is. Which worker gets a call,
-// and whether it is retried, is the dispatcher's business alone.
+// dispatcher as calls, and writes each answer as soon as it is known, in whatever order that is. Which worker gets a
+// call, and whether it is retried, is decided by the dispatcher alone.
 //
 // Source: client protocol. The words of requests and answers are translated here and nowhere else.
 //
--- a/internal/frontend/resp/server_test.go
+++ b/internal/frontend/resp/server_test.go
@@ -11,8 +11,8 @@
 	"kitefall/internal/frontend/resp"
 )
 
-// While the server drains, a connection that a CANCEL leaves without requests in flight must close, or the program never
-// ends.
+// While the server drains, a connection that a CANCEL leaves without requests in flight must close, or the program
+// never ends.
 func TestDrainClosesAConnectionLeftIdleByACancel(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startServer(t, w)
