--- /dev/null
+++ b/internal/frontend/resp/server_test.go
@@ -0,0 +1,73 @@
+package resp_test
+
+import (
+	"io"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"kitefall/internal/fakes"
+	"kitefall/internal/frontend/resp"
+)
+
+// While the server drains, a connection that a CANCEL leaves without requests in flight must close, or the program
+// never ends.
+func TestDrainClosesAConnectionLeftIdleByACancel(t *testing.T) {
+	w := fakes.NewWorker(t)
+	server, connect := startServer(t, w)
+	c := connect()
+	c.sendCall(1, "reserva", "book")
+	w.Next()
+	server.Drain()
+	c.sendCommand("CANCEL", "1")
+	_, err := c.reader.ReadByte()
+	assert.ErrorIs(t, err, io.EOF)
+}
+
+// A client that connects and sends nothing, stops within a request, or sends one and stays, holds its descriptor no
+// longer than a timeout; one that waits for an answer is disconnected by none of them.
+func TestTimeoutsCloseIdleConnections(t *testing.T) {
+	const timeout = 50 * time.Millisecond
+	w := fakes.NewWorker(t)
+	timeouts := resp.Timeouts{FirstRequest: timeout, Request: timeout, Idle: timeout}
+	_, connect := startServerWith(t, defaultMaxConns, timeouts, w)
+	waiting := connect()
+	waiting.sendCall(1, "reserva", "book")
+	received := w.Next()
+	silent, incomplete, idle := connect(), connect(), connect()
+	incomplete.sendCommand("CHECK", "1", "")
+	incomplete.receive()
+	incomplete.sendRaw("*3\r\n$4\r\nCA")
+	idle.sendCommand("CHECK", "1", "")
+	idle.receive()
+	for name, c := range map[string]*client{"silent": silent, "incomplete request": incomplete, "idle": idle} {
+		_, err := c.reader.ReadByte()
+		assert.ErrorIs(t, err, io.EOF, name)
+	}
+	received.OK("done")
+	assert.Equal(t, "1 ok  done", waiting.receive())
+}
+
+// With all connections taken, the next one is accepted in place of an idle one, silent ones first.
+func TestIdleConnectionsMakeRoomForNewOnes(t *testing.T) {
+	w := fakes.NewWorker(t)
+	_, connect := startServerWith(t, 3, resp.DefaultTimeouts, w)
+	busy, idle := connect(), connect()
+	busy.sendCall(1, "reserva", "book")
+	received := w.Next()
+	idle.sendCommand("CHECK", "1", "")
+	idle.receive()
+	silent := connect()
+	for i, closed := range []*client{silent, idle} {
+		accepted := connect()
+		_, err := closed.reader.ReadByte()
+		assert.ErrorIs(t, err, io.EOF)
+		accepted.sendCall(2+i, "reserva", "next")
+		w.Next()
+	}
+	_, err := connect().reader.ReadByte()
+	assert.ErrorIs(t, err, io.EOF, "all have requests in flight")
+	received.OK("done")
+	assert.Equal(t, "1 ok  done", busy.receive())
+}
