--- a/internal/worker/breakrate.go
+++ b/internal/worker/breakrate.go
@@ -6,43 +6,57 @@
 	"time"
 )
 
-// wearSpan is the time constant with which what connections went through is forgotten.
-const wearSpan = time.Minute
+// breakRateDecay is the time constant with which opened and broken connections are forgotten.
+const breakRateDecay = time.Minute
 
-// Wear tells whether jobs are worth connections of their own, by what connections of all links went through. One that
-// breaks under load ends all that is open on it: jobs apart from each other lose one less by it. But each handshake has
-// its price, and 80 dispatchers that each open a second connection to each worker pay it 80 times.
+// BreakRate measures how often connections of all pools break, and decides by it whether requests should have separate
+// connections. A connection that breaks under load ends all requests in flight on it: separate ones lose fewer. But each
+// handshake has its cost, and 80 dispatchers that each open a second connection to each worker pay it 80 times.
+//
+// It is safe for concurrent use. A nil BreakRate counts nothing and separates always.
 type BreakRate struct {
-	price float64 // of a handshake, in parts of the worth of a call
-	clock func() time.Time
+	handshakeCost float64 // as a fraction of the value of a call
+	clock         func() time.Time
 
-	mu            sync.Mutex
-	at            time.Time
-	opened, broke float64 // connections opened, and those that broke under load, forgotten with wearSpan
+	mu      sync.Mutex
+	decayed time.Time // when the counts were last decayed
+	opened  float64   // connections opened, decayed
+	broken  float64   // connections that broke under load, decayed
 }
 
-// NewWear returns wear for handshakes of a price, in parts of the worth of a call. Where they have none, jobs keep apart.
-func NewBreakRate(price float64) *BreakRate { return &BreakRate{price: price, clock: time.Now} }
+// NewBreakRate returns a break rate that weighs a handshake at handshakeCost, as a fraction of the value of a call.
+// Where that is not positive, requests are always kept on separate connections.
+func NewBreakRate(handshakeCost float64) *BreakRate {
+	return &BreakRate{handshakeCost: handshakeCost, clock: time.Now}
+}
+
+// recordOpened counts a connection that is being opened.
+func (b *BreakRate) recordOpened() { b.record(1, 0) }
+
+// recordBroken counts a connection that broke with requests in flight.
+func (b *BreakRate) recordBroken() { b.record(0, 1) }
 
-// count adds connections opened and broken to those counted so far.
-func (w *BreakRate) count(opened, broke float64) {
-	if w == nil {
+func (b *BreakRate) record(opened, broken float64) {
+	if b == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.clock()
-	fade := math.Exp(-max(0, now.Sub(w.at).Seconds()) / wearSpan.Seconds())
-	w.at, w.opened, w.broke = now, w.opened*fade+opened, w.broke*fade+broke
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.clock()
+	elapsed := max(0, now.Sub(b.decayed).Seconds())
+	decay := math.Exp(-elapsed / breakRateDecay.Seconds())
+	b.decayed = now
+	b.opened = b.opened*decay + opened
+	b.broken = b.broken*decay + broken
 }
 
-// apart tells whether a job should have a connection of its own rather than share one: a connection breaks often enough
-// to lose more than it costs.
-func (w *BreakRate) apart() bool {
-	if w == nil || w.price <= 0 {
+// separates reports whether a request should have a connection of its own rather than share one: connections break often
+// enough to lose more than another handshake costs.
+func (b *BreakRate) separates() bool {
+	if b == nil || b.handshakeCost <= 0 {
 		return true
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.broke > w.price*w.opened
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.broken > b.handshakeCost*b.opened
 }
--- a/internal/worker/breakrate_test.go
+++ b/internal/worker/breakrate_test.go
@@ -7,39 +7,48 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestWearWeighsBreaksAgainstAHandshake(t *testing.T) {
-	for name, c := range map[string]struct {
-		price         float64
-		opened, broke int
-		apart         bool
+// newBreakRateAt returns a break rate whose clock shows *now.
+func newBreakRateAt(now *time.Time, handshakeCost float64) *BreakRate {
+	rate := NewBreakRate(handshakeCost)
+	rate.clock = func() time.Time { return *now }
+	return rate
+}
+
+func TestBreakRateWeighsBreaksAgainstHandshakeCost(t *testing.T) {
+	for name, test := range map[string]struct {
+		handshakeCost  float64
+		opened, broken int
+		separates      bool
 	}{
-		"nothing known":            {0.08, 0, 0, false},
-		"no breaks":                {0.08, 100, 0, false},
-		"few breaks":               {0.08, 100, 5, false},
-		"breaks that cost more":    {0.08, 100, 9, true},
-		"a handshake is dearer":    {0.5, 100, 9, false},
-		"a handshake has no price": {0, 100, 0, true},
+		"no connections yet":      {0.08, 0, 0, false},
+		"no breaks":               {0.08, 100, 0, false},
+		"few breaks":              {0.08, 100, 5, false},
+		"breaks cost more":        {0.08, 100, 9, true},
+		"handshakes cost more":    {0.5, 100, 9, false},
+		"handshakes have no cost": {0, 100, 0, true},
 	} {
-		w := NewBreakRate(c.price)
-		w.clock = func() time.Time { return time.Unix(1, 0) }
-		for range c.opened {
-			w.count(1, 0)
-		}
-		for range c.broke {
-			w.count(0, 1)
-		}
-		assert.Equal(t, c.apart, w.apart(), name)
+		t.Run(name, func(t *testing.T) {
+			now := time.Unix(1, 0)
+			rate := newBreakRateAt(&now, test.handshakeCost)
+			for range test.opened {
+				rate.recordOpened()
+			}
+			for range test.broken {
+				rate.recordBroken()
+			}
+			assert.Equal(t, test.separates, rate.separates())
+		})
 	}
-	assert.True(t, (*BreakRate)(nil).apart(), "without wear jobs keep apart")
+	assert.True(t, (*BreakRate)(nil).separates(), "a nil break rate separates always")
 }
 
-func TestWearForgets(t *testing.T) {
+func TestBreakRateDecays(t *testing.T) {
 	now := time.Unix(1, 0)
-	w := NewBreakRate(0.08)
-	w.clock = func() time.Time { return now }
-	w.count(1, 1)
-	assert.True(t, w.apart())
-	now = now.Add(5 * wearSpan)
-	w.count(1, 0)
-	assert.False(t, w.apart())
+	rate := newBreakRateAt(&now, 0.08)
+	rate.recordOpened()
+	rate.recordBroken()
+	assert.True(t, rate.separates())
+	now = now.Add(5 * breakRateDecay)
+	rate.recordOpened()
+	assert.False(t, rate.separates())
 }
--- a/internal/worker/frame.go
+++ b/internal/worker/frame.go
@@ -1,4 +1,3 @@
-// Package worker speaks with the workers: frames, connections, calls and orders to load.
 package worker
 
 import (
@@ -8,70 +7,180 @@
 	"fmt"
 	"hash/crc32"
 	"io"
+	"strconv"
 	"strings"
+	"time"
+
+	"kitefall/internal/balancer"
 )
 
-// The marks and codes of frames.
+// Values of a frame's first byte, which names its sender (source: worker protocol).
 const (
-	markCommand, markAnswer = 192, 193
+	markCommand byte = 192 // from the dispatcher
+	markAnswer  byte = 193 // from the worker
+)
 
-	codeCall, codeGiveUp, codeLoad, codeDrop                        = 48, 49, 52, 54
-	codeOK, codeMiss, codeFull, codeError, codeOver, codeConnection = 64, 66, 67, 68, 69, 70
+// frameCode is a frame's second byte: the command, or how it ended (source: worker protocol).
+type frameCode byte
+
+// Commands.
+const (
+	codeCall   frameCode = 48
+	codeCancel frameCode = 49 // has no answer
+	codeLoad   frameCode = 52
+	codeUnload frameCode = 54 // has no answer
+)
 
-	headSize   = 16
-	mostAnswer = 1 << 20 // bytes of an answer's body
+// Answers.
+const (
+	codeOK       frameCode = 64
+	codeMiss     frameCode = 66
+	codeRejected frameCode = 67
+	codeFailed   frameCode = 68
+	codeNotRun   frameCode = 69 // the call was over before it began
+	codePong     frameCode = 70 // tells that the connection works, and nothing of a request
 )
 
-var errFrame = errors.New("bad frame")
+// Names of a frame's fields (source: worker protocol).
+const (
+	fieldClass      = "profile"
+	fieldFunction   = "thing"
+	fieldTimeLeft   = "max" // milliseconds
+	fieldCopies     = "n"
+	fieldWarmth     = "remark"
+	fieldQueueDepth = "same"
+)
 
+const (
+	headerSize    = 16
+	checksumSize  = 4
+	maxAnswerBody = 1 << 20 // bytes
+)
+
+// errBadFrame is wrapped by the errors for answers that break the worker protocol.
+var errBadFrame = errors.New("bad frame")
+
+// statusOfCode translates the codes of answers.
+var statusOfCode = map[frameCode]balancer.Status{
+	codeOK:       balancer.OK,
+	codeMiss:     balancer.Miss,
+	codeRejected: balancer.Rejected,
+	codeFailed:   balancer.Failed,
+	codeNotRun:   balancer.NotSent,
+	codePong:     balancer.OK,
+}
+
+// warmthOfRemark translates the field that tells what an answered call found; any other value is unknown.
+var warmthOfRemark = map[string]balancer.Warmth{
+	"hot":     balancer.WarmthLoaded,
+	"started": balancer.WarmthStartedLoad,
+	"waited":  balancer.WarmthWaitedForLoad,
+	"broken":  balancer.WarmthLoadFailed,
+}
+
+// frame is one message of the worker protocol. Numbers are big-endian:
+//
+//	mark:1 code:1 len(fields):2 len(body):4 id:8, fields, body, CRC-32 (IEEE) of fields and body:4
 type frame struct {
-	mark, code byte
-	id         uint64
-	fields     string
-	body       []byte
+	mark   byte
+	code   frameCode
+	id     uint64
+	fields string // name=value,name=value
+	body   []byte
 }
 
+// encode returns the bytes of the frame.
 func (f frame) encode() []byte {
-	out := make([]byte, 0, headSize+len(f.fields)+len(f.body)+4)
-	out = append(out, f.mark, f.code)
-	out = binary.BigEndian.AppendUint16(out, uint16(len(f.fields)))
-	out = binary.BigEndian.AppendUint32(out, uint32(len(f.body)))
-	out = binary.BigEndian.AppendUint64(out, f.id)
-	out = append(out, f.fields...)
-	out = append(out, f.body...)
-	return binary.BigEndian.AppendUint32(out, crc32.ChecksumIEEE(out[headSize:]))
+	data := make([]byte, 0, headerSize+len(f.fields)+len(f.body)+checksumSize)
+	data = append(data, f.mark, byte(f.code))
+	data = binary.BigEndian.AppendUint16(data, uint16(len(f.fields)))
+	data = binary.BigEndian.AppendUint32(data, uint32(len(f.body)))
+	data = binary.BigEndian.AppendUint64(data, f.id)
+	data = append(data, f.fields...)
+	data = append(data, f.body...)
+	return binary.BigEndian.AppendUint32(data, crc32.ChecksumIEEE(data[headerSize:]))
 }
 
-// readFrame reads one frame with the given mark. Errors other than those of r wrap errFrame.
+// readFrame reads one frame with the given mark. Errors other than those of r wrap errBadFrame.
 func readFrame(r io.Reader, mark byte) (frame, error) {
-	var head [headSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return frame{}, err
 	}
-	fields, body := int(binary.BigEndian.Uint16(head[2:])), binary.BigEndian.Uint32(head[4:])
-	// A length field is a peer's claim: without the bound, one broken frame would take all memory.
-	if head[0] != mark || body > mostAnswer {
-		return frame{}, fmt.Errorf("%w: mark %d, %d bytes of body", errFrame, head[0], body)
+	fieldsSize := int64(binary.BigEndian.Uint16(header[2:]))
+	bodySize := int64(binary.BigEndian.Uint32(header[4:]))
+	// The size is the peer's claim: without the bound, one broken frame would take all memory.
+	if header[0] != mark || bodySize > maxAnswerBody {
+		return frame{}, fmt.Errorf("%w: mark %d, %d bytes of body", errBadFrame, header[0], bodySize)
 	}
-	// Room is made as the bytes come: a claim alone gets none.
-	var data bytes.Buffer
-	if _, err := io.CopyN(&data, r, int64(fields)+int64(body)+4); err != nil {
+	payload, err := readPayload(r, fieldsSize+bodySize)
+	if err != nil {
 		return frame{}, err
 	}
-	rest := data.Bytes()
-	rest, check := rest[:len(rest)-4], rest[len(rest)-4:]
-	if crc32.ChecksumIEEE(rest) != binary.BigEndian.Uint32(check) {
-		return frame{}, fmt.Errorf("%w: check does not match", errFrame)
+	return frame{
+		mark:   header[0],
+		code:   frameCode(header[1]),
+		id:     binary.BigEndian.Uint64(header[8:]),
+		fields: string(payload[:fieldsSize]),
+		body:   payload[fieldsSize:],
+	}, nil
+}
+
+// readPayload reads size bytes and the checksum that follows them.
+func readPayload(r io.Reader, size int64) ([]byte, error) {
+	// The buffer grows with the bytes that arrive: a claimed size alone allocates nothing.
+	var buffer bytes.Buffer
+	if _, err := io.CopyN(&buffer, r, size+checksumSize); err != nil {
+		return nil, err
+	}
+	payload, checksum := buffer.Bytes()[:size], buffer.Bytes()[size:]
+	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(checksum) {
+		return nil, fmt.Errorf("%w: checksum does not match", errBadFrame)
 	}
-	return frame{mark: head[0], code: head[1], id: binary.BigEndian.Uint64(head[8:]),
-		fields: string(rest[:fields]), body: rest[fields:]}, nil
+	return payload, nil
 }
 
+// field returns the value of a field, or "" where the frame has none of that name.
 func (f frame) field(name string) string {
-	for _, part := range strings.Split(f.fields, ",") {
-		if k, v, _ := strings.Cut(part, "="); k == name {
-			return v
+	for part := range strings.SplitSeq(f.fields, ",") {
+		if key, value, _ := strings.Cut(part, "="); key == name {
+			return value
 		}
 	}
 	return ""
 }
+
+// intField returns the value of a field that is a number, or 0 where it is absent or no number.
+func (f frame) intField(name string) int {
+	value, _ := strconv.Atoi(f.field(name))
+	return value
+}
+
+// result translates an answer. Its error wraps errBadFrame and tells of an unknown code.
+func (f frame) result() (Result, error) {
+	status, ok := statusOfCode[f.code]
+	if !ok {
+		return Result{}, fmt.Errorf("%w: code %d", errBadFrame, f.code)
+	}
+	return Result{
+		Status:     status,
+		Warmth:     warmthOfRemark[f.field(fieldWarmth)],
+		QueueDepth: f.intField(fieldQueueDepth),
+		Copies:     f.intField(fieldCopies),
+		Body:       f.body,
+	}, nil
+}
+
+// callFields returns the fields of a call. The worker is told at least 1 ms, since 0 has no meaning there.
+func callFields(class, function string, timeLeft time.Duration) string {
+	return fmt.Sprintf("%s=%s,%s=%s,%s=%d",
+		fieldClass, class, fieldFunction, function, fieldTimeLeft, max(1, timeLeft.Milliseconds()))
+}
+
+// loadFields returns the fields of a load order for at least so many copies.
+func loadFields(function string, copies int) string {
+	return fmt.Sprintf("%s=%s,%s=%d", fieldFunction, function, fieldCopies, copies)
+}
+
+// unloadID returns the frame id of an order to unload a function: its name, which is a hexadecimal number.
+func unloadID(function string) (uint64, error) { return strconv.ParseUint(function, 16, 64) }
--- a/internal/worker/pool_test.go
+++ b/internal/worker/pool_test.go
@@ -1,6 +1,7 @@
 package worker_test
 
 import (
+	"fmt"
 	"net"
 	"testing"
 	"time"
@@ -13,169 +14,189 @@
 	"kitefall/internal/worker"
 )
 
-func call(t *testing.T, l *worker.Pool, id uint64, until time.Time) (*worker.PendingRequest, chan worker.Result) {
-	ended := make(chan worker.Result, 1)
-	j, err := l.Call(worker.Attempt{ID: id, Class: "reserva", Function: "7f3a9c21e0b4d655", Body: []byte("x"), Deadline: until},
-		func(r worker.Result) { ended <- r })
+const testFunction = "7f3a9c21e0b4d655"
+
+// Codes of answers (source: worker protocol).
+const (
+	codeOK       = 64
+	codeMiss     = 66
+	codeRejected = 67
+)
+
+// newPool returns a pool of the worker whose configuration is that of fakes.PoolConfig, changed by configure.
+func newPool(t *testing.T, w *fakes.Worker, configure func(*worker.Config)) *worker.Pool {
+	t.Helper()
+	config := fakes.PoolConfig()
+	configure(&config)
+	pool := worker.NewPool("s-1", w.Addr, &config)
+	t.Cleanup(pool.Close)
+	return pool
+}
+
+func unchanged(*worker.Config) {}
+
+func withConnLimit(connections int) func(*worker.Config) {
+	return func(c *worker.Config) { c.ConnLimit = worker.NewConnLimit(connections) }
+}
+
+// call sends an attempt and returns it with the channel of its result.
+func call(t *testing.T, pool *worker.Pool, id uint64, deadline time.Time) (*worker.PendingRequest, chan worker.Result) {
+	t.Helper()
+	results := make(chan worker.Result, 1)
+	attempt := worker.Attempt{ID: id, Class: "reserva", Function: testFunction, Body: []byte("x"), Deadline: deadline}
+	request, err := pool.Call(attempt, func(r worker.Result) { results <- r })
 	require.NoError(t, err)
-	return j, ended
+	return request, results
 }
 
-// Word of a drain, or the end of the time, may come while a call waits for its connection.
+// An update that the worker drains, or the deadline, may come while a call waits for its connection.
 func TestNothingIsWrittenAfterADrainOrTheDeadline(t *testing.T) {
 	w := fakes.NewWorker(t)
-	c := fakes.PoolConfig()
-	l := worker.NewPool("s-1", w.Addr, &c)
-	t.Cleanup(l.Close)
-	_, late := call(t, l, 1, time.Now().Add(-time.Millisecond))
+	pool := newPool(t, w, unchanged)
+	_, late := call(t, pool, 1, time.Now().Add(-time.Millisecond))
 	assert.Equal(t, balancer.NotSent, (<-late).Status)
-	l.MarkUnavailable(false)
-	_, drained := call(t, l, 2, fakes.Deadline())
+	pool.MarkUnavailable(false)
+	_, drained := call(t, pool, 2, fakes.Deadline())
 	assert.Equal(t, balancer.NotSent, (<-drained).Status)
-	order := make(chan worker.Result, 1)
-	_, err := l.Load("7f3a9c21e0b4d655", 1, fakes.Deadline(), fakes.Deadline(), func(r worker.Result) { order <- r })
+	loaded := make(chan worker.Result, 1)
+	_, err := pool.Load(testFunction, 1, fakes.Deadline(), fakes.Deadline(), func(r worker.Result) { loaded <- r })
 	require.NoError(t, err)
-	assert.Equal(t, balancer.Rejected, (<-order).Status)
-	l.MarkReady(0)
-	_, ended := call(t, l, 3, fakes.Deadline())
-	k := w.Next()
-	assert.Equal(t, uint64(3), k.ID) // the others never came
-	k.Answer(67, "same=5", "")
-	assert.Equal(t, worker.Result{Status: balancer.Rejected, QueueDepth: 5, Body: []byte{}}, <-ended)
+	assert.Equal(t, balancer.Rejected, (<-loaded).Status)
+	pool.MarkReady(0)
+	_, rejected := call(t, pool, 3, fakes.Deadline())
+	received := w.Next()
+	assert.Equal(t, uint64(3), received.ID, "the others were written")
+	received.Answer(codeRejected, "same=5", "")
+	assert.Equal(t, worker.Result{Status: balancer.Rejected, QueueDepth: 5, Body: []byte{}}, <-rejected)
 }
 
-func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func TestRefusedConnectionEndsCallAsConnectFailed(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	ln.Close()
-	c := fakes.PoolConfig()
-	_, ended := call(t, worker.NewPool("s-1", ln.Addr().String(), &c), 1, fakes.Deadline())
-	assert.Equal(t, balancer.ConnectFailed, (<-ended).Status)
+	listener.Close()
+	config := fakes.PoolConfig()
+	_, results := call(t, worker.NewPool("s-1", listener.Addr().String(), &config), 1, fakes.Deadline())
+	assert.Equal(t, balancer.ConnectFailed, (<-results).Status)
 }
 
-// The id of a call that was given up stays off its connection: its late answer would pass for the new one's.
-func TestGivenUpIDTakesAnotherConnection(t *testing.T) {
+// The id of a cancelled call stays off its connection: its late answer would pass for that of the new call.
+func TestCancelledIDTakesAnotherConnection(t *testing.T) {
 	w := fakes.NewWorker(t)
-	l := link(t, w, 64)
-	j, _ := call(t, l, 1, fakes.Deadline())
+	pool := newPool(t, w, withConnLimit(64))
+	request, _ := call(t, pool, 1, fakes.Deadline())
 	first := w.Next()
-	assert.True(t, l.Cancel(j), "it was written")
+	assert.True(t, pool.Cancel(request), "it was written")
 	assert.Equal(t, uint64(1), <-w.Cancelled)
-	_, ended := call(t, l, 1, fakes.Deadline())
+	_, results := call(t, pool, 1, fakes.Deadline())
 	second := w.Next()
 	first.OK("late")
 	second.OK("in time")
-	assert.Equal(t, "in time", string((<-ended).Body))
+	assert.Equal(t, "in time", string((<-results).Body))
 }
 
-// Guards against second connections that nobody needs: where a handshake has its price, and connections do not break,
-// calls and orders share one. Once one has broken under load, what is open at a time goes apart again.
-func TestJobsShareAConnectionUntilConnectionsBreak(t *testing.T) {
+// Where a handshake has its cost and connections do not break, a second connection would be wasted: requests share one.
+// Once one has broken under load, requests in flight at the same time are separated again.
+func TestRequestsShareAConnectionUntilConnectionsBreak(t *testing.T) {
 	w := fakes.NewWorker(t)
-	c := fakes.PoolConfig()
-	c.BreakRate = worker.NewBreakRate(0.08)
-	l := worker.NewPool("s-1", w.Addr, &c)
-	t.Cleanup(l.Close)
-	both := func() (*fakes.Call, *fakes.Call, chan worker.Result, chan worker.Result) {
-		_, one := call(t, l, 1, fakes.Deadline())
-		_, two := call(t, l, 2, fakes.Deadline())
-		return w.Next(), w.Next(), one, two
+	pool := newPool(t, w, func(c *worker.Config) { c.BreakRate = worker.NewBreakRate(0.08) })
+	callTwice := func() (received [2]*fakes.Call, results [2]chan worker.Result) {
+		_, results[0] = call(t, pool, 1, fakes.Deadline())
+		_, results[1] = call(t, pool, 2, fakes.Deadline())
+		received[0] = w.Next()
+		received[1] = w.Next()
+		return received, results
 	}
-	a, b, one, two := both()
-	require.Equal(t, a.From(), b.From(), "a connection of its own, though none ever broke")
-	a.ResetConn()
-	assert.Equal(t, balancer.Reset, (<-one).Status)
-	assert.Equal(t, balancer.Reset, (<-two).Status)
-	a, b, _, _ = both()
-	assert.NotEqual(t, a.From(), b.From(), "shared, though connections break")
+	received, results := callTwice()
+	require.Equal(t, received[0].From(), received[1].From(), "separate connections, though none ever broke")
+	received[0].ResetConn()
+	assert.Equal(t, balancer.Reset, (<-results[0]).Status)
+	assert.Equal(t, balancer.Reset, (<-results[1]).Status)
+	received, _ = callTwice()
+	assert.NotEqual(t, received[0].From(), received[1].From(), "shared, though connections break")
 }
 
-// Giving up what has been answered must not end a later call that bears the same id.
-func TestGivingUpAnAnsweredCallLeavesALaterOneOpen(t *testing.T) {
+// The cancellation of a call that was answered must not end a later call with the same id.
+func TestCancellingAnAnsweredCallLeavesALaterOneInFlight(t *testing.T) {
 	w := fakes.NewWorker(t)
-	l := link(t, w, 64)
-	j, first := call(t, l, 1, fakes.Deadline())
+	pool := newPool(t, w, withConnLimit(64))
+	answered, first := call(t, pool, 1, fakes.Deadline())
 	w.Next().OK("first")
 	<-first
-	_, second := call(t, l, 1, fakes.Deadline())
-	l.Cancel(j)
+	_, second := call(t, pool, 1, fakes.Deadline())
+	pool.Cancel(answered)
 	w.Next().OK("second")
 	assert.Equal(t, "second", string((<-second).Body))
 }
 
-// A uid that left takes nothing more, though another worker may listen at its address by now.
-func TestAddressOfAGoneWorkerIsNotUsed(t *testing.T) {
+// A worker that was removed is sent nothing more, though another one may listen at its address by now.
+func TestAddressOfARemovedWorkerIsNotUsed(t *testing.T) {
 	w := fakes.NewWorker(t)
-	c := fakes.PoolConfig()
-	l := worker.NewPool("s-1", w.Addr, &c)
-	l.MarkUnavailable(true)
-	_, err := l.Call(worker.Attempt{ID: 1, Class: "reserva", Function: "aa", Deadline: fakes.Deadline()}, func(worker.Result) {})
+	config := fakes.PoolConfig()
+	removed := worker.NewPool("s-1", w.Addr, &config)
+	removed.MarkUnavailable(true)
+	attempt := worker.Attempt{ID: 1, Class: "reserva", Function: "aa", Deadline: fakes.Deadline()}
+	_, err := removed.Call(attempt, func(worker.Result) {})
 	assert.Error(t, err)
-	heir := worker.NewPool("s-2", w.Addr, &c)
-	t.Cleanup(heir.Close)
-	_, ended := call(t, heir, 2, fakes.Deadline())
+	successor := worker.NewPool("s-2", w.Addr, &config)
+	t.Cleanup(successor.Close)
+	_, results := call(t, successor, 2, fakes.Deadline())
 	w.Next().OK("")
-	assert.Equal(t, balancer.OK, (<-ended).Status)
-}
-
-func link(t *testing.T, w *fakes.Worker, room int) *worker.Pool {
-	c := fakes.PoolConfig()
-	c.ConnLimit = worker.NewConnLimit(room)
-	l := worker.NewPool("s-1", w.Addr, &c)
-	t.Cleanup(l.Close)
-	return l
+	assert.Equal(t, balancer.OK, (<-results).Status)
 }
 
-// A frame that begins and stops short must not hold its connection until the calls' own time is over.
-func TestFrameThatStopsShortEndsItsConnection(t *testing.T) {
+// A frame that begins and stops short must not hold its connection until the deadline of each call.
+func TestIncompleteFrameEndsItsConnection(t *testing.T) {
 	w := fakes.NewWorker(t)
-	l := link(t, w, 0)
-	_, ended := call(t, l, 1, time.Now().Add(time.Hour))
-	k := w.Next()
-	k.WriteRaw(fakes.Frame(64, k.ID, "remark=hot", "done")[:20])
-	assert.Equal(t, balancer.Reset, (<-ended).Status)
+	pool := newPool(t, w, withConnLimit(0))
+	_, results := call(t, pool, 1, time.Now().Add(time.Hour))
+	received := w.Next()
+	received.WriteRaw(fakes.Frame(codeOK, received.ID, "remark=hot", "done")[:20])
+	assert.Equal(t, balancer.Reset, (<-results).Status)
 }
 
-// A second copy of a miss must not pass for the answer to the call when it comes there again.
-func TestSecondCopyOfAMissEndsNothing(t *testing.T) {
+// A second copy of a miss must not pass for the answer to the call when it is tried there again.
+func TestDuplicateMissEndsNoLaterCall(t *testing.T) {
 	w := fakes.NewWorker(t)
-	l := link(t, w, 64)
-	_, missed := call(t, l, 1, fakes.Deadline())
+	pool := newPool(t, w, withConnLimit(64))
+	_, missed := call(t, pool, 1, fakes.Deadline())
 	first := w.Next()
-	first.Answer(66, "", "")
+	first.Answer(codeMiss, "", "")
 	require.Equal(t, balancer.Miss, (<-missed).Status)
-	_, ended := call(t, l, 1, fakes.Deadline())
-	again := w.Next()
-	first.Answer(66, "", "")
-	_, other := call(t, l, 2, fakes.Deadline()) // on the first connection, behind the second copy
+	_, retried := call(t, pool, 1, fakes.Deadline())
+	retry := w.Next()
+	first.Answer(codeMiss, "", "")
+	_, other := call(t, pool, 2, fakes.Deadline()) // on the first connection, behind the second copy
 	w.Next().OK("")
 	require.Equal(t, balancer.OK, (<-other).Status)
-	again.Answer(64, "", "done")
-	assert.Equal(t, "done", string((<-ended).Body))
+	retry.Answer(codeOK, "", "done")
+	assert.Equal(t, "done", string((<-retried).Body))
 }
 
-// An answer to an id that is open nowhere, ahead of a good one, does no harm.
-func TestUnknownIDAheadOfAGoodAnswer(t *testing.T) {
+// An answer to an id that is not in flight, ahead of a good one, does no harm.
+func TestAnswerWithUnknownIDIsIgnored(t *testing.T) {
 	w := fakes.NewWorker(t)
-	_, ended := call(t, link(t, w, 64), 1, fakes.Deadline())
-	k := w.Next()
-	k.WriteRaw(append(fakes.Frame(64, 99, "remark=hot", "whose"), fakes.Frame(64, 1, "remark=hot", "done")...))
-	assert.Equal(t, "done", string((<-ended).Body))
+	_, results := call(t, newPool(t, w, withConnLimit(64)), 1, fakes.Deadline())
+	unknown := fakes.Frame(codeOK, 99, "remark=hot", "whose")
+	good := fakes.Frame(codeOK, 1, "remark=hot", "done")
+	w.Next().WriteRaw(append(unknown, good...))
+	assert.Equal(t, "done", string((<-results).Body))
 }
 
-// Calls go to connections of their own while there is room, so that one break ends one call; without room they
-// share, and a link has always its first connection.
-func TestOneBreakEndsOneCall(t *testing.T) {
-	for room, second := range map[int]balancer.Status{64: balancer.OK, 0: balancer.Reset} {
-		w := fakes.NewWorker(t)
-		l := link(t, w, room)
-		_, cut := call(t, l, 1, fakes.Deadline())
-		first := w.Next()
-		_, other := call(t, l, 2, fakes.Deadline())
-		k := w.Next()
-		first.ResetConn()
-		assert.Equal(t, balancer.Reset, (<-cut).Status)
-		k.OK("")
-		assert.Equal(t, second, (<-other).Status, "room %d", room)
+// Calls are kept on separate connections while the connection limit allows it, so that one break ends one call. At the
+// limit they share, and a pool has always its first connection.
+func TestOneBreakEndsOneCallWithinTheConnectionLimit(t *testing.T) {
+	for connLimit, statusOfOther := range map[int]balancer.Status{64: balancer.OK, 0: balancer.Reset} {
+		t.Run(fmt.Sprint("connection limit ", connLimit), func(t *testing.T) {
+			w := fakes.NewWorker(t)
+			pool := newPool(t, w, withConnLimit(connLimit))
+			_, broken := call(t, pool, 1, fakes.Deadline())
+			first := w.Next()
+			_, other := call(t, pool, 2, fakes.Deadline())
+			second := w.Next()
+			first.ResetConn()
+			assert.Equal(t, balancer.Reset, (<-broken).Status)
+			second.OK("")
+			assert.Equal(t, statusOfOther, (<-other).Status)
+		})
 	}
 }
