--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,4 +1,5 @@
-// Package board follows the notice board: the numbered events that tell of the workers.
+// Package discovery follows the endpoint list: it polls the platform's server for numbered events that tell of the
+// workers, and passes them on in the balancer's terms.
 package discovery
 
 import (
@@ -17,197 +18,185 @@
 )
 
 const (
-	// linger is how long the board may hold a poll, 5 s at most. Short, since a board that stops and stays open
-	// is found out only by a poll that goes unanswered: with answerBy it bounds how old the list may be, and
-	// new work to a worker that drains must end a grace of 1 s after what the board would have told.
-	linger     = time.Second
-	answerBy   = linger + 400*time.Millisecond // a poll unanswered by then is lost, and another is made
-	again      = 50 * time.Millisecond         // pause after a poll that failed, or told nothing new before its time
-	mostAnswer = 4 << 20                       // bytes of an answer
-)
-
-// Notices is an answer of the board.
-type WatchResponse struct {
-	Revision int64        `json:"rev"`
-	Events   []WatchEvent `json:"notices"`
-}
+	// pollWait is how long the server may hold a poll; the protocol allows 5 s at most. It is short, since a server that
+	// hangs with its connections open is found out only by a poll that goes unanswered: with pollTimeout it bounds how
+	// old the list may be, and a worker that drains must get no new work 1 s after the event.
+	pollWait = time.Second
 
-// Notice is one event: all workers, or those that have changed.
-type WatchEvent struct {
-	Revision int64 `json:"rev"`
-	Pool     struct {
-		All     bool     `json:"all"`
-		Targets []Target `json:"targets"`
-	} `json:"pool"`
-}
-
-// Target is one worker.
-type Target struct {
-	UID          string   `json:"uid"`
-	Endpoint     string   `json:"endpoint"`
-	Zone         string   `json:"az"`
-	Model        string   `json:"model"`
-	Group        int      `json:"pod_group"`
-	State        string   `json:"state"`
-	CapacityHint *float64 `json:"capacity_hint"`
-	BootMS       int64    `json:"boot_ms"`
-}
+	// pollTimeout is how long a poll may take before it has failed.
+	pollTimeout = pollWait + 400*time.Millisecond
 
-// Entry is a worker as the module knows it, and where it listens.
-type Endpoint struct {
-	balancer.Worker
-	Addr string
-}
+	// pollBackoff is the pause after a poll that failed or was answered early without new events.
+	pollBackoff = 50 * time.Millisecond
 
-// List is news of the workers.
-type Update struct {
-	Scope     balancer.UpdateScope
-	Endpoints []Endpoint
-}
+	// earlyAnswer bounds the time within which an answer without new events counts as early.
+	earlyAnswer = pollWait / 2
 
-func (t Target) entry() Endpoint {
-	w := balancer.Worker{ID: balancer.WorkerID(t.UID), Kind: t.Model, Zone: t.Zone, Cell: t.Group, Weight: 1,
-		Started: time.Duration(t.BootMS) * time.Millisecond, State: balancer.Draining}
-	switch t.State {
-	case "active":
-		w.State = balancer.Ready
-	case "left":
-		w.State = balancer.Removed
-	}
-	if t.CapacityHint != nil {
-		w.Weight = *t.CapacityHint
-	}
-	return Endpoint{Worker: w, Addr: t.Endpoint}
-}
+	maxResponseSize = 4 << 20 // bytes
+)
 
-// errNothingNew tells of an answer that came before its time and told nothing.
-var errNothingNew = errors.New("an answer before its time that told nothing new")
+// errNothingNew tells of an answer that came early and held no new events. Without a pause after it, a server that repeats
+// what is known would be polled in a busy loop.
+var errNothingNew = errors.New("poll was answered early without new events")
 
-// direct reaches the board without a proxy, whatever the environment says.
-var direct = &http.Client{Transport: &http.Transport{}}
+// httpClient connects without a proxy, whatever the environment says.
+var httpClient = &http.Client{Transport: &http.Transport{}}
 
-// Log lines that a board can cause at will: entries that name no worker, and polls that fail and go well in turn.
-var unnamed, lost, back = logthrottle.New(), logthrottle.New(), logthrottle.New()
+// The logs of polls are throttled, since a server can make them fail and succeed in turn.
+var (
+	pollFailedLog    = logthrottle.New()
+	pollRecoveredLog = logthrottle.New()
+)
 
-// Watcher holds the number of the last event and passes later ones on, each once and in order.
+// Watcher polls the endpoint list and passes on each event once, in the order of revisions.
+//
+// Seed must not be called during Run. SetAddress may be called from any goroutine at any time.
 type Watcher struct {
-	rev  int64
-	seen bool // a whole list has come
-	pass func(Update)
-
-	mu    sync.Mutex
-	addr  string
-	moved chan struct{} // closed when addr changes
+	onUpdate func(Update)
+	revision int64 // of the last event that was passed on
+	hasList  bool  // an event with the whole list was passed on
+	failing  bool  // the last poll failed
+
+	mu          sync.Mutex
+	addr        string
+	addrChanged chan struct{} // closed when addr changes, and replaced
 }
 
-// NewWatcher returns a watcher of the board at addr. News go to pass, from the goroutine that calls Known or Run.
-func NewWatcher(addr string, pass func(Update)) *Watcher {
-	return &Watcher{addr: addr, pass: pass, moved: make(chan struct{})}
+// NewWatcher returns a watcher of the endpoint list at addr (host:port). Updates go to onUpdate, which is called from the
+// goroutine of Seed or Run.
+func NewWatcher(addr string, onUpdate func(Update)) *Watcher {
+	return &Watcher{addr: addr, onUpdate: onUpdate, addrChanged: make(chan struct{})}
 }
 
-// Move has the watcher follow the board at addr from now on. The poll in hand is dropped, since the old board
-// may hold it and tell nothing more; the numbers of events go on.
+// SetAddress has the watcher poll the server at addr from now on. The poll under way is abandoned, since the old server
+// may hold it and tell nothing more. Revisions go on from the last one.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.addr = addr
-	close(w.moved)
-	w.moved = make(chan struct{})
+	close(w.addrChanged)
+	w.addrChanged = make(chan struct{})
 }
 
-func (w *Watcher) board() (string, chan struct{}) {
+// address returns the server's address, and a channel that is closed when it changes.
+func (w *Watcher) address() (addr string, changed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.addr, w.moved
+	return w.addr, w.addrChanged
 }
 
-// Known takes in the events of the start: they may be old.
-func (w *Watcher) Seed(n WatchResponse) { w.take(n, balancer.ScopeStale) }
-
-// take passes on the events that are new, and tells whether there were any. Only what has been told counts as told: the
-// number of the last event, which comes with the answer, may be that of one that has not come.
-func (w *Watcher) take(n WatchResponse, whole balancer.UpdateScope) (news bool) {
-	for _, e := range n.Events {
-		// A late answer may repeat events: an old one taken again would undo a newer one. A change says
-		// nothing before there is a list that it could change.
-		if e.Revision <= w.rev || !w.seen && !e.Pool.All {
-			continue
-		}
-		w.rev, news = e.Revision, true
-		l := Update{Scope: balancer.ScopeDelta}
-		if e.Pool.All {
-			l.Scope, w.seen = whole, true
-		}
-		for _, t := range e.Pool.Targets {
-			if t.UID == "" {
-				unnamed.Log(slog.LevelWarn, "board: an entry names no worker", "rev", e.Revision, "addr", t.Endpoint)
-				continue
-			}
-			l.Endpoints = append(l.Endpoints, t.entry())
-		}
-		w.pass(l)
-	}
-	return news
-}
+// Seed passes on the events that were known at the start. They may be old, so the whole list among them has the scope
+// balancer.ScopeStale.
+func (w *Watcher) Seed(known WatchResponse) { w.apply(known, balancer.ScopeStale) }
 
-// Run polls the board until ctx ends.
+// Run polls the server until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	failing := false
 	for ctx.Err() == nil {
-		addr, moved := w.board()
-		err := w.poll(ctx, addr, moved)
-		select {
-		case <-moved: // the new board is asked at once, and how the old one ended says nothing
-			continue
-		default:
+		addr, addrChanged := w.address()
+		err := w.poll(ctx, addr, addrChanged)
+		if isClosed(addrChanged) {
+			continue // the new server is polled at once, and how the poll of the old one ended says nothing
 		}
-		if (err != nil) != failing && ctx.Err() == nil {
-			if failing = err != nil; failing {
-				lost.Log(slog.LevelWarn, "board: poll failed, the list stays as it is", "err", err)
-			} else {
-				back.Log(slog.LevelInfo, "board: polls are answered again", "rev", w.rev)
-			}
+		if ctx.Err() == nil {
+			w.noteOutcome(err)
 		}
 		if err != nil {
-			select {
-			case <-time.After(again):
-			case <-moved:
-			case <-ctx.Done():
-			}
+			backOff(ctx, addrChanged)
 		}
 	}
 }
 
-func (w *Watcher) poll(ctx context.Context, addr string, moved chan struct{}) error {
-	asked := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, asked.Add(answerBy))
-	defer cancel()
+// noteOutcome logs when polls begin to fail, and when they succeed again.
+func (w *Watcher) noteOutcome(err error) {
+	failed := err != nil
+	if failed == w.failing {
+		return
+	}
+	w.failing = failed
+	if failed {
+		pollFailedLog.Log(slog.LevelWarn, "discovery: poll failed, the endpoint list stays as it is", "err", err)
+	} else {
+		pollRecoveredLog.Log(slog.LevelInfo, "discovery: polls succeed again", "rev", w.revision)
+	}
+}
+
+// backOff waits for pollBackoff, or until the address changes or ctx ends.
+func backOff(ctx context.Context, addrChanged <-chan struct{}) {
+	select {
+	case <-time.After(pollBackoff):
+	case <-addrChanged:
+	case <-ctx.Done():
+	}
+}
+
+func isClosed(channel <-chan struct{}) bool {
+	select {
+	case <-channel:
+		return true
+	default:
+		return false
+	}
+}
+
+// poll asks the server at addr for new events, once, and passes them on. It is abandoned when ctx ends or addrChanged is
+// closed.
+func (w *Watcher) poll(ctx context.Context, addr string, addrChanged <-chan struct{}) error {
+	started := time.Now()
+	ctx, cancel := context.WithDeadline(ctx, started.Add(pollTimeout))
+	defer cancel() // which ends the goroutine too
 	go func() {
 		select {
-		case <-moved:
+		case <-addrChanged:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	url := fmt.Sprintf("http://%s/board/poll?watch=%d&linger=%d", addr, w.rev, linger.Milliseconds())
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	response, err := fetch(ctx, pollURL(addr, w.revision, pollWait))
 	if err != nil {
 		return err
 	}
-	a, err := direct.Do(q)
+	if !w.apply(response, balancer.ScopeFull) && time.Since(started) < earlyAnswer {
+		return errNothingNew
+	}
+	return nil
+}
+
+// fetch gets and decodes the server's answer.
+func fetch(ctx context.Context, url string) (WatchResponse, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return err
+		return WatchResponse{}, err
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %s", a.Status)
+	answer, err := httpClient.Do(request)
+	if err != nil {
+		return WatchResponse{}, err
 	}
-	var n WatchResponse
-	if err := json.NewDecoder(io.LimitReader(a.Body, mostAnswer)).Decode(&n); err != nil {
-		return err
+	defer answer.Body.Close()
+	if answer.StatusCode != http.StatusOK {
+		return WatchResponse{}, fmt.Errorf("status %s", answer.Status)
 	}
-	if !w.take(n, balancer.ScopeFull) && time.Since(asked) < linger/2 {
-		return errNothingNew // asked again without a pause, it would be asked without end
+	var response WatchResponse
+	err = json.NewDecoder(io.LimitReader(answer.Body, maxResponseSize)).Decode(&response)
+	return response, err
+}
+
+// apply passes on the events that are new and reports whether there were any; fullScope is the scope of whole lists. The
+// revision follows the events, not the answer: that may name an event which has not come.
+func (w *Watcher) apply(response WatchResponse, fullScope balancer.UpdateScope) (hasNew bool) {
+	for _, event := range response.Events {
+		if !w.isNew(&event) {
+			continue
+		}
+		w.revision = event.Revision
+		w.hasList = w.hasList || event.Pool.All
+		hasNew = true
+		w.onUpdate(event.update(fullScope))
 	}
-	return nil
+	return hasNew
+}
+
+// isNew reports whether an event is to be passed on. A late answer may repeat events, and an old one taken again would
+// undo a newer one. A change means nothing before there is a list that it could change.
+func (w *Watcher) isNew(event *WatchEvent) bool {
+	return event.Revision > w.revision && (w.hasList || event.Pool.All)
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -16,18 +16,50 @@
 	"kitefall/internal/discovery"
 )
 
-const whole = `{"rev":41,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.9:4100",
+// fullList is an answer whose only event, of revision 41, holds the whole list.
+const fullList = `{"rev":41,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.9:4100",
 	"az":"east","model":"std","pod_group":2,"state":"active","capacity_hint":4,"boot_ms":7}]}}]}`
 
-// The board fails once, then repeats an event that was taken already: the list must neither stop nor go back.
-func TestPollsGoOnAndOldNoticesDoNot(t *testing.T) {
+// parse decodes an answer of the endpoint list's server.
+func parse(t *testing.T, response string) (parsed discovery.WatchResponse) {
+	t.Helper()
+	require.NoError(t, json.Unmarshal([]byte(response), &parsed))
+	return parsed
+}
+
+// newServer starts a server of the endpoint list.
+func newServer(t *testing.T, poll http.HandlerFunc) *httptest.Server {
+	t.Helper()
+	server := httptest.NewServer(poll)
+	t.Cleanup(server.Close)
+	return server
+}
+
+// address returns the host and port of a server.
+func address(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
+
+// polledRevision returns the revision that a poll names as the last one known.
+func polledRevision(r *http.Request) string { return r.URL.Query().Get("watch") }
+
+// newSeededWatcher returns a watcher that knows fullList, and the updates that it has passed on.
+func newSeededWatcher(t *testing.T, server *httptest.Server) (*discovery.Watcher, *[]discovery.Update) {
+	t.Helper()
+	updates := &[]discovery.Update{}
+	watcher := discovery.NewWatcher(address(server), func(u discovery.Update) { *updates = append(*updates, u) })
+	watcher.Seed(parse(t, fullList))
+	return watcher, updates
+}
+
+// A poll fails once, then the answer repeats an event that was passed on already: polls must go on, and the list must not
+// go back.
+func TestPollsContinueAfterAFailureAndSkipOldEvents(t *testing.T) {
 	answers := []string{"", `{"rev":42,"notices":[
 		{"rev":41,"pool":{"targets":[{"uid":"s-1","state":"left"}]}},
 		{"rev":42,"pool":{"targets":[{"uid":"s-1","state":"leaving"},{"uid":"s-2","state":"active"}]}}]}`}
-	watches := make(chan string, len(answers)+1)
+	revisions := make(chan string, len(answers)+1)
 	ctx, cancel := context.WithCancel(context.Background())
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		watches <- r.URL.Query().Get("watch")
+	server := newServer(t, func(w http.ResponseWriter, r *http.Request) {
+		revisions <- polledRevision(r)
 		switch {
 		case len(answers) == 0:
 			cancel()
@@ -37,91 +69,94 @@
 			w.Write([]byte(answers[0]))
 		}
 		answers = answers[min(1, len(answers)):]
-	}))
-	defer server.Close()
-	var news []discovery.Update
-	w := discovery.NewWatcher(strings.TrimPrefix(server.URL, "http://"), func(l discovery.Update) { news = append(news, l) })
-	var known discovery.WatchResponse
-	require.NoError(t, json.Unmarshal([]byte(whole), &known))
-	w.Seed(known)
-	w.Run(ctx)
-	assert.Equal(t, []string{"41", "41", "42"}, []string{<-watches, <-watches, <-watches})
-	require.Len(t, news, 2)
-	assert.Equal(t, balancer.ScopeStale, news[0].Scope)
-	assert.Equal(t, discovery.Endpoint{Addr: "10.1.0.9:4100", Worker: balancer.Worker{ID: "s-1", Kind: "std", Zone: "east", Cell: 2,
-		Weight: 4, Started: 7e6}}, news[0].Endpoints[0])
-	assert.Equal(t, balancer.ScopeDelta, news[1].Scope)
+	})
+	watcher, updates := newSeededWatcher(t, server)
+	watcher.Run(ctx)
+	assert.Equal(t, []string{"41", "41", "42"}, []string{<-revisions, <-revisions, <-revisions})
+	require.Len(t, *updates, 2)
+	seeded, changed := (*updates)[0], (*updates)[1]
+	assert.Equal(t, balancer.ScopeStale, seeded.Scope)
+	assert.Equal(t, discovery.Endpoint{Addr: "10.1.0.9:4100", Worker: balancer.Worker{ID: "s-1", Kind: "std", Zone: "east",
+		Cell: 2, Weight: 4, Started: 7 * time.Millisecond}}, seeded.Endpoints[0])
+	assert.Equal(t, balancer.ScopeDelta, changed.Scope)
 	assert.Equal(t, []balancer.WorkerState{balancer.Draining, balancer.Ready},
-		[]balancer.WorkerState{news[1].Endpoints[0].State, news[1].Endpoints[1].State})
+		[]balancer.WorkerState{changed.Endpoints[0].State, changed.Endpoints[1].State})
 }
 
-// The board moves while it holds a poll, and never answers that: the new one is asked at once, from the same
-// number on.
-func TestMovedBoardIsAskedAtOnce(t *testing.T) {
+// The address changes while the old server holds a poll and never answers it: the new server is polled at once, from the
+// same revision on.
+func TestNewAddressIsPolledAtOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	held, watch := make(chan bool, 1), make(chan string, 1)
-	old := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		held <- true
+	held := make(chan struct{}, 1)
+	oldServer := newServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		held <- struct{}{}
 		<-r.Context().Done()
-	}))
-	defer old.Close()
-	next := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		watch <- r.URL.Query().Get("watch")
+	})
+	revision := make(chan string, 1)
+	successor := newServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		revision <- polledRevision(r)
 		cancel()
-	}))
-	defer next.Close()
-	w := discovery.NewWatcher(strings.TrimPrefix(old.URL, "http://"), func(discovery.Update) {})
-	var known discovery.WatchResponse
-	require.NoError(t, json.Unmarshal([]byte(whole), &known))
-	w.Seed(known)
-	ended := make(chan bool)
-	go func() { w.Run(ctx); close(ended) }()
+	})
+	watcher, _ := newSeededWatcher(t, oldServer)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		watcher.Run(ctx)
+	}()
 	<-held
-	w.SetAddress(strings.TrimPrefix(next.URL, "http://"))
-	assert.Equal(t, "41", <-watch)
+	watcher.SetAddress(address(successor))
+	assert.Equal(t, "41", <-revision)
 	<-ended
 }
 
-// A board that repeats what is known, at once and without end, is asked again after a pause; one that names a last event
-// without telling of it is asked for that event again. What names no worker is left out.
-func TestAnswersThatTellNothingNew(t *testing.T) {
-	const most = 4
-	asked := make(chan time.Time, most+1)
-	watches := make(chan string, most+1)
+// A server that repeats what is known, at once and without end, is polled again after a pause; one that names a last
+// revision without its event is polled for that event again. A target without a uid is left out.
+func TestBackoffAfterEarlyAnswersWithoutNewEvents(t *testing.T) {
+	const answered = 4 // polls before ctx ends
+	polledAt := make(chan time.Time, answered+1)
+	revisions := make(chan string, answered+1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch len(asked) {
-		case most:
+	server := newServer(t, func(w http.ResponseWriter, r *http.Request) {
+		switch len(polledAt) {
+		case answered:
 			cancel()
-		case most - 1: // at last
+		case answered - 1:
 			w.Write([]byte(`{"rev":44,"notices":[{"rev":42,"pool":{"targets":[{"state":"active","endpoint":"10.1.0.9:1"},
 				{"uid":"s-1","state":"leaving"}]}}]}`))
 		case 1:
 			w.Write([]byte(`{"rev":43,"notices":[]}`))
 		default:
-			w.Write([]byte(whole))
+			w.Write([]byte(fullList))
 		}
-		asked <- time.Now()
-		watches <- r.URL.Query().Get("watch")
-	}))
-	defer server.Close()
-	var news []discovery.Update
-	w := discovery.NewWatcher(strings.TrimPrefix(server.URL, "http://"), func(l discovery.Update) { news = append(news, l) })
-	var known discovery.WatchResponse
-	require.NoError(t, json.Unmarshal([]byte(whole), &known))
-	w.Seed(known)
-	w.Run(ctx)
-	require.Len(t, asked, most+1)
-	first := <-asked
-	for range most - 1 {
-		next := <-asked
-		assert.GreaterOrEqual(t, next.Sub(first), 40*time.Millisecond)
-		first = next
+		polledAt <- time.Now()
+		revisions <- polledRevision(r)
+	})
+	watcher, updates := newSeededWatcher(t, server)
+	watcher.Run(ctx)
+	require.Len(t, polledAt, answered+1)
+	previous := <-polledAt
+	for range answered - 1 {
+		next := <-polledAt
+		assert.GreaterOrEqual(t, next.Sub(previous), 40*time.Millisecond)
+		previous = next
 	}
-	assert.Equal(t, []string{"41", "41", "41", "41", "42"}, []string{<-watches, <-watches, <-watches, <-watches, <-watches})
-	require.Len(t, news, 2)
-	require.Len(t, news[1].Endpoints, 1)
-	assert.Equal(t, balancer.WorkerID("s-1"), news[1].Endpoints[0].ID)
+	assert.Equal(t, []string{"41", "41", "41", "41", "42"},
+		[]string{<-revisions, <-revisions, <-revisions, <-revisions, <-revisions})
+	require.Len(t, *updates, 2)
+	changed := (*updates)[1]
+	require.Len(t, changed.Endpoints, 1)
+	assert.Equal(t, balancer.WorkerID("s-1"), changed.Endpoints[0].ID)
+}
+
+// A change means nothing before there is a list that it could change.
+func TestChangesAheadOfTheFirstFullListAreSkipped(t *testing.T) {
+	var updates []discovery.Update
+	watcher := discovery.NewWatcher("", func(u discovery.Update) { updates = append(updates, u) })
+	watcher.Seed(parse(t, `{"rev":3,"notices":[{"rev":1,"pool":{"targets":[{"uid":"s-1","state":"active"}]}}]}`))
+	assert.Empty(t, updates)
+	watcher.Seed(parse(t, `{"rev":3,"notices":[{"rev":2,"pool":{"all":true,"targets":[{"uid":"s-2","state":"left"}]}}]}`))
+	assert.Equal(t, []discovery.Update{{Scope: balancer.ScopeStale, Endpoints: []discovery.Endpoint{
+		{Worker: balancer.Worker{ID: "s-2", Weight: 1, State: balancer.Removed}}}}}, updates)
 }
