--- a/internal/worker/conn_test.go
+++ b/internal/worker/conn_test.go
@@ -3,8 +3,6 @@
 import (
 	"encoding/binary"
 	"io"
-	"net"
-	"sync"
 	"testing"
 	"time"
 
@@ -14,124 +12,6 @@
 	"kitefall/internal/balancer"
 )
 
-const testFunction = "7f3a9c21e0b4d655"
-
-// scriptedConn is a network connection whose writes the test carries out: each waits until the test tells how it ends.
-type scriptedConn struct {
-	net.Conn
-	writes    chan []byte // the data of each write that has begun
-	results   chan error  // how each write ends; nil: all was written, else half of it
-	closeOnce sync.Once
-	closed    chan struct{}
-}
-
-func newScriptedConn() *scriptedConn {
-	return &scriptedConn{writes: make(chan []byte, 8), results: make(chan error, 8), closed: make(chan struct{})}
-}
-
-func (s *scriptedConn) Write(data []byte) (int, error) {
-	s.writes <- data
-	if err := <-s.results; err != nil {
-		return len(data) / 2, err
-	}
-	return len(data), nil
-}
-
-func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
-
-func (s *scriptedConn) Close() error {
-	s.closeOnce.Do(func() { close(s.closed) })
-	return nil
-}
-
-// poolFixture is a pool with one scripted connection, which has no goroutines: the test runs its writer step by step.
-// Further connections of the pool go to listener.
-type poolFixture struct {
-	t        *testing.T
-	pool     *Pool
-	netConn  *scriptedConn
-	conn     *conn
-	listener net.Listener
-}
-
-func newPoolFixture(t *testing.T, idleTimeout time.Duration) *poolFixture {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { listener.Close() })
-	require.NoError(t, listener.(*net.TCPListener).SetDeadline(time.Now().Add(10*time.Second)))
-	pool := NewPool("s-1", listener.Addr().String(), &Config{DialTimeout: 5 * time.Second, IdleTimeout: idleTimeout,
-		MaxStreams: 32, MaxConns: 4, ConnLimit: NewConnLimit(8)})
-	t.Cleanup(pool.Close)
-
-	netConn := newScriptedConn()
-	c := newConn(pool, time.Now())
-	c.netConn = netConn
-	c.advanceLocked(connReady)
-	pool.conns = append(pool.conns, c)
-	return &poolFixture{t: t, pool: pool, netConn: netConn, conn: c, listener: listener}
-}
-
-// call queues an attempt and returns it with the channel of its result.
-func (f *poolFixture) call(attempt Attempt) (*PendingRequest, chan Result) {
-	f.t.Helper()
-	results := make(chan Result, 2)
-	attempt.Class, attempt.Function = "reserva", testFunction
-	if attempt.Deadline.IsZero() {
-		attempt.Deadline = time.Now().Add(time.Hour)
-	}
-	request, err := f.pool.Call(attempt, func(r Result) { results <- r })
-	require.NoError(f.t, err)
-	return request, results
-}
-
-// writeNext has the writer take the next request from its queue, and has the write, if there is one, end with err.
-func (f *poolFixture) writeNext(err error) {
-	f.netConn.results <- err
-	f.conn.write(<-f.conn.writeQueue)
-}
-
-// requireNextNotWritten has the writer take the next request from its queue, nothing of which may be written, and returns
-// its result.
-func (f *poolFixture) requireNextNotWritten(results chan Result) Result {
-	f.t.Helper()
-	f.writeNext(nil)
-	select {
-	case data := <-f.netConn.writes:
-		assert.Fail(f.t, "written", "%q", data)
-	default:
-	}
-	require.Len(f.t, results, 1)
-	return <-results
-}
-
-// accept returns the next connection that the pool opens.
-func (f *poolFixture) accept(message string) net.Conn {
-	f.t.Helper()
-	accepted, err := f.listener.Accept()
-	require.NoError(f.t, err, message)
-	f.t.Cleanup(func() { accepted.Close() })
-	return accepted
-}
-
-// endDuringWrite has the reader meet the end of the connection while a call's frame is being written, calls beforeWriteEnds
-// and has the write end with writeErr. It returns the channel of the call's result.
-func (f *poolFixture) endDuringWrite(beforeWriteEnds func(*PendingRequest), writeErr error) chan Result {
-	f.t.Helper()
-	request, results := f.call(Attempt{ID: 7})
-	writerDone := make(chan struct{})
-	go func() {
-		defer close(writerDone)
-		f.conn.write(<-f.conn.writeQueue)
-	}()
-	<-f.netConn.writes
-	f.conn.end(io.EOF, nil)
-	beforeWriteEnds(request)
-	f.netConn.results <- writeErr
-	<-writerDone
-	return results
-}
-
 // What happens while a call is queued keeps it from being written, and it is known that it never ran.
 func TestQueuedCallIsNotWrittenOnceItMustNotBegin(t *testing.T) {
 	abandoned := false
@@ -248,3 +128,57 @@
 	f.accept("the call needs a new connection")
 	assert.Empty(t, f.conn.writeQueue)
 }
+
+// An answer could not be told from that to the other call with the same id.
+func TestIDInFlightIsNotSharedOnAConnection(t *testing.T) {
+	f := newPoolFixture(t, time.Minute)
+	f.pool.config.BreakRate = NewBreakRate(1) // requests share connections
+	f.call(Attempt{ID: 1})
+	f.call(Attempt{ID: 2})
+	assert.Len(t, f.conn.inFlight, 2)
+	f.call(Attempt{ID: 1})
+	f.accept("the second call with the id needs a new connection")
+}
+
+// An answer may come just as its call is cancelled.
+func TestCancelledRequestHasNoResult(t *testing.T) {
+	f := newPoolFixture(t, time.Minute)
+	request, results := f.call(Attempt{ID: 1})
+	assert.False(t, f.pool.Cancel(request), "nothing was written")
+	f.conn.finish(request, Result{Status: balancer.OK})
+	assert.Empty(t, results)
+}
+
+func TestCallMovesOnlyOnce(t *testing.T) {
+	f := newPoolFixture(t, time.Minute)
+	request, results := f.call(Attempt{ID: 1})
+	request.moved = true
+	f.writeNext(io.ErrClosedPipe)
+	require.Len(t, results, 1)
+	assert.Equal(t, balancer.ConnectFailed, (<-results).Status)
+}
+
+// Where the worker answers on another connection, only the silent one is lost.
+func TestSilenceOfOneConnectionLeavesOthersInUse(t *testing.T) {
+	f := newPoolFixture(t, time.Minute)
+	request, _ := f.call(Attempt{ID: 1})
+	f.writeNext(nil)
+	other := newConn(f.pool, time.Now())
+	other.netConn = newScriptedConn()
+	f.pool.conns = append(f.pool.conns, other)
+
+	request.writtenAt = time.Now().Add(-2 * silenceLimit)
+	f.conn.unansweredSince = request.writtenAt
+	other.noteAnswer(2, balancer.OK, time.Now())
+	f.pool.Cancel(request)
+	assert.Equal(t, connStale, f.conn.state)
+	assert.NotEqual(t, connStale, other.state)
+}
+
+func TestClosedConnectionCountsNoMoreAgainstTheLimit(t *testing.T) {
+	f := newPoolFixture(t, time.Minute)
+	available := f.pool.config.ConnLimit.available.Load()
+	f.conn.end(io.EOF, nil)
+	f.conn.end(io.EOF, nil) // the writer and the reader may both meet the end
+	assert.Equal(t, available+1, f.pool.config.ConnLimit.available.Load())
+}
--- /dev/null
+++ b/internal/worker/fixture_test.go
@@ -0,0 +1,130 @@
+package worker
+
+import (
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+const testFunction = "7f3a9c21e0b4d655"
+
+// scriptedConn is a network connection whose writes the test carries out: each waits until the test tells how it ends.
+type scriptedConn struct {
+	net.Conn
+	writes    chan []byte // the data of each write that has begun
+	results   chan error  // how each write ends; nil: all was written, else half of it
+	closeOnce sync.Once
+	closed    chan struct{}
+}
+
+func newScriptedConn() *scriptedConn {
+	return &scriptedConn{writes: make(chan []byte, 8), results: make(chan error, 8), closed: make(chan struct{})}
+}
+
+func (s *scriptedConn) Write(data []byte) (int, error) {
+	s.writes <- data
+	if err := <-s.results; err != nil {
+		return len(data) / 2, err
+	}
+	return len(data), nil
+}
+
+func (s *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
+
+func (s *scriptedConn) Close() error {
+	s.closeOnce.Do(func() { close(s.closed) })
+	return nil
+}
+
+// poolFixture is a pool with one scripted connection, which has no goroutines: the test runs its writer step by step.
+// Further connections of the pool go to listener.
+type poolFixture struct {
+	t        *testing.T
+	pool     *Pool
+	netConn  *scriptedConn
+	conn     *conn
+	listener net.Listener
+}
+
+func newPoolFixture(t *testing.T, idleTimeout time.Duration) *poolFixture {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	require.NoError(t, listener.(*net.TCPListener).SetDeadline(time.Now().Add(10*time.Second)))
+	pool := NewPool("s-1", listener.Addr().String(), &Config{DialTimeout: 5 * time.Second, IdleTimeout: idleTimeout,
+		MaxStreams: 32, MaxConns: 4, ConnLimit: NewConnLimit(8)})
+	t.Cleanup(pool.Close)
+
+	netConn := newScriptedConn()
+	c := newConn(pool, time.Now())
+	c.netConn = netConn
+	c.advanceLocked(connReady)
+	pool.conns = append(pool.conns, c)
+	return &poolFixture{t: t, pool: pool, netConn: netConn, conn: c, listener: listener}
+}
+
+// call queues an attempt and returns it with the channel of its result.
+func (f *poolFixture) call(attempt Attempt) (*PendingRequest, chan Result) {
+	f.t.Helper()
+	results := make(chan Result, 2)
+	attempt.Class, attempt.Function = "reserva", testFunction
+	if attempt.Deadline.IsZero() {
+		attempt.Deadline = time.Now().Add(time.Hour)
+	}
+	request, err := f.pool.Call(attempt, func(r Result) { results <- r })
+	require.NoError(f.t, err)
+	return request, results
+}
+
+// writeNext has the writer take the next request from its queue, and has the write, if there is one, end with err.
+func (f *poolFixture) writeNext(err error) {
+	f.netConn.results <- err
+	f.conn.write(<-f.conn.writeQueue)
+}
+
+// requireNextNotWritten has the writer take the next request from its queue, nothing of which may be written, and returns
+// its result.
+func (f *poolFixture) requireNextNotWritten(results chan Result) Result {
+	f.t.Helper()
+	f.writeNext(nil)
+	select {
+	case data := <-f.netConn.writes:
+		assert.Fail(f.t, "written", "%q", data)
+	default:
+	}
+	require.Len(f.t, results, 1)
+	return <-results
+}
+
+// accept returns the next connection that the pool opens.
+func (f *poolFixture) accept(message string) net.Conn {
+	f.t.Helper()
+	accepted, err := f.listener.Accept()
+	require.NoError(f.t, err, message)
+	f.t.Cleanup(func() { accepted.Close() })
+	return accepted
+}
+
+// endDuringWrite has the reader meet the end of the connection while a call's frame is being written, calls beforeWriteEnds
+// and has the write end with writeErr. It returns the channel of the call's result.
+func (f *poolFixture) endDuringWrite(beforeWriteEnds func(*PendingRequest), writeErr error) chan Result {
+	f.t.Helper()
+	request, results := f.call(Attempt{ID: 7})
+	writerDone := make(chan struct{})
+	go func() {
+		defer close(writerDone)
+		f.conn.write(<-f.conn.writeQueue)
+	}()
+	<-f.netConn.writes
+	f.conn.end(io.EOF, nil)
+	beforeWriteEnds(request)
+	f.netConn.results <- writeErr
+	<-writerDone
+	return results
+}
