--- a/internal/invocation/store/migrate.go
+++ b/internal/invocation/store/migrate.go
@@ -10,6 +10,7 @@
 	"time"
 
 	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"kitefall/internal/durable"
 	"kitefall/internal/invocation"
@@ -77,7 +78,7 @@
 		}
 	}()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Until(lockBy), ReadOnly: true})
-	if errors.Is(err, bolt.ErrTimeout) {
+	if errors.Is(err, bolterrors.ErrTimeout) {
 		return false, fmt.Errorf("%w: %s", durable.ErrLocked, path)
 	} else if err != nil {
 		return false, nil
