--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -6,119 +6,111 @@
 	"hash/crc32"
 )
 
-// A segment is a file of a fixed size that was filled with zeros before its first use:
+// Records follow one another in a segment; a header of zeros ends them. A record is:
 //
-//	segment = magic:8 version:2 zero:2 size:4 first:8 previous:8 previous_end:4 check:4, then records
-//	record  = length:4 sequence:8 check of the payload:4 check of these 16 bytes:4, payload, mark:4
-//
-// All numbers are big-endian, all checks CRC-32C. Records follow one another; a length of 0 ends them.
+//	length:4 sequence:8 payloadChecksum:4 headerChecksum:4, payload, endMark:4
 const (
-	headSize   = 40
-	recordHead = 20
-	recordTail = 4
-	version    = 2 // 1 was the file of bbolt alone
-	sector     = 512
+	recordHeaderSize     = 20
+	recordHeaderChecksum = recordHeaderSize - 4 // offset; it covers all before it
+	endMarkSize          = 4
+	sectorSize           = 512
 )
 
-// endMark ends each record. It is never zero, so it tells a record that was written whole and spoilt later
+// endMark ends each record. It has no zero byte, so it tells a record that was written completely and damaged later
 // from one whose end never reached the disk.
 var endMark = []byte{0xA5, 0x5A, 0xC3, 0x3C}
 
-var magic = []byte("kitefall")
-
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// recordSize is the size in a segment of a record with a payload of this length.
+func recordSize(payloadLength int) int { return recordHeaderSize + payloadLength + endMarkSize }
 
-type head struct {
-	size     uint32
-	first    uint64 // sequence of the first record
-	previous uint64 // first sequence of the segment before; 0: none
-	end      uint32 // where the records of that one end; whatever stands after it was never acknowledged
+func appendRecord(segment []byte, sequence uint64, payload []byte) []byte {
+	start := len(segment)
+	segment = binary.BigEndian.AppendUint32(segment, uint32(len(payload)))
+	segment = binary.BigEndian.AppendUint64(segment, sequence)
+	segment = binary.BigEndian.AppendUint32(segment, crc32.Checksum(payload, castagnoli))
+	segment = binary.BigEndian.AppendUint32(segment, crc32.Checksum(segment[start:], castagnoli))
+	segment = append(segment, payload...)
+	return append(segment, endMark...)
 }
 
-func (h head) encode() []byte {
-	out := append([]byte(nil), magic...)
-	out = binary.BigEndian.AppendUint16(out, version)
-	out = binary.BigEndian.AppendUint16(out, 0)
-	out = binary.BigEndian.AppendUint32(out, h.size)
-	out = binary.BigEndian.AppendUint64(out, h.first)
-	out = binary.BigEndian.AppendUint64(out, h.previous)
-	out = binary.BigEndian.AppendUint32(out, h.end)
-	return binary.BigEndian.AppendUint32(out, crc32.Checksum(out, castagnoli))
+type recordHeader struct {
+	length          uint32 // of the payload
+	sequence        uint64
+	payloadChecksum uint32
 }
 
-func decodeHead(p []byte) (h head, v uint16, ok bool) {
-	if len(p) < headSize || !bytes.Equal(p[:8], magic) {
-		return h, 0, false
+// decodeRecordHeader reports false if the header is not intact.
+func decodeRecordHeader(encoded []byte) (h recordHeader, ok bool) {
+	checksum := binary.BigEndian.Uint32(encoded[recordHeaderChecksum:])
+	if crc32.Checksum(encoded[:recordHeaderChecksum], castagnoli) != checksum {
+		return recordHeader{}, false
 	}
-	h = head{size: binary.BigEndian.Uint32(p[12:]), first: binary.BigEndian.Uint64(p[16:]),
-		previous: binary.BigEndian.Uint64(p[24:]), end: binary.BigEndian.Uint32(p[32:])}
-	v = binary.BigEndian.Uint16(p[8:])
-	return h, v, crc32.Checksum(p[:headSize-4], castagnoli) == binary.BigEndian.Uint32(p[headSize-4:])
+	return recordHeader{
+		length:          binary.BigEndian.Uint32(encoded),
+		sequence:        binary.BigEndian.Uint64(encoded[4:]),
+		payloadChecksum: binary.BigEndian.Uint32(encoded[12:]),
+	}, true
 }
 
-func appendRecord(out []byte, sequence uint64, payload []byte) []byte {
-	start := len(out)
-	out = binary.BigEndian.AppendUint32(out, uint32(len(payload)))
-	out = binary.BigEndian.AppendUint64(out, sequence)
-	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(payload, castagnoli))
-	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(out[start:], castagnoli))
-	return append(append(out, payload...), endMark...)
+type record struct {
+	sequence uint64
+	payload  []byte
 }
 
-// verdict is what the bytes at a place turn out to be.
-type verdict int
+// recordStatus is what the bytes at an offset turn out to be.
+type recordStatus int
 
 const (
-	whole  verdict = iota // a record
-	none                  // zeros: the records end here
-	torn                  // a record whose write never came to its end, so it was never acknowledged
-	spoilt                // a record that was whole and is not any more
+	intact       recordStatus = iota // a record
+	endOfRecords                     // zeros to the end of the segment
+	torn                             // a record whose write did not end, so it was never acknowledged
+	damaged                          // a record that was intact and is not any more
 )
 
-// readRecord reads the record at the start of p, which reaches to the end of the segment; at is its place in the
-// file. A sector that never reached the disk still reads as the zeros that the file was filled with; bytes that
-// were changed later do not look like that. This is the whole difference between torn and spoilt.
-func readRecord(p []byte, at int64) (payload []byte, sequence uint64, v verdict) {
-	if len(p) < recordHead+recordTail || zero(p[:recordHead]) {
-		// Past the last record nothing was ever written. Something here means that its head was lost alone.
-		if rest := p; len(rest) > 0 && !zero(rest) {
-			if lostSector(rest, at, min(len(rest), recordHead)) {
-				return nil, 0, torn
-			}
-			return nil, 0, spoilt
+// readRecord reads the record at an offset of a segment; rest are the bytes from there to the end of the segment. The
+// record is valid only if it is intact.
+func readRecord(rest []byte, offset int64) (record, recordStatus) {
+	if len(rest) < recordSize(0) || isZero(rest[:recordHeaderSize]) {
+		if isZero(rest) {
+			return record{}, endOfRecords
 		}
-		return nil, 0, none
+		// Something was written behind a header that reads as zeros: only the header may be lost.
+		return record{}, tornOrDamaged(rest, offset, min(len(rest), recordHeaderSize))
 	}
-	if crc32.Checksum(p[:recordHead-4], castagnoli) != binary.BigEndian.Uint32(p[recordHead-4:]) {
-		if lostSector(p, at, recordHead) {
-			return nil, 0, torn
-		}
-		return nil, 0, spoilt
+	header, ok := decodeRecordHeader(rest)
+	if !ok {
+		return record{}, tornOrDamaged(rest, offset, recordHeaderSize)
 	}
-	size := int(binary.BigEndian.Uint32(p))
-	sequence = binary.BigEndian.Uint64(p[4:])
-	if size == 0 || size > len(p)-recordHead-recordTail {
-		return nil, sequence, spoilt
+	length := int(header.length)
+	if length == 0 || length > len(rest)-recordSize(0) {
+		return record{}, damaged
 	}
-	payload = p[recordHead : recordHead+size]
-	all := p[:recordHead+size+recordTail]
-	good := crc32.Checksum(payload, castagnoli) == binary.BigEndian.Uint32(p[12:])
-	switch {
-	case good && bytes.Equal(all[len(all)-recordTail:], endMark):
-		return payload, sequence, whole
-	case lostSector(p, at, len(all)):
-		return nil, sequence, torn
-	default:
-		return nil, sequence, spoilt
+	payloadEnd := recordHeaderSize + length
+	size := recordSize(length)
+	payload := rest[recordHeaderSize:payloadEnd]
+	payloadIntact := crc32.Checksum(payload, castagnoli) == header.payloadChecksum
+	if !payloadIntact || !bytes.Equal(rest[payloadEnd:size], endMark) {
+		return record{}, tornOrDamaged(rest, offset, size)
+	}
+	return record{sequence: header.sequence, payload: payload}, intact
+}
+
+// tornOrDamaged tells why the record in the first size bytes of rest is not intact. A sector that never reached the
+// disk still reads as the zeros that the segment was filled with; bytes that were changed later do not.
+func tornOrDamaged(rest []byte, offset int64, size int) recordStatus {
+	if hasLostSector(rest, offset, size) {
+		return torn
 	}
+	return damaged
 }
 
-// lostSector tells whether a sector that the first n bytes of p touch reads as zeros, from its start or from the
-// start of p on. The rest of the sector counts too: what was never written leaves zeros there as well.
-func lostSector(p []byte, at int64, n int) bool {
-	for from := 0; from < n; {
-		to := min(len(p), from+sector-int((at+int64(from))%sector))
-		if zero(p[from:to]) {
+// hasLostSector reports whether a sector that the first size bytes of rest touch reads as zeros, from the start of the
+// sector or of rest to the end of the sector. What was never written leaves zeros behind the record as well.
+func hasLostSector(rest []byte, offset int64, size int) bool {
+	for from := 0; from < size; {
+		inSector := int((offset + int64(from)) % sectorSize)
+		to := min(len(rest), from+sectorSize-inSector)
+		if isZero(rest[from:to]) {
 			return true
 		}
 		from = to
@@ -126,4 +118,4 @@
 	return false
 }
 
-func zero(p []byte) bool { return len(bytes.TrimLeft(p, "\x00")) == 0 }
+func isZero(p []byte) bool { return len(bytes.TrimLeft(p, "\x00")) == 0 }
