--- a/internal/durable/open.go
+++ b/internal/durable/open.go
@@ -166,7 +166,8 @@
 		return 0, 0, err
 	}
 	if nextSequence <= applied {
-		return 0, 0, fmt.Errorf("%w: the log in %s ends at record %d, the file holds %d", ErrDamaged, dir, nextSequence-1, applied)
+		last := nextSequence - 1
+		return 0, 0, fmt.Errorf("%w: the log in %s ends at record %d, the file holds %d", ErrDamaged, dir, last, applied)
 	}
 	return nextSequence, logEnd, nil
 }
--- a/internal/schedule/event.go
+++ b/internal/schedule/event.go
@@ -7,12 +7,12 @@
 	ID        string
 	Tenant    string
 	Class     string
-	Function  string // jobs of the same function can be served by the same loaded copy
-	Urgency   uint8  // as in RFC 9218: 0 is the most urgent
-	Cost      float64
-	NotBefore time.Time
-	Expires   time.Time
-	Runs      int // runs started so far
+	Function  string    // jobs of the same function can be served by the same loaded copy
+	Urgency   uint8     // as in RFC 9218: 0 is the most urgent
+	Cost      float64   // work estimate, charged to the tenant for each run; 0 or less counts as 1
+	NotBefore time.Time // the next run does not start before
+	Expires   time.Time // the job is given up if its next run has not started by then
+	Runs      int       // runs started so far
 }
 
 // Event is something that happened. The types with the suffix Event implement it.
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -4,7 +4,8 @@
 // starts no goroutine. Equal settings, seed and events give equal actions.
 //
 // A run is one request to the dispatcher, which ends served, rejected or failed. The worker that serves it, the
-// retries within it and the admission of requests are decided by package balancer.
+// retries within it and the admission of requests are decided by package balancer. The choices made here are explained
+// in docs/design/deferred.md.
 package schedule
 
 import (
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -2,13 +2,16 @@
 
 import "fmt"
 
+// Visitor takes a record of a log. The payload must not be changed.
+type Visitor func(sequence uint64, payload []byte) error
+
 // Replay reads all records in a directory in order and changes nothing. It calls visit for each record whose sequence
 // is greater than after; the records up to there need not exist any more, but all later ones must.
 //
 // It returns the sequence of the next record and where the records of the last segment end. It returns ErrDamaged or
 // ErrVersion, wrapped, if the log cannot be read, and any error of visit. A last record whose write did not end is
 // left out.
-func Replay(dir string, after uint64, visit func(sequence uint64, payload []byte) error) (next uint64, end int64, err error) {
+func Replay(dir string, after uint64, visit Visitor) (next uint64, end int64, err error) {
 	firsts, err := Segments(dir)
 	if err != nil || len(firsts) == 0 {
 		return after + 1, 0, err
@@ -44,7 +47,7 @@
 type replayer struct {
 	after uint64 // records up to this sequence are not visited
 	next  uint64 // sequence of the next record
-	visit func(sequence uint64, payload []byte) error
+	visit Visitor
 }
 
 // replayCompleted reads a segment that has a successor, which says where its records end.
