--- a/internal/invocation/executor/executor.go
+++ b/internal/invocation/executor/executor.go
@@ -110,7 +110,7 @@
 		f, known := d.catalogue.Describe(t.Function)
 		look := *t
 		_, e, err := invocation.Step(&look, invocation.Input{Event: invocation.EventRestart}, d.clock.Now())
-		if err == nil && e&invocation.EffectPersist != 0 { // what needs no disk is not written: there may be very many
+		if err == nil && e.Has(invocation.EffectPersist) { // what needs no disk is not written: there may be very many
 			t, e, err = d.store.Apply(t.ID, invocation.Input{Event: invocation.EventRestart}, nil, d.clock.Now())
 		}
 		if err != nil {
@@ -122,7 +122,7 @@
 				return err
 			}
 		}
-		if e&invocation.EffectSchedule != 0 {
+		if e.Has(invocation.EffectSchedule) {
 			first = append(first, schedule.AddEvent{Job: item(t, f)})
 		} else {
 			ended++
@@ -324,7 +324,7 @@
 		return View{}, err
 	}
 	if err == nil {
-		if e&invocation.EffectCancelRun != 0 {
+		if e.Has(invocation.EffectCancelRun) {
 			d.callOff(id)
 		}
 		d.planner.tell(schedule.RemoveEvent{ID: id})
@@ -464,12 +464,12 @@
 		now, e, err := d.store.Apply(t.ID, f, a.Body, d.clock.Now())
 		if err == nil || !errors.Is(err, invocation.ErrStorage) {
 			failpoint.Hit("after-end")
-			if err == nil && e&invocation.EffectSchedule != 0 {
+			if err == nil && e.Has(invocation.EffectSchedule) {
 				if fn, ok := d.catalogue.Describe(now.Function); ok {
 					d.planner.tell(schedule.AddEvent{Job: item(now, fn)})
 				}
 			}
-			if err == nil && e&invocation.EffectNotify != 0 {
+			if err == nil && e.Has(invocation.EffectNotify) {
 				d.told(t.ID)
 			}
 			return
--- a/internal/invocation/executor/life.go
+++ b/internal/invocation/executor/life.go
@@ -198,7 +198,7 @@
 		return err
 	}
 	// One that has ended unmarked and has no key cannot be asked for by anybody: nothing of it was ever told.
-	if e&invocation.EffectPersist != 0 && (t.State != invocation.StateCompleted || t.IdempotencyKey != "") {
+	if e.Has(invocation.EffectPersist) && (t.State != invocation.StateCompleted || t.IdempotencyKey != "") {
 		found, err := d.store.Create(t, result, now)
 		if err != nil {
 			return err
--- a/internal/invocation/store/store.go
+++ b/internal/invocation/store/store.go
@@ -321,10 +321,10 @@
 		return t, 0, err
 	}
 	switch {
-	case e&invocation.EffectDelete != 0:
+	case e.Has(invocation.EffectDelete):
 		s.forget(tx, t, now)
 		return t, e, nil
-	case e&invocation.EffectPersist != 0:
+	case e.Has(invocation.EffectPersist):
 		if len(result) > 0 {
 			tx.Put(results, []byte(id), result)
 		}
--- a/internal/invocation/transitions_test.go
+++ b/internal/invocation/transitions_test.go
@@ -62,13 +62,13 @@
 					continue
 				}
 				ends := before.State != StateCompleted && k.State == StateCompleted
-				require.Equal(t, ends, e&EffectNotify != 0, "told exactly when it ends: %s", where)
+				require.Equal(t, ends, e.Has(EffectNotify), "told exactly when it ends: %s", where)
 				require.Equal(t, ends, k.Outcome != before.Outcome, where)
 				if !k.Ephemeral && (ends || k.State == StateRunning && before.State != StateRunning) {
-					require.NotZero(t, e&EffectPersist, "on the disk first: %s", where)
+					require.True(t, e.Has(EffectPersist), "on the disk first: %s", where)
 				}
 				if k.Ephemeral {
-					require.Zero(t, e&EffectPersist, where)
+					require.False(t, e.Has(EffectPersist), where)
 				}
 				if before.State == StateRunning && !safe && k.State != StateRunning && event != EventRejected && event != EventServed {
 					require.True(t, k.State == StateCompleted && k.MayHaveRun, "what may have run does not go again: %s", where)
@@ -78,7 +78,7 @@
 					require.Equal(t, before.Runs+1, k.Runs, where)
 				}
 				if k.State == StateWaiting && before.State != StateWaiting {
-					require.NotZero(t, e&EffectSchedule, where)
+					require.True(t, e.Has(EffectSchedule), where)
 				}
 				if event == EventRedrive {
 					require.True(t, dead && (safe || !mayRun || sure), where)
@@ -127,7 +127,7 @@
 			if k.State != StateRunning && k.State != StateSubmitted {
 				written = false
 			}
-			if e&EffectNotify != 0 {
+			if e.Has(EffectNotify) {
 				told++
 			}
 		}
