--- a/internal/invocation/executor/executor_test.go
+++ b/internal/invocation/executor/executor_test.go
@@ -214,7 +214,7 @@
 		}
 		require.LessOrEqual(t, float64(orders), 6+0.15*float64(h.calls.Load())+1)
 		for left > 0 {
-			v, err := h.desk.Wait(nowhere, "a", ids[left-1])
+			v, err := h.desk.Wait(cancelledContext, "a", ids[left-1])
 			require.NoError(t, err)
 			if v.State != invocation.StateCompleted {
 				break
@@ -240,7 +240,7 @@
 
 func (h *house) dark() bool {
 	answer := make(chan bool, 1)
-	h.desk.planner.ask(question{look: func(s *schedule.Scheduler) { answer <- s.Stalled() }})
+	h.desk.feeder.enqueue(feederMessage{inspect: func(s *schedule.Scheduler) { answer <- s.Stalled() }})
 	return <-answer
 }
 
@@ -253,7 +253,7 @@
 	id := h.defers(later)
 	others := func() { // in every state there is no such ticket for another tenant
 		t.Helper()
-		_, err := h.desk.Wait(nowhere, "b", id)
+		_, err := h.desk.Wait(cancelledContext, "b", id)
 		assert.ErrorIs(t, err, invocation.ErrNotFound)
 		_, err = h.desk.Cancel("b", id)
 		assert.ErrorIs(t, err, invocation.ErrNotFound)
@@ -287,7 +287,7 @@
 			v, err := h.desk.Submit(order("reserva", fmt.Sprintf("race %d", i)))
 			assert.NoError(t, err)
 			for range i % 40 {
-				h.desk.Wait(nowhere, "a", v.ID) // lets the others go on
+				h.desk.Wait(cancelledContext, "a", v.ID) // lets the others go on
 			}
 			first, err := h.desk.Cancel("a", v.ID)
 			assert.NoError(t, err)
@@ -299,7 +299,7 @@
 	work.Wait()
 	require.Eventually(t, func() bool { // no run's place is lost by it
 		n := make(chan int, 1)
-		h.desk.planner.ask(question{look: func(s *schedule.Scheduler) { n <- s.Running() + s.Waiting() }})
+		h.desk.feeder.enqueue(feederMessage{inspect: func(s *schedule.Scheduler) { n <- s.Running() + s.Waiting() }})
 		return <-n == 0 && h.core.InFlight() == 0
 	}, 10*time.Second, time.Millisecond)
 }
@@ -327,7 +327,7 @@
 	w.Next().OK("free")
 	assert.Equal(t, "free", string((<-answer).Result))
 	k.OK("booked")
-	v, err := h.desk.Wait(nowhere, "a", id)
+	v, err := h.desk.Wait(cancelledContext, "a", id)
 	require.NoError(t, err)
 	assert.Equal(t, invocation.StateRunning, v.State, "an answer that is not stored is not told")
 	h.disk.full.Store(false)
@@ -341,11 +341,11 @@
 	for _, class := range []string{"consulta", "reserva"} { // in memory only, and on record since its mark
 		o := order(class, "x")
 		o.Idempotent = class == "consulta"
-		l := &life{id: class, tenant: "a", done: make(chan struct{}), ticket: invocation.New(class, o, h.desk.clock.Now())}
+		l := newForeground(invocation.New(class, o, h.desk.clock.Now()), nil)
 		if !o.Idempotent {
-			require.NoError(t, h.desk.mark(l))
+			require.NoError(t, h.desk.persistForegroundStart(l))
 		}
-		require.NoError(t, h.desk.step(l, fact(call.Answer{Outcome: call.Served}), []byte("done")))
+		require.NoError(t, h.desk.stepForeground(l, inputFor(call.Answer{Outcome: call.Served}), []byte("done")))
 		v := l.view()
 		assert.Equal(t, []any{invocation.OutcomeServed, "done", !o.Idempotent}, []any{v.Outcome, string(v.Result), v.Durable})
 	}
@@ -435,7 +435,7 @@
 	assert.Equal(t, invocation.OutcomeDeadlineExceeded, h.wait(second).Outcome)
 	h.wall = -time.Hour
 	h.restart(fakes.NewCore(t, w))
-	v, err := h.desk.Wait(nowhere, "a", third)
+	v, err := h.desk.Wait(cancelledContext, "a", third)
 	require.NoError(t, err)
 	assert.Equal(t, invocation.StateWaiting, v.State)
 	assert.Equal(t, invocation.OutcomeServed, h.wait(first).Outcome, "answers stay as they are")
--- a/internal/invocation/executor/feeder.go
+++ b/internal/invocation/executor/feeder.go
@@ -8,116 +8,152 @@
 	"kitefall/internal/schedule"
 )
 
-// planner owns the scheduler: one goroutine, which never waits for a disk or the core.
-type planner struct {
-	desk     *Executor
-	schedule *schedule.Scheduler
-
-	mu     sync.Mutex // guards the queue, which has no bound of its own: one event for each ticket at most waits in it
-	queue  []question
-	signal chan struct{}
+// feeder owns the scheduler. Its goroutine hands events to it and carries out its actions; it never waits for the disk
+// or the dispatcher.
+type feeder struct {
+	executor  *Executor
+	scheduler *schedule.Scheduler
+
+	mu     sync.Mutex // guards queue
+	queue  []feederMessage
+	signal chan struct{} // has an element while the queue may not be empty
+
+	// Owned by the goroutine of run.
+	timer     *time.Timer
+	startedAt map[string]time.Time // runs in progress, by invocation
 }
 
-// question is an event, and who wants to know what the scheduler says to it.
-type question struct {
-	event  schedule.Event
-	answer chan<- time.Time // of an EndedEvent
-	look   func(*schedule.Scheduler)
+// feederMessage is an event for the scheduler, or a function that looks at it.
+type feederMessage struct {
+	event   schedule.Event
+	retryAt chan<- time.Time // of a RunEndedEvent: receives when the next run may start; it has room for one
+	inspect func(*schedule.Scheduler)
 }
 
-func newPlanner(d *Executor, s *schedule.Scheduler) *planner {
-	return &planner{desk: d, schedule: s, signal: make(chan struct{}, 1)}
+func newFeeder(e *Executor, scheduler *schedule.Scheduler) *feeder {
+	return &feeder{
+		executor:  e,
+		scheduler: scheduler,
+		signal:    make(chan struct{}, 1),
+		startedAt: map[string]time.Time{},
+	}
 }
 
-func (p *planner) ask(q question) {
-	p.mu.Lock()
-	p.queue = append(p.queue, q)
-	p.mu.Unlock()
+// enqueue appends a message without waiting. The queue needs no bound: each invocation has few events in it.
+func (f *feeder) enqueue(message feederMessage) {
+	f.mu.Lock()
+	f.queue = append(f.queue, message)
+	f.mu.Unlock()
 	select {
-	case p.signal <- struct{}{}:
+	case f.signal <- struct{}{}:
 	default:
 	}
 }
 
-// tell hands an event over.
-func (p *planner) tell(e schedule.Event) { p.ask(question{event: e}) }
+// dequeueAll empties the queue and returns what was in it.
+func (f *feeder) dequeueAll() []feederMessage {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	messages := f.queue
+	f.queue = nil
+	return messages
+}
 
-// ended tells how a run ended and waits for when the next may begin; zero: there is none.
-func (p *planner) ended(t *invocation.Invocation, f invocation.Input, advice time.Duration) time.Time {
-	e := schedule.RunEndedEvent{ID: t.ID, RetryAfter: advice}
-	switch f.Event {
-	case invocation.EventServed:
-		e.Result = schedule.Served
-	case invocation.EventRejected:
-		e.Result = schedule.Rejected
-	default:
-		e.Result = schedule.Failed
-	}
-	answer := make(chan time.Time, 1)
-	p.ask(question{event: e, answer: answer})
+// send hands an event to the scheduler without waiting for it.
+func (f *feeder) send(event schedule.Event) { f.enqueue(feederMessage{event: event}) }
+
+// runEnded tells the scheduler how a run ended, and returns when the next run may start. It returns the zero time if
+// there is none, or if the executor is closed: the next start of the program decides then.
+func (f *feeder) runEnded(id string, event invocation.Event, retryAfter time.Duration) time.Time {
+	ended := schedule.RunEndedEvent{ID: id, Result: runResult(event), RetryAfter: retryAfter}
+	retryAt := make(chan time.Time, 1)
+	f.enqueue(feederMessage{event: ended, retryAt: retryAt})
 	select {
-	case at := <-answer:
+	case at := <-retryAt:
 		return at
-	case <-p.desk.ctx.Done(): // the program ends: the next one decides
+	case <-f.executor.ctx.Done():
 		return time.Time{}
 	}
 }
 
-func (p *planner) run(first []schedule.Event) {
-	for _, e := range first {
-		p.tell(e)
+func runResult(event invocation.Event) schedule.Result {
+	switch event {
+	case invocation.EventServed:
+		return schedule.Served
+	case invocation.EventRejected:
+		return schedule.Rejected
+	default:
+		return schedule.Failed
 	}
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
-	began := map[string]time.Time{}
+}
+
+// run feeds the scheduler, first with the initial events, until the executor is closed.
+func (f *feeder) run(initial []schedule.Event) {
+	for _, event := range initial {
+		f.send(event)
+	}
+	f.timer = time.NewTimer(time.Hour) // the scheduler sets it
+	defer f.timer.Stop()
 	for {
 		select {
-		case <-p.signal:
-		case <-wake.C:
-			p.tell(schedule.TickEvent{})
-			continue
-		case <-p.desk.ctx.Done():
+		case <-f.signal:
+			for _, message := range f.dequeueAll() {
+				f.handle(message)
+			}
+		case <-f.timer.C:
+			f.send(schedule.TickEvent{})
+		case <-f.executor.ctx.Done():
 			return
 		}
-		p.mu.Lock()
-		some := p.queue
-		p.queue = nil
-		p.mu.Unlock()
-		for _, q := range some {
-			now := p.desk.clock.Now()
-			if q.look != nil {
-				q.look(p.schedule)
-				continue
-			}
-			if e, ok := q.event.(schedule.RunEndedEvent); ok {
-				if at, known := began[e.ID]; known {
-					e.Elapsed = now.Sub(at)
-				}
-				delete(began, e.ID)
-				q.event = e
-			}
-			again := time.Time{}
-			for _, a := range p.schedule.Handle(now, q.event) {
-				switch a := a.(type) {
-				case schedule.StartRun:
-					began[a.ID] = now
-					id := a.ID
-					p.desk.work.Go(func() { p.desk.begin(id) })
-				case schedule.Retry:
-					again = a.At
-				case schedule.Expire:
-					id := a.ID
-					p.desk.work.Go(func() { p.desk.expire(id) })
-				case schedule.SetTimer:
-					wake.Reset(max(a.At.Sub(now), 0))
-				}
-			}
-			if e, ok := q.event.(schedule.RunAbortedEvent); ok {
-				delete(began, e.ID)
-			}
-			if q.answer != nil {
-				q.answer <- again
-			}
+	}
+}
+
+func (f *feeder) handle(message feederMessage) {
+	if message.inspect != nil {
+		message.inspect(f.scheduler)
+		return
+	}
+	now := f.executor.clock.Now()
+	event := message.event
+	if ended, ok := event.(schedule.RunEndedEvent); ok {
+		ended.Elapsed = f.takeElapsed(ended.ID, now)
+		event = ended
+	}
+	retryAt := time.Time{}
+	for _, action := range f.scheduler.Handle(now, event) {
+		if retry, ok := action.(schedule.Retry); ok {
+			retryAt = retry.At
+			continue
 		}
+		f.carryOut(action, now)
+	}
+	if aborted, ok := event.(schedule.RunAbortedEvent); ok {
+		delete(f.startedAt, aborted.ID)
+	}
+	if message.retryAt != nil {
+		message.retryAt <- retryAt
+	}
+}
+
+// takeElapsed returns how long the run of an invocation took and forgets its start; zero: the start is unknown.
+func (f *feeder) takeElapsed(id string, now time.Time) time.Duration {
+	startedAt, known := f.startedAt[id]
+	delete(f.startedAt, id)
+	if !known {
+		return 0
+	}
+	return now.Sub(startedAt)
+}
+
+// carryOut carries out an action of the scheduler. What may wait for the disk has a goroutine of its own.
+func (f *feeder) carryOut(action schedule.Action, now time.Time) {
+	switch action := action.(type) {
+	case schedule.StartRun:
+		f.startedAt[action.ID] = now
+		f.executor.goroutines.Go(func() { f.executor.startRun(action.ID) })
+	case schedule.Expire:
+		f.executor.goroutines.Go(func() { f.executor.expire(action.ID) })
+	case schedule.SetTimer:
+		f.timer.Reset(max(action.At.Sub(now), 0))
 	}
 }
--- /dev/null
+++ b/internal/invocation/executor/submit.go
@@ -0,0 +1,78 @@
+package executor
+
+import (
+	"crypto/rand"
+	"unique"
+
+	"kitefall/internal/failpoint"
+	"kitefall/internal/invocation"
+	"kitefall/internal/schedule"
+)
+
+// Submit stores a request and has it run when the scheduler decides so. If its Idempotency-Key belongs to an invocation
+// already, Submit returns that one as it stands. It fails with ErrNotFound for an unknown function, with ErrKeyReused,
+// and with the errors of store.Create.
+func (e *Executor) Submit(request invocation.Request) (View, error) {
+	request.Deferred = true
+	function, ok := e.catalogue.Describe(request.Function)
+	if !ok {
+		return View{}, invocation.ErrNotFound
+	}
+	own, other, err := e.reservations.reserve(&request)
+	switch {
+	case err != nil:
+		return View{}, err
+	case other != nil && other.foreground != nil:
+		return other.foreground.view(), nil
+	case other != nil:
+		return e.Wait(cancelledContext, request.Tenant, other.storedID)
+	}
+	now := e.clock.Now()
+	inv := invocation.New(rand.Text(), request, now)
+	existing, err := e.store.Create(inv, nil, now)
+	if err != nil {
+		e.reservations.settleFailed(own, err)
+		return View{}, err
+	}
+	if existing != nil {
+		e.reservations.settleStored(own, existing.ID)
+		return e.storedView(existing)
+	}
+	e.reservations.settleStored(own, inv.ID)
+	failpoint.Hit("created")
+	e.feeder.send(schedule.AddEvent{Job: newJob(inv, function)})
+	return View{Invocation: inv, Durable: true}, nil
+}
+
+// Redrive runs a dead letter again as a new invocation; see store.Redrive.
+func (e *Executor) Redrive(id string, confirmed bool, reason string) (*invocation.Invocation, error) {
+	deadLetter, err := e.store.Get(id)
+	if err != nil {
+		return nil, err
+	}
+	function, ok := e.catalogue.Describe(deadLetter.Function)
+	if !ok {
+		return nil, invocation.ErrNotFound
+	}
+	successor, err := e.store.Redrive(id, rand.Text(), confirmed, reason, e.clock.Now())
+	if err == nil {
+		e.feeder.send(schedule.AddEvent{Job: newJob(successor, function)})
+	}
+	return successor, err
+}
+
+// newJob returns an invocation as the scheduler knows it. There may be very many jobs of few tenants and classes, so
+// they share the memory of these names.
+func newJob(inv *invocation.Invocation, function Function) schedule.Job {
+	return schedule.Job{
+		ID:        inv.ID,
+		Tenant:    unique.Make(inv.Tenant).Value(),
+		Class:     unique.Make(inv.Class).Value(),
+		Function:  function.Key,
+		Urgency:   uint8(inv.Urgency),
+		Cost:      function.Cost,
+		NotBefore: inv.NextRunAt,
+		Expires:   inv.Expires,
+		Runs:      inv.Runs,
+	}
+}
--- /dev/null
+++ b/internal/invocation/executor/wait.go
@@ -0,0 +1,95 @@
+package executor
+
+import (
+	"context"
+	"errors"
+
+	"kitefall/internal/invocation"
+	"kitefall/internal/schedule"
+)
+
+// cancelledContext is done already: Wait returns with it how an invocation stands.
+var cancelledContext = func() context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	return ctx
+}()
+
+// Wait returns an invocation of the tenant once it has completed, or as it stands when ctx is done. It fails with
+// ErrNotFound, also for an invocation of another tenant, with ErrExpired and with ErrStorage.
+func (e *Executor) Wait(ctx context.Context, tenant, id string) (View, error) {
+	if fg := e.foreground.get(id); fg != nil {
+		if fg.tenant != tenant {
+			return View{}, invocation.ErrNotFound
+		}
+		return fg.wait(ctx)
+	}
+	// Watching starts before the state is read, so that no completion is missed.
+	completed, stop := e.waiters.watch(id)
+	defer stop()
+	inv, err := e.storedOf(tenant, id)
+	if err != nil {
+		return View{Invocation: inv}, err
+	}
+	if inv.State == invocation.StateCompleted || ctx.Err() != nil {
+		return e.storedView(inv)
+	}
+	select {
+	case <-completed:
+	case <-ctx.Done():
+	}
+	if inv, err = e.storedOf(tenant, id); err != nil {
+		return View{Invocation: inv}, err
+	}
+	return e.storedView(inv)
+}
+
+// Cancel completes an invocation for its owner and cancels its run. An outcome that came first stays. It fails with
+// ErrNotFound, also for an invocation of another tenant, with ErrExpired and with ErrStorage.
+func (e *Executor) Cancel(tenant, id string) (View, error) {
+	if fg := e.foreground.get(id); fg != nil {
+		if fg.tenant != tenant {
+			return View{}, invocation.ErrNotFound
+		}
+		return e.cancelForeground(fg)
+	}
+	if _, err := e.storedOf(tenant, id); err != nil {
+		return View{}, err
+	}
+	inv, effects, err := e.store.Apply(id, invocation.Input{Event: invocation.EventCancel}, nil, e.clock.Now())
+	if errors.Is(err, invocation.ErrCompleted) {
+		return e.storedView(inv)
+	}
+	if err != nil {
+		return View{}, err
+	}
+	if effects.Has(invocation.EffectCancelRun) {
+		e.cancelRun(id)
+	}
+	e.feeder.send(schedule.RemoveEvent{ID: id})
+	e.waiters.notify(id)
+	return e.storedView(inv)
+}
+
+// storedOf reads an invocation of the tenant from the store. To other tenants it does not exist.
+func (e *Executor) storedOf(tenant, id string) (*invocation.Invocation, error) {
+	inv, err := e.store.Get(id)
+	if inv != nil && inv.Tenant == tenant {
+		return inv, err
+	}
+	if errors.Is(err, invocation.ErrStorage) {
+		return nil, err
+	}
+	return nil, invocation.ErrNotFound
+}
+
+// storedView adds its result to a stored invocation.
+func (e *Executor) storedView(inv *invocation.Invocation) (View, error) {
+	view := View{Invocation: inv, Durable: true}
+	if inv.Outcome != invocation.OutcomeServed {
+		return view, nil
+	}
+	var err error
+	view.Result, err = e.store.Result(inv.ID)
+	return view, err
+}
