--- /dev/null
+++ b/internal/invocation/store/apply.go
@@ -0,0 +1,112 @@
+package store
+
+import (
+	"time"
+
+	"kitefall/internal/durable"
+	"kitefall/internal/invocation"
+)
+
+// stateNew stands for the previous state of an invocation that was not stored before.
+const stateNew invocation.State = 0
+
+// Apply applies an input to an invocation, stores what the effects ask for, and returns the invocation as it stands
+// then. With an error nothing has changed; ErrCompleted comes with the invocation.
+func (s *Store) Apply(
+	id string, input invocation.Input, result []byte, now time.Time,
+) (inv *invocation.Invocation, effects invocation.Effects, err error) {
+	err = s.update(func(tx *durable.Tx) error {
+		inv, effects, err = s.apply(tx, id, input, result, now)
+		return err
+	})
+	return inv, effects, storageError(err)
+}
+
+func (s *Store) apply(
+	tx *durable.Tx, id string, input invocation.Input, result []byte, now time.Time,
+) (*invocation.Invocation, invocation.Effects, error) {
+	inv, err := s.loadCached(tx, id)
+	if err != nil {
+		return nil, 0, err
+	}
+	previous := *inv
+	_, effects, err := invocation.Step(inv, input, now)
+	if err != nil {
+		return inv, 0, err
+	}
+	switch {
+	case effects.Has(invocation.EffectDelete):
+		s.delete(tx, inv, now)
+		return inv, effects, nil
+	case effects.Has(invocation.EffectPersist):
+		if len(result) > 0 {
+			tx.Put(resultsBucket, []byte(id), result)
+		}
+		if inv.Bytes != previous.Bytes {
+			addUsage(tx, inv.Tenant, 0, inv.Bytes-previous.Bytes)
+		}
+		s.put(tx, inv, previous.State)
+	case inv.State == invocation.StateSubmitted:
+		tx.Put(submittedBucket, []byte(id), encodeTime(now))
+	}
+	s.cache.put(inv)
+	return inv, effects, nil
+}
+
+// put stores an invocation and updates its indexes. previous is the state that was stored before, or stateNew.
+func (s *Store) put(tx *durable.Tx, inv *invocation.Invocation, previous invocation.State) {
+	id := []byte(inv.ID)
+	if previous == invocation.StateSubmitted {
+		tx.Delete(submittedBucket, id)
+	}
+	tx.Put(invocationsBucket, id, encode(new(inv.Persisted())))
+	isCompleted := inv.State == invocation.StateCompleted
+	if !isCompleted && previous == stateNew {
+		tx.Put(incompleteBucket, incompleteKey(inv), nil)
+	}
+	if isCompleted && previous != invocation.StateCompleted {
+		tx.Delete(incompleteBucket, incompleteKey(inv))
+		if inv.DeadLetter {
+			tx.Put(deadLettersBucket, timeKey(inv.CompletedAt, inv.ID), nil)
+		}
+		tx.Put(retentionBucket, s.retentionKey(inv), nil)
+	}
+}
+
+// retentionKey returns the key of a completed invocation in retentionBucket.
+func (s *Store) retentionKey(inv *invocation.Invocation) []byte {
+	retention := s.options.Retention
+	if inv.DeadLetter {
+		retention = s.options.DeadRetention
+	}
+	return timeKey(inv.CompletedAt.Add(retention), inv.ID)
+}
+
+// delete removes an invocation and keeps the bare fact that it existed for another Retention.
+func (s *Store) delete(tx *durable.Tx, inv *invocation.Invocation, now time.Time) {
+	id := []byte(inv.ID)
+	if inv.DeadLetter {
+		tx.Delete(deadLettersBucket, timeKey(inv.CompletedAt, inv.ID))
+	}
+	tx.Delete(retentionBucket, s.retentionKey(inv))
+	if holdsKey(tx, inv) {
+		tx.Delete(keysBucket, idempotencyKey(&inv.Request))
+	}
+	s.cache.remove(inv.ID)
+	tx.Delete(invocationsBucket, id)
+	tx.Delete(bodiesBucket, id)
+	tx.Delete(resultsBucket, id)
+	addUsage(tx, inv.Tenant, -1, -inv.Bytes)
+
+	until := now.Add(s.options.Retention)
+	tx.Put(expiredBucket, id, encodeExpired(until, inv.Tenant))
+	tx.Put(expiredUntilBucket, timeKey(until, inv.ID), nil)
+}
+
+// holdsKey reports whether an invocation has an Idempotency-Key that no later one has taken over.
+func holdsKey(tx *durable.Tx, inv *invocation.Invocation) bool {
+	if inv.IdempotencyKey == "" {
+		return false
+	}
+	return string(tx.Get(keysBucket, idempotencyKey(&inv.Request))) == inv.ID
+}
--- /dev/null
+++ b/internal/invocation/store/create.go
@@ -0,0 +1,76 @@
+package store
+
+import (
+	"bytes"
+	"time"
+
+	"kitefall/internal/durable"
+	"kitefall/internal/invocation"
+)
+
+// FindByKey returns the invocation that holds the Idempotency-Key of a request, or nil if the key is free. A rejection
+// promises that a retry does no harm, so the key is free again at its RetryAt. It fails with ErrKeyReused if the key was
+// used for another request.
+func (s *Store) FindByKey(request *invocation.Request, now time.Time) (existing *invocation.Invocation, err error) {
+	err = s.db.View(func(tx *durable.Tx) error {
+		existing, err = findByKey(tx, request, now)
+		return err
+	})
+	return existing, storageError(err)
+}
+
+func findByKey(tx *durable.Tx, request *invocation.Request, now time.Time) (*invocation.Invocation, error) {
+	if request.IdempotencyKey == "" {
+		return nil, nil
+	}
+	id := tx.Get(keysBucket, idempotencyKey(request))
+	if id == nil {
+		return nil, nil
+	}
+	existing, err := load(tx, string(id))
+	if err != nil {
+		return nil, err
+	}
+	if existing.Outcome == invocation.OutcomeRejected && !now.Before(existing.RetryAt) {
+		return nil, nil
+	}
+	if !bytes.Equal(existing.Fingerprint, request.Fingerprint) {
+		return nil, invocation.ErrKeyReused
+	}
+	return existing, nil
+}
+
+// Create stores a new invocation as it stands, with its result if it has completed. If its Idempotency-Key belongs to
+// another invocation, Create returns that one and stores nothing. It fails with ErrKeyReused, ErrStoreFull and
+// ErrQuotaExceeded.
+func (s *Store) Create(
+	inv *invocation.Invocation, result []byte, now time.Time,
+) (existing *invocation.Invocation, err error) {
+	err = s.update(func(tx *durable.Tx) error {
+		existing, err = findByKey(tx, &inv.Request, now)
+		if existing != nil || err != nil {
+			return err
+		}
+		return s.insert(tx, inv, result)
+	})
+	return existing, storageError(err)
+}
+
+// insert stores a new invocation with its body and result.
+func (s *Store) insert(tx *durable.Tx, inv *invocation.Invocation, result []byte) error {
+	if err := s.admit(tx, inv); err != nil {
+		return err
+	}
+	if inv.IdempotencyKey != "" {
+		tx.Put(keysBucket, idempotencyKey(&inv.Request), []byte(inv.ID))
+	}
+	if len(inv.Body) > 0 {
+		tx.Put(bodiesBucket, []byte(inv.ID), inv.Body)
+	}
+	if len(result) > 0 {
+		tx.Put(resultsBucket, []byte(inv.ID), result)
+	}
+	s.put(tx, inv, stateNew)
+	s.cache.put(inv)
+	return nil
+}
--- a/internal/invocation/store/migrate.go
+++ b/internal/invocation/store/migrate.go
@@ -1,8 +1,6 @@
 package store
 
 import (
-	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -10,167 +8,146 @@
 	"time"
 
 	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"kitefall/internal/durable"
-	"kitefall/internal/invocation"
 )
 
-// first is a ticket as the first format has it: JSON in a bucket of bbolt.
-type first struct {
-	ID, Tenant, Key, Name string
-	Fingerprint           []byte
-	Body                  []byte
-	Deadline, Created     time.Time
-	MayRun                bool
-	End                   string
-	Ended                 time.Time
-	MayHaveRun            bool
-	Result                []byte
-	RetryAt               time.Time
+// migration holds the paths of a migration from the first format.
+type migration struct {
+	path         string    // the store
+	original     string    // where the file of the first format is kept
+	converted    string    // the complete new file, until it is renamed
+	temporary    string    // the new store while it is written
+	lockDeadline time.Time // how long another process may hold the file
 }
 
-var firstEnds = map[string]invocation.Outcome{"": invocation.OutcomeNone, "served": invocation.OutcomeServed, "refused": invocation.OutcomeRejected,
-	"failed": invocation.OutcomeFailed, "late": invocation.OutcomeDeadlineExceeded, "given up": invocation.OutcomeCancelled}
-
-// migrate makes a store of the present format of one of the first. The old file stays beside it, as PATH.v1. Being
-// ended in the middle does no harm: the new file gets its name only when it is whole.
-func migrate(path string, lockBy time.Time) error {
-	made, old := path+".v2", path+".v1"
-	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		if _, err := os.Stat(made); err == nil { // ended between the two names
-			return os.Rename(made, path)
-		}
-		return nil
+// migrate converts a store of the first format to the present one. The old file is kept beside it as PATH.v1. An
+// interrupted migration does no harm: the new file gets its name only when it is complete.
+func migrate(path string, lockDeadline time.Time) error {
+	m := &migration{
+		path:         path,
+		original:     path + ".v1",
+		converted:    path + ".v2",
+		temporary:    path + ".migrating",
+		lockDeadline: lockDeadline,
 	}
-	if info, err := os.Stat(path); err != nil || info.Size() == 0 {
-		return err // Open words it
+	info, err := os.Stat(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return m.resume()
 	}
-	is, err := isFirst(path, lockBy)
-	if err != nil || !is {
-		return err
+	if err != nil || info.Size() == 0 {
+		return err // an empty file is Open's concern
 	}
-	if _, err := os.Lstat(old); !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s is of the first format, and %s is there already: move one away", path, old)
+	needed, err := m.isV1()
+	if err != nil || !needed {
+		return err
 	}
-	tmp := path + ".migrating"
-	for _, f := range append(durable.Files(tmp), durable.LogDir(tmp), made) {
-		os.Remove(f) // of a migration that was ended
+	return m.run()
+}
+
+// resume finishes a migration that was interrupted between its two renames.
+func (m *migration) resume() error {
+	if _, err := os.Stat(m.converted); err == nil {
+		return os.Rename(m.converted, m.path)
 	}
-	n, err := convert(path, tmp, made, lockBy)
-	for _, f := range append(durable.Files(tmp), durable.LogDir(tmp)) {
-		os.Remove(f)
+	return nil
+}
+
+func (m *migration) run() error {
+	if _, err := os.Lstat(m.original); !errors.Is(err, os.ErrNotExist) {
+		return fmt.Errorf("%s is of the first format, and %s is there already: move one away", m.path, m.original)
 	}
+	m.removeTemporary() // of an interrupted migration
+	os.Remove(m.converted)
+	migrated, err := m.convert()
+	m.removeTemporary()
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(os.Rename(path, old), os.Rename(made, path)); err != nil {
+	if err := errors.Join(os.Rename(m.path, m.original), os.Rename(m.converted, m.path)); err != nil {
 		return err
 	}
-	slog.Info("tickets: migrated from the first format", "tickets", n, "old", old)
+	slog.Info("tickets: migrated from the first format", "tickets", migrated, "old", m.original)
 	return nil
 }
 
-func isFirst(path string, lockBy time.Time) (is bool, err error) {
+func (m *migration) removeTemporary() {
+	for _, file := range append(durable.Files(m.temporary), durable.LogDir(m.temporary)) {
+		os.Remove(file)
+	}
+}
+
+// isV1 reports whether the file is a store of the first format. It reports false for a broken file, which Open refuses.
+func (m *migration) isV1() (is bool, err error) {
 	defer func() {
-		if p := recover(); p != nil { // bbolt panics on some broken files
-			is, err = false, nil // Open words it
+		if recover() != nil { // bbolt panics on some broken files
+			is = false
+			err = nil
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Until(lockBy), ReadOnly: true})
-	if errors.Is(err, bolt.ErrTimeout) {
-		return false, fmt.Errorf("%w: %s", durable.ErrLocked, path)
-	} else if err != nil {
+	db, err := m.openOriginal()
+	if errors.Is(err, bolterrors.ErrTimeout) {
+		return false, fmt.Errorf("%w: %s", durable.ErrLocked, m.path)
+	}
+	if err != nil {
 		return false, nil
 	}
 	defer db.Close()
 	err = db.View(func(tx *bolt.Tx) error {
-		info, err := os.Stat(path)
+		info, err := os.Stat(m.path)
 		if err != nil || tx.Size() > info.Size() {
 			return err
 		}
-		is = tx.Bucket([]byte("kitefall")) == nil && tx.Bucket([]byte("tickets")) != nil && tx.Bucket([]byte("ends")) != nil
+		is = hasV1Buckets(tx)
 		return nil
 	})
 	return is, err
 }
 
-func convert(path, tmp, made string, lockBy time.Time) (n int, err error) {
-	from, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Until(lockBy), ReadOnly: true})
+func (m *migration) openOriginal() (*bolt.DB, error) {
+	return bolt.Open(m.path, 0o600, &bolt.Options{Timeout: time.Until(m.lockDeadline), ReadOnly: true})
+}
+
+// convert writes the converted file and returns the number of its invocations.
+func (m *migration) convert() (migrated int, err error) {
+	original, err := m.openOriginal()
 	if err != nil {
 		return 0, err
 	}
-	defer from.Close()
-	db, err := durable.Open(tmp, format, buckets, durable.Options{LockDeadline: lockBy, MemoryBuckets: []string{"offered"}})
+	defer original.Close()
+	options := durable.Options{LockDeadline: m.lockDeadline, MemoryBuckets: memoryBuckets}
+	db, err := durable.Open(m.temporary, format, buckets, options)
 	if err != nil {
 		return 0, err
 	}
 	defer db.Close()
-	s := &Store{db: db, recent: map[string]*invocation.Invocation{}, options: Options{MaxInvocations: 1 << 62, Retention: firstRetention}}
-	err = from.View(func(tx *bolt.Tx) error {
-		var bad error
-		for b := range tx.Check() {
-			bad = errors.Join(bad, b)
-		}
-		if bad != nil {
-			return fmt.Errorf("%w: %s: %v", durable.ErrDamaged, path, bad)
-		}
-		err := tx.Bucket([]byte("tickets")).ForEach(func(_, data []byte) error {
-			f := first{}
-			if err := json.Unmarshal(data, &f); err != nil {
-				return fmt.Errorf("%w: %s: %v", durable.ErrDamaged, path, err)
-			}
-			n++
-			owns := string(tx.Bucket([]byte("keys")).Get([]byte(f.Tenant+"\x00"+f.Key))) == f.ID
-			return s.take(&f, owns)
-		})
-		if b := tx.Bucket([]byte("expired")); err == nil && b != nil {
-			err = b.ForEach(func(id, mark []byte) error { return s.takeExpired(string(id), mark) })
+	target := &Store{
+		db:      db,
+		cache:   newInvocationCache(),
+		options: Options{MaxInvocations: noLimit, Retention: v1Retention},
+	}
+	err = original.View(func(tx *bolt.Tx) error {
+		if err := checkPages(tx, m.path); err != nil {
+			return err
 		}
+		migrated, err = target.importV1(tx, m.path)
 		return err
 	})
 	if err != nil {
-		return n, err
+		return migrated, err
 	}
-	return n, db.Snapshot(made)
-}
-
-// firstRetention is how long what a migration brings is kept: the first format did not say.
-const firstRetention = 24 * time.Hour
-
-func (s *Store) take(f *first, ownsKey bool) error {
-	end, ok := firstEnds[f.End]
-	if !ok {
-		return fmt.Errorf("%w: ticket %s ended as %q", durable.ErrDamaged, f.ID, f.End)
-	}
-	t := &invocation.Invocation{ID: f.ID, CreatedAt: f.Created, State: invocation.StateWaiting, NextRunAt: f.Created, Outcome: end, CompletedAt: f.Ended,
-		MayHaveRun: f.MayHaveRun, RetryAt: f.RetryAt, Bytes: int64(len(f.Body) + len(f.Result)),
-		Request: invocation.Request{Tenant: f.Tenant, IdempotencyKey: f.Key, Fingerprint: f.Fingerprint, Function: f.Name, Body: f.Body,
-			Deferred: true, Urgency: invocation.DefaultUrgency, Expires: f.Deadline, RunTimeout: f.Deadline.Sub(f.Created)}}
-	switch {
-	case end != invocation.OutcomeNone:
-		t.State = invocation.StateCompleted
-	case f.MayRun: // its class is not on record there: what may have run does not run again
-		t.State, t.Runs = invocation.StateRunning, 1
-	}
-	return s.do(func(tx *durable.Tx) error {
-		key := t.IdempotencyKey
-		if !ownsKey {
-			t.IdempotencyKey = "" // a later ticket has it
-		}
-		err := s.add(tx, t, f.Result)
-		t.IdempotencyKey = key
-		return err
-	})
+	return migrated, db.Snapshot(m.converted)
 }
 
-func (s *Store) takeExpired(id string, mark []byte) error {
-	if len(mark) < 8 {
-		return fmt.Errorf("%w: the mark of %s is too short", durable.ErrDamaged, id)
-	}
-	until := time.Unix(0, int64(binary.BigEndian.Uint64(mark)))
-	return s.do(func(tx *durable.Tx) error {
-		tx.Put(expired, []byte(id), append([]byte{}, mark...))
-		tx.Put(gone, timeKey(until, id), nil)
-		return nil
-	})
+// checkPages looks through all pages of the file.
+func checkPages(tx *bolt.Tx, path string) error {
+	var damage error
+	for err := range tx.Check() {
+		damage = errors.Join(damage, err)
+	}
+	if damage != nil {
+		return fmt.Errorf("%w: %s: %v", durable.ErrDamaged, path, damage)
+	}
+	return nil
 }
--- a/internal/invocation/store/store_test.go
+++ b/internal/invocation/store/store_test.go
@@ -57,9 +57,10 @@
 }
 
 var (
-	mark  = invocation.Input{Event: invocation.EventStart}
-	broke = invocation.Input{Event: invocation.EventFailed}
-	away  = invocation.Input{Event: invocation.EventRejected, RetryAfter: 2 * time.Second}
+	submit = invocation.Input{Event: invocation.EventSubmit}
+	mark   = invocation.Input{Event: invocation.EventStart}
+	broke  = invocation.Input{Event: invocation.EventFailed}
+	away   = invocation.Input{Event: invocation.EventRejected, RetryAfter: 2 * time.Second}
 )
 
 // A refusal invites another try, which a device makes under the same key; until then it hears the refusal again.
@@ -67,7 +68,7 @@
 	s, _ := fresh(t, Options{MaxInvocations: 2})
 	o := order("k")
 	create(t, s, "t1", o)
-	apply(t, s, "t1", offer, away)
+	apply(t, s, "t1", submit, away)
 	_, _, err := s.Apply("t1", invocation.Input{Event: invocation.EventServed}, nil, noon)
 	assert.ErrorIs(t, err, invocation.ErrCompleted, "the first final answer wins")
 	_, _, err = s.Apply("t1", mark, nil, noon)
@@ -92,8 +93,8 @@
 	for _, id := range []string{"waiting", "offered", "running", "ended"} {
 		create(t, s, id, order(""))
 	}
-	apply(t, s, "offered", offer)
-	apply(t, s, "running", offer, mark)
+	apply(t, s, "offered", submit)
+	apply(t, s, "running", submit, mark)
 	apply(t, s, "ended", invocation.Input{Event: invocation.EventCancel})
 	require.NoError(t, s.Close())
 	s, err := Open(path, Options{Retention: time.Hour})
@@ -141,7 +142,7 @@
 	}
 	create(t, s, "open", order(""))
 	create(t, s, "dead", order("d"))
-	apply(t, s, "dead", offer, mark, broke)
+	apply(t, s, "dead", submit, mark, broke)
 	after := func(d time.Duration) { require.NoError(t, s.DeleteExpired(noon.Add(d))) }
 	after(time.Hour)
 	k, err := s.Get("t007")
@@ -173,8 +174,8 @@
 	for _, id := range []string{"ran", "late", "asked", "given"} {
 		create(t, s, id, order("key of "+id))
 	}
-	apply(t, s, "ran", offer, mark, broke)
-	apply(t, s, "asked", offer, away)
+	apply(t, s, "ran", submit, mark, broke)
+	apply(t, s, "asked", submit, away)
 	apply(t, s, "given", invocation.Input{Event: invocation.EventCancel})
 	_, _, err := s.Apply("late", invocation.Input{Event: invocation.EventExpire}, nil, noon.Add(2*time.Hour))
 	require.NoError(t, err)
@@ -306,7 +307,7 @@
 			for i := range lives {
 				id := fmt.Sprintf("%026d", i*7919%1000003)
 				create(b, s, id, order(id))
-				apply(b, s, id, offer, mark, invocation.Input{Event: invocation.EventServed})
+				apply(b, s, id, submit, mark, invocation.Input{Event: invocation.EventServed})
 			}
 		})
 	}
--- /dev/null
+++ b/internal/invocation/store/usage.go
@@ -0,0 +1,70 @@
+package store
+
+import (
+	"encoding/binary"
+
+	"kitefall/internal/durable"
+	"kitefall/internal/invocation"
+)
+
+// allTenants is the name under which the usage of all tenants is counted.
+const allTenants = ""
+
+// Usage is what is kept for a tenant: the number of invocations and the size of their bodies and results.
+type Usage struct{ Invocations, Bytes int64 }
+
+func (u Usage) plus(invocations, bytes int64) Usage {
+	return Usage{Invocations: u.Invocations + invocations, Bytes: u.Bytes + bytes}
+}
+
+// Usage returns what is kept for a tenant, or for all tenants under the empty name.
+func (s *Store) Usage(tenant string) (usage Usage, err error) {
+	err = s.db.View(func(tx *durable.Tx) error {
+		usage = usageOf(tx, tenant)
+		return nil
+	})
+	return usage, storageError(err)
+}
+
+func usageOf(tx *durable.Tx, tenant string) Usage {
+	data := tx.Get(usageBucket, usageKey(tenant))
+	if len(data) != usageLength {
+		return Usage{}
+	}
+	return Usage{
+		Invocations: int64(binary.BigEndian.Uint64(data)),
+		Bytes:       int64(binary.BigEndian.Uint64(data[8:])),
+	}
+}
+
+func putUsage(tx *durable.Tx, tenant string, usage Usage) {
+	data := make([]byte, 0, usageLength)
+	data = binary.BigEndian.AppendUint64(data, uint64(usage.Invocations))
+	data = binary.BigEndian.AppendUint64(data, uint64(usage.Bytes))
+	tx.Put(usageBucket, usageKey(tenant), data)
+}
+
+// addUsage adds to the usage of a tenant and of all tenants.
+func addUsage(tx *durable.Tx, tenant string, invocations, bytes int64) {
+	putUsage(tx, tenant, usageOf(tx, tenant).plus(invocations, bytes))
+	putUsage(tx, allTenants, usageOf(tx, allTenants).plus(invocations, bytes))
+}
+
+// admit counts a new invocation, unless the store is full or the tenant's quota is used up: ErrStoreFull and
+// ErrQuotaExceeded.
+func (s *Store) admit(tx *durable.Tx, inv *invocation.Invocation) error {
+	total := usageOf(tx, allTenants)
+	if total.Invocations >= s.options.MaxInvocations {
+		return invocation.ErrStoreFull
+	}
+	tenant := usageOf(tx, inv.Tenant)
+	maxCount, maxBytes := s.options.MaxPerTenant, s.options.MaxBytesPerTenant
+	tooMany := maxCount > 0 && tenant.Invocations >= maxCount
+	tooLarge := maxBytes > 0 && tenant.Bytes+inv.Bytes > maxBytes
+	if tooMany || tooLarge {
+		return invocation.ErrQuotaExceeded
+	}
+	putUsage(tx, allTenants, total.plus(1, inv.Bytes))
+	putUsage(tx, inv.Tenant, tenant.plus(1, inv.Bytes))
+	return nil
+}
