--- a/internal/invocation/executor/executor_test.go
+++ b/internal/invocation/executor/executor_test.go
@@ -2,12 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"hash/crc32"
-	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -17,426 +12,269 @@
 	"github.com/stretchr/testify/require"
 
 	"kitefall/internal/call"
-	"kitefall/internal/dispatch"
-	"kitefall/internal/durable"
 	"kitefall/internal/fakes"
 	"kitefall/internal/invocation"
-	"kitefall/internal/invocation/store"
-	"kitefall/internal/monotonic"
-	"kitefall/internal/schedule"
-	"kitefall/internal/wal"
 )
 
-// catalogue has a function for every name, but those that are gone.
-type catalogue struct{ gone map[string]bool }
+// resultFull is the workers' code for a call that is rejected since the worker is full.
+const resultFull = 67
 
-func (c *catalogue) Describe(f string) (Function, bool) {
-	return Function{Key: fmt.Sprintf("%016x", crc32.ChecksumIEEE([]byte(f))), Cost: 1}, !c.gone[f]
-}
-
-func (c *catalogue) Call(o *invocation.Request) (*call.Call, error) {
-	f, ok := c.Describe(o.Function)
-	if !ok {
-		return nil, invocation.ErrNotFound
-	}
-	return &call.Call{Class: o.Class, Tenant: o.Tenant, Function: f.Key, Concurrency: 4, LoadTime: 10 * time.Millisecond, Body: o.Body}, nil
-}
-
-// house is a desk on a core of its own, which can be restarted on its store.
-type house struct {
-	t     *testing.T
-	path  string
-	core  *dispatch.Core
-	calls atomic.Int64
-	desk  *Executor
-	cat   *catalogue
-	plan  schedule.Config
-	disk  *disk
-	wall  time.Duration // how far the machine's clock is off
-}
-
-func (h *house) Submit(k *call.Call) (*dispatch.Handle, error) {
-	h.calls.Add(1)
-	return h.core.Submit(k)
-}
-
-func newHouse(t *testing.T, core *dispatch.Core) *house {
-	h := &house{t: t, path: filepath.Join(t.TempDir(), "tickets.db"), core: core, cat: &catalogue{gone: map[string]bool{}},
-		plan: schedule.Default(), disk: &disk{}}
-	h.plan.Classes = map[string]float64{"reserva": 2, "consulta": 1}
-	h.plan.Backoff, h.plan.MaxBackoff, h.plan.RetryRate = 20*time.Millisecond, 200*time.Millisecond, 100
-	h.start()
-	t.Cleanup(func() { h.core.Stop(); h.desk.Close() })
-	return h
-}
-
-func (h *house) start() {
-	s, err := store.Open(h.path, store.Options{Retention: 3 * time.Hour, MaxInvocations: 1 << 20,
-		Durable: durable.Options{FS: h.disk, SegmentBytes: 256 << 10}})
-	require.NoError(h.t, err)
-	begin := time.Now()
-	latest, err := s.AdvanceClock(begin.Add(h.wall))
-	require.NoError(h.t, err)
-	clock := monotonic.New(begin.Add(h.wall), latest, func() time.Duration { return time.Since(begin) })
-	h.desk, err = New(s, h, h.cat, h.plan, clock)
-	require.NoError(h.t, err)
-	require.NoError(h.t, h.desk.Recover())
-}
-
-func (h *house) restart(core *dispatch.Core) {
-	h.core.Stop()
-	require.NoError(h.t, h.desk.Close())
-	h.core = core
-	h.start()
-}
-
-func order(class, body string) invocation.Request {
-	return invocation.Request{Tenant: "a", Function: "f", Class: class, Idempotent: class == "consulta", Urgency: 3,
-		Expires: time.Now().Add(time.Minute), RunTimeout: 2 * time.Second, Body: []byte(body), Fingerprint: []byte(body)}
-}
-
-func (h *house) defers(o invocation.Request) string {
-	h.t.Helper()
-	v, err := h.desk.Submit(o)
-	require.NoError(h.t, err)
-	return v.ID
-}
-
-func (h *house) wait(id string) View {
-	h.t.Helper()
-	ctx, cancel := context.WithDeadline(context.Background(), fakes.Deadline())
-	defer cancel()
-	v, err := h.desk.Wait(ctx, "a", id)
-	require.NoError(h.t, err)
-	return v
-}
-
-// disk is one that fills up.
-type disk struct {
-	wal.Disk
-	full atomic.Bool
-}
-
-var errFull = errors.New("no space left on device")
-
-func (d *disk) Create(path string) (wal.File, error) {
-	f, err := d.Disk.Create(path)
-	return fullFile{f, d}, err
-}
-
-func (d *disk) Open(path string) (wal.File, error) {
-	f, err := d.Disk.Open(path)
-	return fullFile{f, d}, err
-}
-
-type fullFile struct {
-	wal.File
-	disk *disk
-}
-
-func (f fullFile) WriteAt(p []byte, at int64) (int, error) {
-	if f.disk.full.Load() {
-		return 0, errFull
-	}
-	return f.File.WriteAt(p, at)
-}
-
-// A refusal does not end a deferred call: it goes again, and its history tells.
-func TestRefusedRunsGoAgain(t *testing.T) {
-	w := fakes.NewWorker(t)
-	h := newHouse(t, fakes.NewCore(t, w))
-	var n atomic.Int64
-	w.Serve(func(c *fakes.Call) {
-		if n.Add(1) <= 3 {
-			c.Answer(67, "", "")
+// A rejection does not complete a deferred invocation: it is retried, and its history tells.
+func TestRejectedRunIsRetried(t *testing.T) {
+	worker := fakes.NewWorker(t)
+	h := newHarness(t, fakes.NewCore(t, worker))
+	var received atomic.Int64
+	worker.Serve(func(c *fakes.Call) {
+		if received.Add(1) <= 3 {
+			c.Answer(resultFull, "", "")
 			return
 		}
 		c.OK("booked")
 	})
-	v := h.wait(h.defers(order("reserva", "slot")))
-	assert.Equal(t, []any{invocation.OutcomeServed, "booked"}, []any{v.Outcome, string(v.Result)})
-	assert.Greater(t, v.Runs, 1)
-	assert.Equal(t, invocation.EventCreated, v.History[0].Event)
-	assert.Equal(t, invocation.EventServed, v.History[len(v.History)-1].Event)
+	view := h.wait(h.submit(newRequest(reserva, "slot")))
+	assert.Equal(t, invocation.OutcomeServed, view.Outcome)
+	assert.Equal(t, "booked", string(view.Result))
+	assert.Greater(t, view.Runs, 1)
+	assert.Equal(t, invocation.EventCreated, view.History[0].Event)
+	assert.Equal(t, invocation.EventServed, view.History[len(view.History)-1].Event)
 }
 
-// The whole fleet is gone and comes back empty with 5,000 tickets waiting: all are served, no more loads are ordered
-// than the rule allows at any moment, and calls that somebody waits for go on being served.
-func TestDarkFleetComesBackEmpty(t *testing.T) {
-	s := fakes.Settings()
-	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
-	h := newHouse(t, fakes.NewCoreWithSettings(t, s))
-	const n, functions = 5000, 40
-	ids := make([]string, n)
-	var filing sync.WaitGroup
-	for g := range 50 {
-		filing.Go(func() {
-			for i := g; i < n; i += 50 {
-				o := order([]string{"reserva", "consulta"}[i%2], fmt.Sprintf("b%d", i))
-				o.Function = fmt.Sprint("f", i%functions)
-				ids[i] = h.defers(o)
-			}
-		})
-	}
-	filing.Wait()
-	require.Eventually(t, h.dark, 10*time.Second, 5*time.Millisecond)
-	waited, answered := h.calls.Load(), map[string]int{}
-	assert.Less(t, waited, int64(200), "a dark fleet is probed, not stormed")
-	var mu sync.Mutex
-	var workers []*fakes.Worker
-	for range 3 {
-		w := fakes.NewWorker(t)
-		w.UnloadAll()
-		w.Serve(func(c *fakes.Call) {
-			mu.Lock()
-			answered[c.Body]++
-			mu.Unlock()
-			c.OK(c.Body)
-		})
-		workers = append(workers, w)
-	}
-	h.core.UpdateEndpoints(fakes.Endpoints(workers...))
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(50*time.Second))
-	defer cancel()
-	served, asked, left := 0, 0, len(ids)
-	for left > 0 && ctx.Err() == nil {
-		o := order("consulta", fmt.Sprintf("now %d", asked))
-		o.Function, o.Expires = "f1", time.Now().Add(2*time.Second)
-		v, err := h.desk.Invoke(ctx, o)
-		require.NoError(t, err)
-		asked++
-		if v.Outcome == invocation.OutcomeServed {
-			served++
-		}
-		orders := 0
-		for _, w := range workers {
-			orders += len(w.LoadOrderTimes())
-		}
-		require.LessOrEqual(t, float64(orders), 6+0.15*float64(h.calls.Load())+1)
-		for left > 0 {
-			v, err := h.desk.Wait(cancelledContext, "a", ids[left-1])
-			require.NoError(t, err)
-			if v.State != invocation.StateCompleted {
-				break
-			}
-			require.Equal(t, invocation.OutcomeServed, v.Outcome, "%v", v.History)
-			left--
-		}
-	}
-	require.Zero(t, left)
-	repeats := 0
-	for body, times := range answered {
-		if i, err := strconv.Atoi(strings.TrimPrefix(body, "b")); err == nil && body[0] == 'b' {
-			require.True(t, i%2 == 1 || times == 1, "%s, a reserva, was answered %d times", body, times)
-			repeats += times - 1
-		}
-	}
-	// A consulta may run again where its worker keeps silent, as a busy machine has it: no more of them than the module
-	// allows itself at once.
-	require.LessOrEqual(t, repeats, 20)
-	t.Logf("%d calls while dark; then %d of %d foreground calls served", waited, served, asked)
-	assert.GreaterOrEqual(t, float64(served), 0.95*float64(asked))
-}
+// An invocation is cancelled in every state: it has one outcome, and a run that was written is cancelled.
+func TestCancelInEveryState(t *testing.T) {
+	worker := fakes.NewWorker(t)
+	h := newHarness(t, fakes.NewCore(t, worker))
 
-func (h *house) dark() bool {
-	answer := make(chan bool, 1)
-	h.desk.feeder.enqueue(feederMessage{inspect: func(s *schedule.Scheduler) { answer <- s.Stalled() }})
-	return <-answer
+	later := newRequest(reserva, "later")
+	later.NotBefore = time.Now().Add(30 * time.Second)
+	waiting := h.submit(later)
+	assertHiddenFromOthers(h, waiting)
+	view := cancelOwn(h, waiting)
+	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome)
+	assert.False(t, view.MayHaveRun)
+
+	running := h.submit(newRequest(reserva, "running"))
+	received := worker.Next()
+	assertHiddenFromOthers(h, running)
+	view = cancelOwn(h, running)
+	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome)
+	assert.True(t, view.MayHaveRun)
+	assert.Equal(t, received.ID, <-worker.Cancelled)
+
+	received.OK("too late")
+	assert.Equal(t, invocation.OutcomeCancelled, h.wait(running).Outcome)
+	assertHiddenFromOthers(h, running)
+	view = cancelOwn(h, running)
+	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome, "once more")
 }
 
-// Given up in every state, also while its mark is being written: one final answer, and what was written is called off.
-func TestGivenUpInEveryState(t *testing.T) {
-	w := fakes.NewWorker(t)
-	h := newHouse(t, fakes.NewCore(t, w))
-	later := order("reserva", "later")
-	later.NotBefore = time.Now().Add(30 * time.Second)
-	id := h.defers(later)
-	others := func() { // in every state there is no such ticket for another tenant
-		t.Helper()
-		_, err := h.desk.Wait(cancelledContext, "b", id)
-		assert.ErrorIs(t, err, invocation.ErrNotFound)
-		_, err = h.desk.Cancel("b", id)
-		assert.ErrorIs(t, err, invocation.ErrNotFound)
-	}
-	others()
-	v, err := h.desk.Cancel("a", id)
-	require.NoError(t, err)
-	assert.Equal(t, []any{invocation.OutcomeCancelled, false}, []any{v.Outcome, v.MayHaveRun})
-	id = h.defers(order("reserva", "running"))
-	k := w.Next()
-	others()
-	v, err = h.desk.Cancel("a", id)
-	require.NoError(t, err)
-	assert.Equal(t, []any{invocation.OutcomeCancelled, true}, []any{v.Outcome, v.MayHaveRun})
-	assert.Equal(t, k.ID, <-w.Cancelled)
-	k.OK("too late")
-	assert.Equal(t, invocation.OutcomeCancelled, h.wait(id).Outcome)
-	others()
-	v, err = h.desk.Cancel("a", id)
-	require.NoError(t, err)
-	assert.Equal(t, invocation.OutcomeCancelled, v.Outcome, "once more")
-	var work sync.WaitGroup
-	var ran atomic.Int64
-	w.Serve(func(c *fakes.Call) { ran.Add(1); c.OK("x") })
-	go func() {
-		for range w.Cancelled {
+// Invocations are cancelled at every moment between their acceptance and their completion, also while their start is
+// being stored: each has one outcome, and no run's place in the scheduler is lost.
+func TestCancelAtEveryMoment(t *testing.T) {
+	worker := fakes.NewWorker(t)
+	h := newHarness(t, fakes.NewCore(t, worker))
+	worker.Serve(func(c *fakes.Call) { c.OK("x") })
+	go func() { // ends with the worker
+		for range worker.Cancelled {
 		}
 	}()
-	for i := range 300 { // at every moment between its order and its answer
-		work.Go(func() {
-			v, err := h.desk.Submit(order("reserva", fmt.Sprintf("race %d", i)))
+	var cancelling sync.WaitGroup
+	for i := range 300 {
+		cancelling.Go(func() {
+			view, err := h.executor.Submit(newRequest(reserva, fmt.Sprintf("race %d", i)))
 			assert.NoError(t, err)
 			for range i % 40 {
-				h.desk.Wait(cancelledContext, "a", v.ID) // lets the others go on
+				h.executor.Wait(cancelledContext, "a", view.ID) // lets the others go on
 			}
-			first, err := h.desk.Cancel("a", v.ID)
+			cancelled, err := h.executor.Cancel("a", view.ID)
 			assert.NoError(t, err)
-			last := h.wait(v.ID)
-			assert.Equal(t, first.Outcome, last.Outcome)
-			assert.True(t, last.Outcome == invocation.OutcomeCancelled || last.Outcome == invocation.OutcomeServed, last.Outcome)
+			outcome := h.wait(view.ID).Outcome
+			assert.Equal(t, cancelled.Outcome, outcome)
+			expected := []invocation.Outcome{invocation.OutcomeCancelled, invocation.OutcomeServed}
+			assert.Contains(t, expected, outcome)
 		})
 	}
-	work.Wait()
-	require.Eventually(t, func() bool { // no run's place is lost by it
-		n := make(chan int, 1)
-		h.desk.feeder.enqueue(feederMessage{inspect: func(s *schedule.Scheduler) { n <- s.Running() + s.Waiting() }})
-		return <-n == 0 && h.core.InFlight() == 0
-	}, 10*time.Second, time.Millisecond)
+	cancelling.Wait()
+	idle := func() bool { return h.scheduled() == 0 && h.core.InFlight() == 0 }
+	require.Eventually(t, idle, 10*time.Second, time.Millisecond)
+}
+
+// assertHiddenFromOthers checks that the invocation does not exist for another tenant.
+func assertHiddenFromOthers(h *harness, id string) {
+	h.t.Helper()
+	_, err := h.executor.Wait(cancelledContext, "b", id)
+	assert.ErrorIs(h.t, err, invocation.ErrNotFound)
+	_, err = h.executor.Cancel("b", id)
+	assert.ErrorIs(h.t, err, invocation.ErrNotFound)
+}
+
+func cancelOwn(h *harness, id string) View {
+	h.t.Helper()
+	view, err := h.executor.Cancel("a", id)
+	require.NoError(h.t, err)
+	return view
 }
 
-// The disk fills up and has room again: refusals meanwhile, nothing told that is not stored, nothing lost.
+// The disk fills up and has space again: requests are refused meanwhile, no outcome is told that is not stored, and
+// nothing is lost.
 func TestFullDisk(t *testing.T) {
-	w := fakes.NewWorker(t)
-	h := newHouse(t, fakes.NewCore(t, w))
-	id := h.defers(order("reserva", "before"))
-	k := w.Next()
+	worker := fakes.NewWorker(t)
+	h := newHarness(t, fakes.NewCore(t, worker))
+	id := h.submit(newRequest(reserva, "before"))
+	received := worker.Next()
 	h.disk.full.Store(true)
-	_, err := h.desk.Submit(order("reserva", "full"))
+	_, err := h.executor.Submit(newRequest(reserva, "full"))
 	assert.ErrorIs(t, err, invocation.ErrStorage)
-	o := order("reserva", "full too")
-	o.IdempotencyKey = "k"
-	_, err = h.desk.Invoke(context.Background(), o)
+	keyed := newRequest(reserva, "full too")
+	keyed.IdempotencyKey = "k"
+	_, err = h.executor.Invoke(context.Background(), keyed)
 	assert.ErrorIs(t, err, invocation.ErrStorage)
-	o = order("consulta", "needs no disk")
-	answer := make(chan View, 1)
+
+	ephemeral := make(chan View, 1)
 	go func() {
-		v, err := h.desk.Invoke(context.Background(), o)
+		view, err := h.executor.Invoke(context.Background(), newRequest(consulta, "needs no disk"))
 		assert.NoError(t, err)
-		answer <- v
+		ephemeral <- view
 	}()
-	w.Next().OK("free")
-	assert.Equal(t, "free", string((<-answer).Result))
-	k.OK("booked")
-	v, err := h.desk.Wait(cancelledContext, "a", id)
-	require.NoError(t, err)
-	assert.Equal(t, invocation.StateRunning, v.State, "an answer that is not stored is not told")
+	worker.Next().OK("free")
+	assert.Equal(t, "free", string((<-ephemeral).Result))
+
+	received.OK("booked")
+	assert.Equal(t, invocation.StateRunning, h.current(id).State, "an outcome that is not stored is not told")
 	h.disk.full.Store(false)
 	assert.Equal(t, "booked", string(h.wait(id).Result))
-	assert.Equal(t, []int{1, 0, 0}, []int{w.CallCount("before"), w.CallCount("full"), w.CallCount("full too")})
+	assert.Equal(t, 1, worker.CallCount("before"))
+	assert.Equal(t, 0, worker.CallCount("full"))
+	assert.Equal(t, 0, worker.CallCount("full too"))
 }
 
-// Who asks for a synchronous call between its end and its result would be told that it was served with nothing.
-func TestEndIsSeenWithItsResult(t *testing.T) {
-	h := newHouse(t, fakes.NewCore(t, fakes.NewWorker(t)))
-	for _, class := range []string{"consulta", "reserva"} { // in memory only, and on record since its mark
-		o := order(class, "x")
-		o.Idempotent = class == "consulta"
-		l := newForeground(invocation.New(class, o, h.desk.clock.Now()), nil)
-		if !o.Idempotent {
-			require.NoError(t, h.desk.persistForegroundStart(l))
-		}
-		require.NoError(t, h.desk.stepForeground(l, inputFor(call.Answer{Outcome: call.Served}), []byte("done")))
-		v := l.view()
-		assert.Equal(t, []any{invocation.OutcomeServed, "done", !o.Idempotent}, []any{v.Outcome, string(v.Result), v.Durable})
+// A reader that sees a synchronous call served also sees its result.
+func TestOutcomeIsVisibleWithResult(t *testing.T) {
+	tests := map[string]struct {
+		class  string
+		stored bool
+	}{
+		"in memory":              {class: consulta, stored: false},
+		"stored since its start": {class: reserva, stored: true},
+	}
+	h := newHarness(t, fakes.NewCore(t, fakes.NewWorker(t)))
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			request := newRequest(test.class, "x")
+			fg := newForeground(invocation.New(test.class, request, h.executor.clock.Now()), nil)
+			if !request.Idempotent {
+				require.NoError(t, h.executor.persistForegroundStart(fg))
+			}
+			input := inputFor(call.Answer{Outcome: call.Served})
+			require.NoError(t, h.executor.stepForeground(fg, input, []byte("done")))
+			view := fg.view()
+			assert.Equal(t, invocation.OutcomeServed, view.Outcome)
+			assert.Equal(t, "done", string(view.Result))
+			assert.Equal(t, test.stored, view.Durable)
+		})
 	}
 }
 
-// The same key at the same moment, synchronous and deferred: one run, one answer for all.
-func TestOneKeyManyTimesAtOnce(t *testing.T) {
-	w := fakes.NewWorker(t)
-	h := newHouse(t, fakes.NewCore(t, w))
-	w.Serve(func(c *fakes.Call) { c.OK("booked") })
+// Synchronous and deferred requests come under one key at the same moment: one run, and one outcome for all.
+func TestConcurrentRequestsUnderOneKey(t *testing.T) {
+	worker := fakes.NewWorker(t)
+	h := newHarness(t, fakes.NewCore(t, worker))
+	worker.Serve(func(c *fakes.Call) { c.OK("booked") })
 	for i := range 40 {
-		var work sync.WaitGroup
+		var requests sync.WaitGroup
 		body := fmt.Sprintf("slot %d", i)
 		for n := range 6 {
-			work.Go(func() {
-				o := order("reserva", body)
-				o.IdempotencyKey = body
-				var v View
-				var err error
-				if n%2 == 0 {
-					v, err = h.desk.Invoke(context.Background(), o)
-				} else {
-					v, err = h.desk.Submit(o)
-				}
-				if assert.NoError(t, err) && v.State != invocation.StateCompleted {
-					v = h.wait(v.ID)
+			requests.Go(func() {
+				request := newRequest(reserva, body)
+				request.IdempotencyKey = body
+				view, err := invokeOrSubmit(h, request, n%2 == 0)
+				if assert.NoError(t, err) && view.State != invocation.StateCompleted {
+					view = h.wait(view.ID)
 				}
-				assert.Equal(t, "booked", string(v.Result))
+				assert.Equal(t, "booked", string(view.Result))
 			})
 		}
-		work.Wait()
-		require.Equal(t, 1, w.CallCount(body))
+		requests.Wait()
+		require.Equal(t, 1, worker.CallCount(body))
 	}
-	_, err := h.desk.Submit(invocation.Request{Tenant: "a", IdempotencyKey: "slot 1", Function: "f", Fingerprint: []byte("other")})
+	other := invocation.Request{Tenant: "a", IdempotencyKey: "slot 1", Function: "f", Fingerprint: []byte("other")}
+	_, err := h.executor.Submit(other)
 	assert.ErrorIs(t, err, invocation.ErrKeyReused)
 }
 
-// A restart with tickets in every state; one function is gone from the catalogue, one ticket's time is over.
+func invokeOrSubmit(h *harness, request invocation.Request, invoke bool) (View, error) {
+	if invoke {
+		return h.executor.Invoke(context.Background(), request)
+	}
+	return h.executor.Submit(request)
+}
+
+// A restart finds invocations in every state; one function is no longer in the catalogue, one deadline has passed.
 func TestRestart(t *testing.T) {
-	w := fakes.NewWorker(t)
-	h := newHouse(t, fakes.NewCore(t, w))
-	booked, looked := h.defers(order("reserva", "r")), h.defers(order("consulta", "c"))
-	w.Next()
-	w.Next()
-	later := order("reserva", "later")
+	worker := fakes.NewWorker(t)
+	h := newHarness(t, fakes.NewCore(t, worker))
+	runningReserva := h.submit(newRequest(reserva, "r"))
+	runningConsulta := h.submit(newRequest(consulta, "c"))
+	worker.Next()
+	worker.Next()
+	later := newRequest(reserva, "later")
 	later.NotBefore = time.Now().Add(200 * time.Millisecond)
-	over, gone := later, later
-	over.NotBefore, over.Expires = time.Now().Add(time.Millisecond), time.Now().Add(2*time.Millisecond)
-	over.RunTimeout = time.Millisecond
-	gone.Function = "g"
-	waits, expires, withdrawn := h.defers(later), h.defers(over), h.defers(gone)
-	h.cat.gone["g"] = true
-	h.restart(fakes.NewCore(t, w))
-	v := h.wait(booked)
-	assert.Equal(t, []any{invocation.OutcomeFailed, true, true}, []any{v.Outcome, v.MayHaveRun, v.DeadLetter})
-	k := w.Next()
-	assert.Equal(t, "c", k.Body)
-	k.OK("free")
-	assert.Equal(t, invocation.OutcomeServed, h.wait(looked).Outcome)
-	w.Next().OK("booked")
-	assert.Equal(t, invocation.OutcomeServed, h.wait(waits).Outcome)
-	assert.Equal(t, invocation.OutcomeDeadlineExceeded, h.wait(expires).Outcome)
+	waiting := h.submit(later)
+	expiring := later
+	expiring.NotBefore = time.Now().Add(time.Millisecond)
+	expiring.Expires = time.Now().Add(2 * time.Millisecond)
+	expiring.RunTimeout = time.Millisecond
+	expired := h.submit(expiring)
+	removed := later
+	removed.Function = "g"
+	withdrawn := h.submit(removed)
+	h.catalogue.removed["g"] = true
+
+	h.restart(fakes.NewCore(t, worker))
+	view := h.wait(runningReserva)
+	assert.Equal(t, invocation.OutcomeFailed, view.Outcome)
+	assert.True(t, view.MayHaveRun)
+	assert.True(t, view.DeadLetter)
+	received := worker.Next()
+	assert.Equal(t, "c", received.Body)
+	received.OK("free")
+	assert.Equal(t, invocation.OutcomeServed, h.wait(runningConsulta).Outcome)
+	worker.Next().OK("booked")
+	assert.Equal(t, invocation.OutcomeServed, h.wait(waiting).Outcome)
+	assert.Equal(t, invocation.OutcomeDeadlineExceeded, h.wait(expired).Outcome)
 	assert.Equal(t, invocation.OutcomeFailed, h.wait(withdrawn).Outcome)
-	heir, err := h.desk.Redrive(booked, true, "looked it up: no such booking")
+
+	successor, err := h.executor.Redrive(runningReserva, true, "looked it up: no such booking")
 	require.NoError(t, err)
-	w.Next().OK("booked now")
-	assert.Equal(t, "booked now", string(h.wait(heir.ID).Result))
-	assert.Equal(t, invocation.OutcomeFailed, h.wait(booked).Outcome, "its own answer stays")
+	worker.Next().OK("booked now")
+	assert.Equal(t, "booked now", string(h.wait(successor.ID).Result))
+	assert.Equal(t, invocation.OutcomeFailed, h.wait(runningReserva).Outcome, "its own outcome stays")
 }
 
-// The machine's clock is set back by an hour between two runs, and later forward: a clock set back neither wakes
-// anything late nor ends it early; one set forward ends what would have ended by then, and nothing else.
-func TestClockThatJumpsBetweenRuns(t *testing.T) {
-	w := fakes.NewWorker(t)
-	h := newHouse(t, fakes.NewCore(t, w))
-	soon, minute, day := order("reserva", "soon"), order("reserva", "minute"), order("reserva", "day")
-	soon.NotBefore = time.Now().Add(300 * time.Millisecond)
-	minute.NotBefore = time.Now().Add(30 * time.Second)
-	day.NotBefore, day.Expires = time.Now().Add(2*time.Hour), time.Now().Add(24*time.Hour)
-	first, second, third := h.defers(soon), h.defers(minute), h.defers(day)
-	h.wall = -time.Hour
-	h.restart(fakes.NewCore(t, w))
-	w.Next().OK("booked")
+// The machine's clock is set back by an hour between two starts, and later forward. A clock set back neither delays nor
+// completes anything; one set forward completes what would have expired by then, and nothing else.
+func TestClockChangesBetweenStarts(t *testing.T) {
+	worker := fakes.NewWorker(t)
+	h := newHarness(t, fakes.NewCore(t, worker))
+	inMoments := newRequest(reserva, "soon")
+	inMoments.NotBefore = time.Now().Add(300 * time.Millisecond)
+	inHalfMinute := newRequest(reserva, "minute")
+	inHalfMinute.NotBefore = time.Now().Add(30 * time.Second)
+	inHours := newRequest(reserva, "day")
+	inHours.NotBefore = time.Now().Add(2 * time.Hour)
+	inHours.Expires = time.Now().Add(24 * time.Hour)
+	first := h.submit(inMoments)
+	second := h.submit(inHalfMinute)
+	third := h.submit(inHours)
+
+	h.clockOffset = -time.Hour
+	h.restart(fakes.NewCore(t, worker))
+	worker.Next().OK("booked")
 	assert.Equal(t, invocation.OutcomeServed, h.wait(first).Outcome, "in its time, not an hour later")
-	h.wall = time.Hour
-	h.restart(fakes.NewCore(t, w))
+	h.clockOffset = time.Hour
+	h.restart(fakes.NewCore(t, worker))
 	assert.Equal(t, invocation.OutcomeDeadlineExceeded, h.wait(second).Outcome)
-	h.wall = -time.Hour
-	h.restart(fakes.NewCore(t, w))
-	v, err := h.desk.Wait(cancelledContext, "a", third)
-	require.NoError(t, err)
-	assert.Equal(t, invocation.StateWaiting, v.State)
-	assert.Equal(t, invocation.OutcomeServed, h.wait(first).Outcome, "answers stay as they are")
+	h.clockOffset = -time.Hour
+	h.restart(fakes.NewCore(t, worker))
+	assert.Equal(t, invocation.StateWaiting, h.current(third).State)
+	assert.Equal(t, invocation.OutcomeServed, h.wait(first).Outcome, "outcomes stay as they are")
 }
