--- a/internal/invocation/executor/executor.go
+++ b/internal/invocation/executor/executor.go
@@ -1,9 +1,9 @@
 // Package executor accepts requests, has the dispatcher run them and keeps their outcomes. It decides nothing by
 // itself: package invocation rules what an invocation may do next, package schedule which one runs next.
 //
-// A synchronous call is submitted to the dispatcher at once and is stored only when something could otherwise be lost:
-// a call that is not idempotent just before its first byte is written to a worker, a call with an Idempotency-Key before
-// its outcome is told, and an idempotent call without a key never. A deferred call is stored when it is accepted.
+// A deferred call is stored when it is accepted. A synchronous one is submitted to the dispatcher at once and is stored
+// only when something could otherwise be lost: a call that is not idempotent just before its first byte is written to
+// a worker, a call with an Idempotency-Key before its outcome is told, and an idempotent call without a key never.
 package executor
 
 import (
@@ -71,7 +71,9 @@
 
 // New returns an executor that runs what the store holds, under the scheduler's settings. It starts with Recover. New
 // fails if the settings are invalid.
-func New(s *store.Store, core Core, catalogue Catalog, config schedule.Config, clock *monotonic.Clock) (*Executor, error) {
+func New(
+	s *store.Store, core Core, catalogue Catalog, config schedule.Config, clock *monotonic.Clock,
+) (*Executor, error) {
 	scheduler, err := schedule.New(config, mathrand.Uint64(), clock.Now())
 	if err != nil {
 		return nil, err
--- a/internal/invocation/store/create.go
+++ b/internal/invocation/store/create.go
@@ -9,8 +9,8 @@
 )
 
 // FindByKey returns the invocation that holds the Idempotency-Key of a request, or nil if the key is free. A rejection
-// promises that a retry does no harm, so the key is free again at its RetryAt. It fails with ErrKeyReused if the key was
-// used for another request.
+// promises that a retry does no harm, so the key is free again at its RetryAt. FindByKey fails with ErrKeyReused if the
+// key was used for another request.
 func (s *Store) FindByKey(request *invocation.Request, now time.Time) (existing *invocation.Invocation, err error) {
 	err = s.db.View(func(tx *durable.Tx) error {
 		existing, err = findByKey(tx, request, now)
