--- a/internal/invocation/transitions.go
+++ b/internal/invocation/transitions.go
@@ -24,9 +24,6 @@
 	return name
 }
 
-// Err returns the error with which the transition rejects its event, or nil if it accepts it.
-func (t *Transition) Err() error { return t.err }
-
 // Combinations of effects and updates that several transitions share.
 var (
 	completed             = effects(EffectPersist, EffectNotify)
