--- a/internal/invocation/executor/executor.go
+++ b/internal/invocation/executor/executor.go
@@ -86,7 +86,7 @@
 		foreground:   foregroundSet{byID: map[string]*foregroundInvocation{}},
 		reservations: keyReservations{byKey: map[string]*keyReservation{}},
 		waiters:      waiterSet{byID: map[string]*waiter{}},
-		runs:         runSet{byID: map[string]*run{}},
+		runs:         runSet{byID: map[string]*submission{}},
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.feeder = newFeeder(e, scheduler)
--- a/internal/invocation/executor/foreground.go
+++ b/internal/invocation/executor/foreground.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"kitefall/internal/call"
-	"kitefall/internal/dispatch"
 	"kitefall/internal/failpoint"
 	"kitefall/internal/invocation"
 )
@@ -23,13 +22,12 @@
 	tenant      string
 	reservation *keyReservation
 	completed   chan struct{} // closed once the outcome may be told
+	submission  submission
 
 	mu         sync.Mutex // held also while the store writes: the transitions come one after another
 	invocation *invocation.Invocation
 	stored     bool
 	result     []byte
-	handle     *dispatch.Handle // nil until the dispatcher has accepted the call
-	cancelled  bool
 	err        error // the call did not run and could not be stored
 }
 
@@ -81,23 +79,6 @@
 	return fg.stored
 }
 
-// setHandle sets the dispatcher's handle and reports whether the call was cancelled before.
-func (fg *foregroundInvocation) setHandle(handle *dispatch.Handle) (cancelled bool) {
-	fg.mu.Lock()
-	defer fg.mu.Unlock()
-	fg.handle = handle
-	return fg.cancelled
-}
-
-// markCancelled marks the call as cancelled and returns its handle, which is nil if the call is still on its way to the
-// dispatcher.
-func (fg *foregroundInvocation) markCancelled() *dispatch.Handle {
-	fg.mu.Lock()
-	defer fg.mu.Unlock()
-	fg.cancelled = true
-	return fg.handle
-}
-
 // setInvocation replaces the invocation together with its result, with fg locked: a reader between the two would see a
 // served call without a result.
 func (fg *foregroundInvocation) setInvocation(inv *invocation.Invocation, result []byte) {
@@ -195,7 +176,7 @@
 	if err != nil {
 		return View{}, err
 	}
-	if handle := fg.markCancelled(); handle != nil {
+	if handle := fg.submission.markCancelled(); handle != nil {
 		handle.Cancel()
 	}
 	e.releaseForeground(fg)
--- a/internal/invocation/executor/invoke.go
+++ b/internal/invocation/executor/invoke.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		coreCall.Done(call.Answer{Outcome: call.Rejected})
 	}
-	cancelled := fg.setHandle(handle)
+	cancelled := fg.submission.setHandle(handle)
 	if cancelled && handle != nil {
 		handle.Cancel()
 	}
--- a/internal/invocation/executor/run.go
+++ b/internal/invocation/executor/run.go
@@ -89,13 +89,13 @@
 		// The dispatcher's goroutine must not wait for the disk.
 		e.goroutines.Go(func() { e.completeRun(inv, answer) })
 	}
-	r := e.runs.add(inv.ID)
+	run := e.runs.add(inv.ID)
 	handle, err := e.core.Submit(request)
 	if err != nil {
 		request.Done(call.Answer{Outcome: call.Rejected})
 		return
 	}
-	if cancelled := e.runs.setHandle(r, handle); cancelled {
+	if cancelled := run.setHandle(handle); cancelled {
 		e.abandonRun(inv.ID, handle)
 	}
 }
@@ -119,7 +119,11 @@
 // cancelRun cancels the run in progress of an invocation that has completed. If its call is still on its way to the
 // dispatcher, submitRun cancels it.
 func (e *Executor) cancelRun(id string) {
-	if handle := e.runs.markCancelled(id); handle != nil {
+	run := e.runs.get(id)
+	if run == nil {
+		return
+	}
+	if handle := run.markCancelled(); handle != nil {
 		e.abandonRun(id, handle)
 	}
 }
--- /dev/null
+++ b/internal/invocation/executor/submission.go
@@ -0,0 +1,32 @@
+package executor
+
+import (
+	"sync"
+
+	"kitefall/internal/dispatch"
+)
+
+// submission is a call that is submitted to the dispatcher and may be cancelled before the dispatcher has returned its
+// handle. Whichever comes second, setHandle or markCancelled, learns of the other: its caller cancels the handle.
+type submission struct {
+	mu        sync.Mutex
+	handle    *dispatch.Handle
+	cancelled bool
+}
+
+// setHandle sets the dispatcher's handle and reports whether the call was cancelled before.
+func (s *submission) setHandle(handle *dispatch.Handle) (cancelled bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.handle = handle
+	return s.cancelled
+}
+
+// markCancelled marks the call as cancelled and returns its handle, which is nil if the dispatcher has not returned it
+// yet.
+func (s *submission) markCancelled() *dispatch.Handle {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cancelled = true
+	return s.handle
+}
