--- a/internal/invocation/store/migrate.go
+++ b/internal/invocation/store/migrate.go
@@ -65,13 +65,22 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(os.Rename(m.path, m.original), os.Rename(m.converted, m.path)); err != nil {
+	if err := m.replaceOriginal(); err != nil {
 		return err
 	}
 	slog.Info("tickets: migrated from the first format", "tickets", migrated, "old", m.original)
 	return nil
 }
 
+// replaceOriginal gives the new file the store's name. The original is moved away first: were that to fail, the second
+// rename would overwrite it.
+func (m *migration) replaceOriginal() error {
+	if err := os.Rename(m.path, m.original); err != nil {
+		return err
+	}
+	return os.Rename(m.converted, m.path)
+}
+
 func (m *migration) removeTemporary() {
 	for _, file := range append(durable.Files(m.temporary), durable.LogDir(m.temporary)) {
 		os.Remove(file)
--- a/internal/invocation/store/migrate_test.go
+++ b/internal/invocation/store/migrate_test.go
@@ -87,3 +87,22 @@
 	assert.NoError(t, err)
 	require.NoError(t, s.Close())
 }
+
+// Where the original cannot be moved away, the migration fails and leaves it in place.
+func TestMigrationDoesNotOverwriteTheOriginal(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "tickets.db")
+	writeV1Store(t, path)
+	original, err := os.ReadFile(path)
+	require.NoError(t, err)
+	m := &migration{
+		path:         path,
+		original:     filepath.Join(path+".missing", "tickets.db.v1"), // in a folder that does not exist
+		converted:    path + ".v2",
+		temporary:    path + ".migrating",
+		lockDeadline: time.Now().Add(time.Second),
+	}
+	require.ErrorIs(t, m.run(), os.ErrNotExist)
+	kept, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, original, kept)
+}
