--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -7,7 +7,7 @@
 )
 
 // orders calls do with each order of the numbers below n.
-func orders(n int, do func([]int)) {
+func permutations(n int, do func([]int)) {
 	var next func(taken []int)
 	next = func(taken []int) {
 		if len(taken) == n {
@@ -38,52 +38,52 @@
 				if rationed && status != Miss && status != Rejected { // else it orders nothing
 					continue
 				}
-				orders(6, func(order []int) {
+				permutations(6, func(order []int) {
 					s := testSettings()
-					s.MinEventInterval = sweepEvery // the module looks no oftener
+					s.MinEventInterval = sweepInterval // the module looks no oftener
 					if rationed {
 						s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 2, 0.15
 					}
 					f := newFleet(t, s, 1)
-					f.list(3)
-					f.served("safe", "fn")
+					f.listWorkers(3)
+					f.serve("safe", "fn")
 					id := f.request(class, "fn", 300*ms)
 					if len(f.open[id].sends) == 0 {
-						f.answerOrders(OK)
+						f.endLoads(OK)
 					}
 					if len(f.open[id].sends) == 0 {
 						t.Fatalf("%s is held", class)
 					}
-					w := f.workers[f.open[id].sends[0].w]
+					w := f.workers[f.open[id].sends[0].worker]
 					gone := false
 					for _, step := range order {
 						f.log = append(f.log, fmt.Sprint("step ", step, " of ", order))
 						switch step {
 						case 0:
 							if f.open[id].sends[0].pending {
-								f.outcome(id, 0, status)
+								f.endAttemptNow(id, 0, status)
 							}
 						case 1:
 							w.State = Draining
-							f.change(ScopeDelta, w)
+							f.update(ScopeDelta, w)
 						case 2:
 							w.State, w.Started = Ready, f.now+ms
-							f.change(ScopeDelta, w)
+							f.update(ScopeDelta, w)
 						case 3:
-							f.answerOrders(OK)
+							f.endLoads(OK)
 						case 4:
 							if !f.open[id].answered {
 								gone, f.open[id].answered = true, true
 								f.event(ClientGoneEvent{ID: id})
 							}
 						case 5:
-							f.to(f.now + 3*sweepEvery)
+							f.advance(f.now + 3*sweepInterval)
 						}
 					}
 					if r := f.b.requests[id]; gone && r != nil && !r.closed {
 						t.Fatalf("%s, %v, %v: open after its client has left", class, status, order)
 					}
-					f.to(f.now + 350*ms)
+					f.advance(f.now + 350*ms)
 					if !f.open[id].answered {
 						t.Fatalf("%s, %v, %v: never answered", class, status, order)
 					}
@@ -97,34 +97,34 @@
 // and what is missing everywhere at once is loaded at a pace, though no ration holds it back.
 func TestReleaseOnAQuietDayIsNoRush(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(6)
+	f.listWorkers(6)
 	const functions = 40
 	name := func(i int) string { return fmt.Sprintf("fn%d", i) }
 	for i := range functions {
-		f.served("safe", name(i))
+		f.serve("safe", name(i))
 	}
 	twice := f.b.functions["fn0"]
-	for _, w := range f.b.list { // it is believed to stand everywhere
-		p := twice.where(w)
-		p.copies, p.until = 1, f.now+f.b.trust()
+	for _, w := range f.b.ready { // it is believed to stand everywhere
+		p := twice.placement(w)
+		p.copies, p.loadedUntil = 1, f.now+f.b.loadedTrust()
 	}
 	f.loads = nil
 	for i := range functions {
 		id := f.request("safe", name(i), 2*time.Second)
 		for n := 0; n < len(f.open[id].sends); n++ {
 			if f.open[id].sends[n].pending {
-				f.outcome(id, n, Miss)
+				f.endAttemptNow(id, n, Miss)
 			}
 		}
 		if i == 0 {
-			for _, p := range twice.at {
-				if f.b.stands(p) {
-					t.Errorf("a copy at %s is still believed in", p.w.ID)
+			for _, p := range twice.placements {
+				if f.b.isLoaded(p) {
+					t.Errorf("a copy at %s is still believed in", p.worker.ID)
 				}
 			}
 		}
 	}
-	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.window+1 { // one more while fewer are out
-		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.window)
+	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.loadWindow+1 { // one more while fewer are out
+		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.loadWindow)
 	}
 }
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -28,64 +28,64 @@
 }
 
 // fleet plays the other side for one balancer and checks every action against the rules.
-type fleet struct {
-	t        testing.TB
-	b        *Balancer
-	set      Settings
-	now      time.Duration
-	state    map[WorkerID]WorkerState
-	workers  map[WorkerID]Worker
-	open     map[RequestID]*tried
-	orders   []Load
-	ordered  []time.Duration
-	taken    []time.Duration
-	wakes    []SetTimer
-	wakeAt   []time.Duration
-	log      []string
-	sent     []Send
-	loads    []Load
-	refused  map[RequestID]bool
-	failed   map[RequestID]bool
-	lastID   RequestID
-	sentTo   map[WorkerID]int
-	canceled int
+type testFleet struct {
+	t            testing.TB
+	b            *Balancer
+	settings     Settings
+	now          time.Duration
+	state        map[WorkerID]WorkerState
+	workers      map[WorkerID]Worker
+	open         map[RequestID]*testRequest
+	pendingLoads []Load
+	orderedAt    []time.Duration
+	arrivedAt    []time.Duration
+	timers       []SetTimer
+	timerDue     []time.Duration
+	log          []string
+	sent         []Send
+	loads        []Load
+	rejected     map[RequestID]bool
+	failed       map[RequestID]bool
+	lastID       RequestID
+	sentTo       map[WorkerID]int
+	cancelled    int
 }
 
-type tried struct {
+type testRequest struct {
 	class    Class
 	deadline time.Duration
-	sends    []*sendState
+	sends    []*sentAttempt
 	answered bool
 }
 
-type sendState struct {
-	w              WorkerID
-	at, due        time.Duration
-	pending, maybe bool
+type sentAttempt struct {
+	worker              WorkerID
+	sentAt, due         time.Duration
+	pending, mayHaveRun bool
 }
 
-func newFleet(t testing.TB, s Settings, seed uint64) *fleet {
+func newFleet(t testing.TB, s Settings, seed uint64) *testFleet {
 	t.Helper()
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &fleet{t: t, b: b, set: s, state: map[WorkerID]WorkerState{}, workers: map[WorkerID]Worker{},
-		open: map[RequestID]*tried{}, refused: map[RequestID]bool{}, failed: map[RequestID]bool{},
+	return &testFleet{t: t, b: b, settings: s, state: map[WorkerID]WorkerState{}, workers: map[WorkerID]Worker{},
+		open: map[RequestID]*testRequest{}, rejected: map[RequestID]bool{}, failed: map[RequestID]bool{},
 		sentTo: map[WorkerID]int{}}
 }
 
 // list tells of n ready workers, two cells, two zones.
-func (f *fleet) list(n int) {
+func (f *testFleet) listWorkers(n int) {
 	var list []Worker
 	for i := range n {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%2), Cell: i % 2,
 			Weight: 1})
 	}
-	f.change(ScopeFull, list...)
+	f.update(ScopeFull, list...)
 }
 
-func (f *fleet) change(scope UpdateScope, list ...Worker) {
+func (f *testFleet) update(scope UpdateScope, list ...Worker) {
 	if scope == ScopeFull {
 		clear(f.state)
 	}
@@ -96,28 +96,28 @@
 	f.event(EndpointsEvent{Scope: scope, Workers: list})
 }
 
-func (f *fleet) request(class, function string, left time.Duration) RequestID {
+func (f *testFleet) request(class, function string, left time.Duration) RequestID {
 	f.lastID++
-	for _, c := range f.set.Classes {
+	for _, c := range f.settings.Classes {
 		if c.Name == class {
-			f.open[f.lastID] = &tried{class: c, deadline: f.now + left}
+			f.open[f.lastID] = &testRequest{class: c, deadline: f.now + left}
 		}
 	}
-	f.taken = append(f.taken, f.now)
+	f.arrivedAt = append(f.arrivedAt, f.now)
 	f.event(RequestEvent{ID: f.lastID, Class: class, Function: FunctionID(function), TimeLeft: left, Concurrency: 1,
 		LoadTime: 300 * ms})
 	return f.lastID
 }
 
-func (f *fleet) event(e Event) {
+func (f *testFleet) event(e Event) {
 	f.log = append(f.log, fmt.Sprintf("%d %T%+v", f.now, e, e))
 	for _, a := range f.b.Handle(f.now, e) {
 		f.log = append(f.log, fmt.Sprintf("%d -> %T%+v", f.now, a, a))
-		f.check(a)
+		f.checkAction(a)
 	}
 }
 
-func (f *fleet) check(action Action) {
+func (f *testFleet) checkAction(action Action) {
 	f.t.Helper()
 	switch a := action.(type) {
 	case Send:
@@ -131,22 +131,22 @@
 		if _, known := f.state[a.Worker]; !known {
 			f.t.Fatalf("rule 3: send to %s, which is not listed", a.Worker)
 		}
-		if len(r.sends) >= f.set.MaxAttempts {
+		if len(r.sends) >= f.settings.MaxAttempts {
 			f.t.Fatalf("more attempts than allowed for %d", a.ID)
 		}
 		for _, s := range r.sends {
-			if s.pending && !f.set.Hedging {
+			if s.pending && !f.settings.Hedging {
 				f.t.Fatalf("rule 2: two attempts of %d at a time", a.ID)
 			}
-			if !s.pending && !s.maybe {
+			if !s.pending && !s.mayHaveRun {
 				continue
 			}
 			switch r.class.Idempotency {
 			case NotIdempotent:
 				f.t.Fatalf("rule 2: unsafe %d sent again", a.ID)
 			case IdempotentWithKey:
-				x, y := f.workers[s.w], f.workers[a.Worker]
-				if f.now-s.at >= r.class.DedupWindow {
+				x, y := f.workers[s.worker], f.workers[a.Worker]
+				if f.now-s.sentAt >= r.class.DedupWindow {
 					f.t.Fatalf("rule 2: keyed %d sent again after its window", a.ID)
 				}
 				if r.class.DedupScope == DedupCell && x.Cell != y.Cell || r.class.DedupScope == DedupZone && x.Zone != y.Zone {
@@ -158,7 +158,7 @@
 		if a.Timeout > 0 {
 			due = min(due, f.now+a.Timeout)
 		}
-		r.sends = append(r.sends, &sendState{w: a.Worker, at: f.now, due: due, pending: true})
+		r.sends = append(r.sends, &sentAttempt{worker: a.Worker, sentAt: f.now, due: due, pending: true})
 		f.sent = append(f.sent, a)
 		f.sentTo[a.Worker]++
 	case Reject, Fail:
@@ -173,14 +173,14 @@
 			f.t.Fatalf("rule 1: second final answer for %d", id)
 		}
 		r.answered = true
-		if f.now > r.deadline+f.set.AnswerGrace {
+		if f.now > r.deadline+f.settings.AnswerGrace {
 			f.t.Fatalf("rule 1: answer to %d after its deadline", id)
 		}
 		if refused {
-			f.refused[id] = true
+			f.rejected[id] = true
 			for _, s := range r.sends {
 				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet
-				if (s.pending || s.maybe) && !harmless {
+				if (s.pending || s.mayHaveRun) && !harmless {
 					f.t.Fatalf("rule 2: %d refused though it may have run", id)
 				}
 			}
@@ -192,68 +192,68 @@
 			if f.state[a.Worker] != Ready {
 				f.t.Fatalf("rule 3: load at %s, which drains or is gone", a.Worker)
 			}
-			if f.set.LoadWindow > 0 {
-				f.ordered = append(f.ordered, f.now)
+			if f.settings.LoadWindow > 0 {
+				f.orderedAt = append(f.orderedAt, f.now)
 				count := func(times []time.Duration) (n int) {
 					for _, t := range times {
-						if t > f.now-f.set.LoadWindow {
+						if t > f.now-f.settings.LoadWindow {
 							n++
 						}
 					}
 					return n
 				}
-				if float64(count(f.ordered)) > f.set.LoadBurst+f.set.LoadRatio*float64(count(f.taken)) {
+				if float64(count(f.orderedAt)) > f.settings.LoadBurst+f.settings.LoadRatio*float64(count(f.arrivedAt)) {
 					f.t.Fatal("rule 5: more orders than the ration")
 				}
 			}
 		}
-		if !f.set.LoadOrders || a.Function == "" {
+		if !f.settings.LoadOrders || a.Function == "" {
 			f.t.Fatal("order that is not allowed")
 		}
-		f.orders = append(f.orders, a)
+		f.pendingLoads = append(f.pendingLoads, a)
 		f.loads = append(f.loads, a)
 	case Cancel:
-		if r := f.open[a.ID]; !f.set.CanCancel || r == nil || a.Attempt >= len(r.sends) {
+		if r := f.open[a.ID]; !f.settings.CanCancel || r == nil || a.Attempt >= len(r.sends) {
 			f.t.Fatal("cancel of what was never sent, or not allowed")
 		}
-		f.canceled++
+		f.cancelled++
 	case SetTimer:
-		f.wakes = append(f.wakes, a)
-		f.wakeAt = append(f.wakeAt, f.now+a.After)
+		f.timers = append(f.timers, a)
+		f.timerDue = append(f.timerDue, f.now+a.After)
 	}
 }
 
 // outcome ends an attempt.
-func (f *fleet) outcome(id RequestID, n int, status Status) {
+func (f *testFleet) endAttemptNow(id RequestID, n int, status Status) {
 	r := f.open[id]
 	s := r.sends[n]
 	s.pending = false
-	s.maybe = status != Rejected && status != Miss && status != ConnectFailed && status != NotSent
+	s.mayHaveRun = status != Rejected && status != Miss && status != ConnectFailed && status != NotSent
 	if status == OK {
 		r.answered = true
 	}
-	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.w, Status: status, Elapsed: f.now - s.at, Answered: r.answered})
+	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.worker, Status: status, Elapsed: f.now - s.sentAt, Answered: r.answered})
 }
 
 // answerOrders lets all pending orders stand.
-func (f *fleet) answerOrders(status Status) {
-	pending := f.orders
-	f.orders = nil
+func (f *testFleet) endLoads(status Status) {
+	pending := f.pendingLoads
+	f.pendingLoads = nil
 	for _, l := range pending {
 		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Status: status, Elapsed: 200 * ms, Copies: l.Copies})
 	}
 }
 
 // to moves the clock, step by step, with timers and time-outs.
-func (f *fleet) to(now time.Duration) {
+func (f *testFleet) advance(now time.Duration) {
 	for f.now < now {
-		f.now = min(now, f.now+f.set.MinEventInterval)
+		f.now = min(now, f.now+f.settings.MinEventInterval)
 		var due []SetTimer
-		for i := 0; i < len(f.wakes); {
-			if f.wakeAt[i] <= f.now {
-				due = append(due, f.wakes[i])
-				f.wakes = append(f.wakes[:i], f.wakes[i+1:]...)
-				f.wakeAt = append(f.wakeAt[:i], f.wakeAt[i+1:]...)
+		for i := 0; i < len(f.timers); {
+			if f.timerDue[i] <= f.now {
+				due = append(due, f.timers[i])
+				f.timers = append(f.timers[:i], f.timers[i+1:]...)
+				f.timerDue = append(f.timerDue[:i], f.timerDue[i+1:]...)
 				continue
 			}
 			i++
@@ -261,21 +261,21 @@
 		for _, w := range due {
 			f.event(TimerEvent{TimerID: w.TimerID})
 		}
-		for _, id := range f.ids() {
+		for _, id := range f.requestIDs() {
 			r := f.open[id]
 			for n, s := range r.sends {
 				if s.pending && s.due <= f.now {
-					f.outcome(id, n, TimedOut)
+					f.endAttemptNow(id, n, TimedOut)
 				}
 			}
-			if !r.answered && f.now > r.deadline+f.set.AnswerGrace {
+			if !r.answered && f.now > r.deadline+f.settings.AnswerGrace {
 				f.t.Fatalf("rule 1: no answer to %d in time", id)
 			}
 		}
 	}
 }
 
-func (f *fleet) ids() []RequestID {
+func (f *testFleet) requestIDs() []RequestID {
 	var ids []RequestID
 	for id := range f.open {
 		ids = append(ids, id)
@@ -285,7 +285,7 @@
 }
 
 // wild plays random legal events and returns all that happened.
-func wild(t testing.TB, seed uint64) []string {
+func playRandomEvents(t testing.TB, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := testSettings()
 	coin := func() bool { return rng.IntN(2) == 0 }
@@ -301,33 +301,33 @@
 		s.Tenants = []Tenant{{Name: "a", Quota: 0.5, RateQuota: 5}}
 	}
 	f := newFleet(t, s, seed)
-	f.list(6)
+	f.listWorkers(6)
 	statuses := []Status{OK, OK, OK, OK, OK, Miss, Rejected, Failed, Reset, ConnectFailed, NotSent}
 	for range 1500 {
-		f.to(f.now + time.Duration(rng.IntN(8))*ms)
+		f.advance(f.now + time.Duration(rng.IntN(8))*ms)
 		switch k := rng.IntN(20); {
 		case k < 8:
-			class := f.set.Classes[rng.IntN(3)].Name
+			class := f.settings.Classes[rng.IntN(3)].Name
 			f.request(class, fmt.Sprintf("f%d", rng.IntN(12)), time.Duration(5+rng.IntN(1500))*ms)
 		case k < 14:
-			for _, id := range f.ids() {
+			for _, id := range f.requestIDs() {
 				for n, a := range f.open[id].sends {
 					if a.pending && rng.IntN(4) == 0 {
-						f.outcome(id, n, statuses[rng.IntN(len(statuses))])
+						f.endAttemptNow(id, n, statuses[rng.IntN(len(statuses))])
 					}
 				}
 			}
 		case k < 16:
-			f.answerOrders([]Status{OK, OK, OK, Rejected, Failed, TimedOut, Reset}[rng.IntN(7)])
+			f.endLoads([]Status{OK, OK, OK, Rejected, Failed, TimedOut, Reset}[rng.IntN(7)])
 		case k == 16:
 			w := f.workers[WorkerID(fmt.Sprintf("w%02d", rng.IntN(6)))]
 			w.State = WorkerState(rng.IntN(3))
 			if w.State == Ready && coin() {
 				w.Started = f.now
 			}
-			f.change(ScopeDelta, w)
+			f.update(ScopeDelta, w)
 		case k == 17:
-			if ids := f.ids(); len(ids) > 0 {
+			if ids := f.requestIDs(); len(ids) > 0 {
 				id := ids[rng.IntN(len(ids))]
 				f.open[id].answered = true
 				f.event(ClientGoneEvent{ID: id})
@@ -338,22 +338,22 @@
 			f.event(TimerEvent{TimerID: int64(rng.IntN(5000))})
 			f.event(StreamStartedEvent{ID: 1 << 40})
 		case k == 19 && rng.IntN(10) == 0:
-			f.change(ScopeFull)
+			f.update(ScopeFull)
 			f.event(EndpointsEvent{Scope: ScopeFailed})
 		case k == 19 && len(f.state) < 3:
-			f.list(6)
+			f.listWorkers(6)
 		}
 		for id, r := range f.open {
-			if r.answered && !pendingAny(r) {
+			if r.answered && !anyPending(r) {
 				delete(f.open, id)
 			}
 		}
 	}
-	f.to(f.now + 4*time.Second)
+	f.advance(f.now + 4*time.Second)
 	return f.log
 }
 
-func pendingAny(r *tried) bool {
+func anyPending(r *testRequest) bool {
 	for _, s := range r.sends {
 		if s.pending {
 			return true
@@ -364,13 +364,13 @@
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range uint64(60) {
-		wild(t, seed)
+		playRandomEvents(t, seed)
 	}
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(10) {
-		a, b := wild(t, seed), wild(t, seed)
+		a, b := playRandomEvents(t, seed), playRandomEvents(t, seed)
 		if len(a) != len(b) {
 			t.Fatalf("seed %d: %d and %d entries", seed, len(a), len(b))
 		}
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	slowOver    = 2.0                    // a worker is slow if its answers take this multiple of their due
-	slowPrior   = 1.5                    // ... where this many usual answers speak for it
-	slowSpan    = 3 * time.Second        // ... and its own are forgotten with this time constant
-	silentAfter = 10.0                   // a worker is silent after this many mean answer times
-	darkAfter   = 5.0                    // a zone is, whose workers together owe answers for this many ...
-	darkEach    = 2.0                    // ... of which one attempt counts for so many: any may be long
-	trialMost   = 8 * time.Second        // longest time between two trials of a silent worker
-	badOver     = 0.3                    // a worker that fails this much more of a class than the fleet is bad
-	badLeast    = 0.01                   // ... which is taken to fail this part at the least
-	badOther    = 0.5                    // a failure says this much of the other classes ...
-	badRecent   = time.Second            // ... unless the worker has answered them in this time
-	badBreak    = 0.2                    // a connection that breaks says this much: any peer may cut it
-	badUnsafe   = 0.5                    // calls that may not be repeated go elsewhere at this part of the limit
-	turnedMost  = 4                      // so many calls of a class turned away in a row shut a worker to it ...
-	turnedRest  = 250 * time.Millisecond // ... for this long, and twice as long each time
-	panicShare  = 0.5                    // when more of the fleet is suspect than this, suspicion is ignored
+	latencyOutlierRatio   = 2.0                    // a worker is slow if its answers take this multiple of their due
+	latencyPrior          = 1.5                    // ... where this many usual answers speak for it
+	latencyDecay          = 3 * time.Second        // ... and its own are forgotten with this time constant
+	silenceFactor         = 10.0                   // a worker is silent after this many mean answer times
+	zoneUnreachableFactor = 5.0                    // a zone is, whose workers together owe answers for this many ...
+	maxZoneAttemptFactor  = 2.0                    // ... of which one attempt counts for so many: any may be long
+	maxProbeBackoff       = 8 * time.Second        // longest time between two trials of a silent worker
+	failureExcess         = 0.3                    // a worker that fails this much more of a class than the fleet is bad
+	minFailureRate        = 0.01                   // ... which is taken to fail this part at the least
+	otherClassShare       = 0.5                    // a failure says this much of the other classes ...
+	recentAnswer          = time.Second            // ... unless the worker has answered them in this time
+	resetSeverity         = 0.2                    // a connection that breaks says this much: any peer may cut it
+	notIdempotentLimit    = 0.5                    // calls that may not be repeated go elsewhere at this part of the limit
+	maxRejectedInARow     = 4                      // so many calls of a class turned away in a row shut a worker to it ...
+	minClassEjection      = 250 * time.Millisecond // ... for this long, and twice as long each time
+	failOpenShare         = 0.5                    // when more of the fleet is suspect than this, suspicion is ignored
 )
 
 // slow is how long a worker's answers take against what they should, by the work of the calls: a home answers
 // its own functions only, so that their usual times say nothing. Attempts still out count once overdue.
-func (b *Balancer) slow(w *worker) float64 {
-	took, usual := slowPrior*b.answer, slowPrior*b.answer
-	took += w.took.add(b.now, 0, slowSpan)
-	usual += w.usual.add(b.now, 0, slowSpan)
-	for _, a := range w.out {
-		if age := (b.now - a.at).Seconds(); age > a.usual {
-			took, usual = took+age, usual+a.usual
+func (b *Balancer) latencyRatio(w *worker) float64 {
+	took, usual := latencyPrior*b.meanAnswer, latencyPrior*b.meanAnswer
+	took += w.answerTime.add(b.now, 0, latencyDecay)
+	usual += w.expectedTime.add(b.now, 0, latencyDecay)
+	for _, a := range w.outstanding {
+		if age := (b.now - a.sentAt).Seconds(); age > a.expected {
+			took, usual = took+age, usual+a.expected
 		}
 	}
-	if b.answer == 0 { // nothing to compare with yet
+	if b.meanAnswer == 0 { // nothing to compare with yet
 		return 1
 	}
 	return took / usual
@@ -45,106 +45,106 @@
 
 // judge takes the end of an attempt into the test of its worker: Page's cumulated sum of log likelihood
 // ratios, of a worker that fails badOver more of the class than the fleet against one that fails as much.
-func (b *Balancer) judge(w *worker, class string, bad float64) {
-	usual, limit := math.Max(b.bad[class], badLeast), b.badLimit()
-	high := math.Min(usual+badOver, 1-badLeast)
+func (b *Balancer) recordResult(w *worker, class string, bad float64) {
+	usual, limit := math.Max(b.failureRate[class], minFailureRate), b.failureScoreLimit()
+	high := math.Min(usual+failureExcess, 1-minFailureRate)
 	for c := range b.classes {
-		if c != class && bad > 0 && (w.good[c] == 0 || b.now-w.good[c] > badRecent) { // else it takes that one
-			w.bad[c] = math.Min(w.bad[c], limit) + badOther*bad*math.Log(high/usual)
+		if c != class && bad > 0 && (w.lastOK[c] == 0 || b.now-w.lastOK[c] > recentAnswer) { // else it takes that one
+			w.failureScore[c] = math.Min(w.failureScore[c], limit) + otherClassShare*bad*math.Log(high/usual)
 		}
 	}
-	if w.bad[class] <= limit { // the fleet's own rate is that of the others
-		b.bad[class] += (bad - b.bad[class]) * smooth / 10
+	if w.failureScore[class] <= limit { // the fleet's own rate is that of the others
+		b.failureRate[class] += (bad - b.failureRate[class]) * smoothing / 10
 	}
-	w.bad[class] = math.Max(0, math.Min(w.bad[class], limit)+bad*math.Log(high/usual)+
+	w.failureScore[class] = math.Max(0, math.Min(w.failureScore[class], limit)+bad*math.Log(high/usual)+
 		(1-bad)*math.Log((1-high)/(1-usual)))
 }
 
 // badLimit is the sum above which a worker counts as bad: with more calls to judge by, chance alone brings
 // more failures in a row, and one failure in few calls must do.
-func (b *Balancer) badLimit() float64 { return 1.5 + math.Log(1+b.share) }
+func (b *Balancer) failureScoreLimit() float64 { return 1.5 + math.Log(1+b.callsPerWorker) }
 
 // shutFor keeps a class off a worker that turns it away, till the next trial of one request.
-func (b *Balancer) shutFor(w *worker, class string) {
-	w.shut[class] = b.now + min(turnedRest<<min(w.turned[class]-turnedMost, 5), trialMost/4)
+func (b *Balancer) ejectClass(w *worker, class string) {
+	w.ejectedUntil[class] = b.now + min(minClassEjection<<min(w.rejectedInARow[class]-maxRejectedInARow, 5), maxProbeBackoff/4)
 }
 
 // heard notes word from a worker. It tells of its zone as well: that one can be reached.
-func (b *Balancer) heard(w *worker) {
-	w.heard = b.now
-	*w.zone = zone{heard: b.now}
+func (b *Balancer) markReachable(w *worker) {
+	w.lastHeard = b.now
+	*w.zone = zone{lastHeard: b.now}
 }
 
-func (b *Balancer) alive(w *worker) {
-	b.heard(w)
-	w.suspect, w.backoff = false, 0
+func (b *Balancer) markHealthy(w *worker) {
+	b.markReachable(w)
+	w.ejected, w.probeBackoff = false, 0
 }
 
 // silent tells that a worker is out of turn: it is suspect, or all of its zone keep silent.
-func (b *Balancer) silent(w *worker) bool { return w.suspect || w.zone.dark }
+func (b *Balancer) unavailable(w *worker) bool { return w.ejected || w.zone.unreachable }
 
 // broken notes that a connection to a worker broke, and tells whether that is news: one break ends all that
 // was open there. A break alone says little, any peer may spoil an answer or cut a connection. A process that
 // has died refuses the next one, and a worker is suspect that breaks again before it has answered.
-func (b *Balancer) broken(w *worker) bool {
-	if b.now-w.broke < sweepEvery && w.broke > 0 {
+func (b *Balancer) onReset(w *worker) bool {
+	if b.now-w.lastReset < sweepInterval && w.lastReset > 0 {
 		return false
 	}
-	if w.broke > w.heard {
-		b.suspect(w)
+	if w.lastReset > w.lastHeard {
+		b.eject(w)
 	}
-	w.broke = b.now
+	w.lastReset = b.now
 	return true
 }
 
 // suspect takes a worker out of turn until it answers a trial.
-func (b *Balancer) suspect(w *worker) {
-	if !w.suspect {
-		w.suspect = true
-		w.backoff = sec(silentAfter * b.answer)
-		w.trialAt = b.now + w.backoff
+func (b *Balancer) eject(w *worker) {
+	if !w.ejected {
+		w.ejected = true
+		w.probeBackoff = seconds(silenceFactor * b.meanAnswer)
+		w.probeAt = b.now + w.probeBackoff
 	}
 }
 
 // trial puts off the next trial of a suspect worker, twice as long each time.
-func (b *Balancer) trial(w *worker) {
-	w.backoff = min(2*w.backoff, trialMost)
-	w.trialAt = b.now + w.backoff
-	if z := w.zone; z.dark {
-		z.backoff = min(2*z.backoff, trialMost)
-		z.trialAt = b.now + z.backoff
+func (b *Balancer) postponeProbe(w *worker) {
+	w.probeBackoff = min(2*w.probeBackoff, maxProbeBackoff)
+	w.probeAt = b.now + w.probeBackoff
+	if z := w.zone; z.unreachable {
+		z.probeBackoff = min(2*z.probeBackoff, maxProbeBackoff)
+		z.probeAt = b.now + z.probeBackoff
 	}
 }
 
 // lookAfter takes stock of the workers: mean load, silence, and whether most are suspect.
-func (b *Balancer) lookAfter() {
-	silent, suspects := sec(silentAfter*b.answer), 0
-	b.mean = 0
+func (b *Balancer) checkWorkers() {
+	silent, suspects := seconds(silenceFactor*b.meanAnswer), 0
+	b.meanLoad = 0
 	for _, z := range b.zones {
-		z.owed = z.lost
+		z.outstandingTime = z.lostTime
 	}
-	for _, w := range b.list {
+	for _, w := range b.ready {
 		z := w.zone
-		b.mean += b.load(w) / float64(len(b.list))
-		if len(w.out) > 0 && b.answer > 0 {
-			if b.now-max(w.out[0].at, w.heard) > silent {
-				b.suspect(w)
+		b.meanLoad += b.load(w) / float64(len(b.ready))
+		if len(w.outstanding) > 0 && b.meanAnswer > 0 {
+			if b.now-max(w.outstanding[0].sentAt, w.lastHeard) > silent {
+				b.eject(w)
 			}
-			z.owed += b.owed(z, b.now-w.out[0].at)
+			z.outstandingTime += b.unansweredTime(z, b.now-w.outstanding[0].sentAt)
 		}
 		// A zone is lost as a whole: few calls to many workers would find out each of them alone, and late.
-		if !z.dark && b.answer > 0 && z.owed > sec(darkAfter*b.answer) {
-			z.dark, z.backoff = true, silent
-			z.trialAt = b.now + silent
+		if !z.unreachable && b.meanAnswer > 0 && z.outstandingTime > seconds(zoneUnreachableFactor*b.meanAnswer) {
+			z.unreachable, z.probeBackoff = true, silent
+			z.probeAt = b.now + silent
 		}
-		if b.silent(w) {
+		if b.unavailable(w) {
 			suspects++
 		}
 	}
-	b.panicky = float64(suspects) > panicShare*float64(len(b.list))
+	b.failOpen = float64(suspects) > failOpenShare*float64(len(b.ready))
 }
 
 // owed is how far an attempt without word for so long tells that its zone is dark.
-func (b *Balancer) owed(z *zone, wait time.Duration) time.Duration {
-	return max(0, min(wait, b.now-z.heard, sec(darkEach*b.answer)))
+func (b *Balancer) unansweredTime(z *zone, wait time.Duration) time.Duration {
+	return max(0, min(wait, b.now-z.lastHeard, seconds(maxZoneAttemptFactor*b.meanAnswer)))
 }
--- a/internal/balancer/many_test.go
+++ b/internal/balancer/many_test.go
@@ -9,20 +9,20 @@
 )
 
 // many plays one fleet of workers for many balancers that share nothing, each with a few calls a second.
-type many struct {
-	b     []*Balancer
-	rng   *rand.Rand
-	now   time.Duration
-	due   map[time.Duration][]func()
-	sends map[WorkerID][]time.Duration
-	loads int
+type dispatcherGroup struct {
+	balancers []*Balancer
+	rng       *rand.Rand
+	now       time.Duration
+	callbacks map[time.Duration][]func()
+	sends     map[WorkerID][]time.Duration
+	loadCount int
 }
 
-const manyStep = 5 * ms
+const groupStep = 5 * ms
 
-func newMany(t testing.TB, s Settings, balancers, workers int) *many {
+func newDispatcherGroup(t testing.TB, s Settings, balancers, workers int) *dispatcherGroup {
 	t.Helper()
-	m := &many{rng: rand.New(rand.NewPCG(7, 7)), due: map[time.Duration][]func(){},
+	m := &dispatcherGroup{rng: rand.New(rand.NewPCG(7, 7)), callbacks: map[time.Duration][]func(){},
 		sends: map[WorkerID][]time.Duration{}}
 	s.Dispatchers = balancers
 	var list []Worker
@@ -35,34 +35,34 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.b = append(m.b, b)
+		m.balancers = append(m.balancers, b)
 		m.event(i, EndpointsEvent{Scope: ScopeFull, Workers: list})
 	}
 	return m
 }
 
-func (m *many) after(d time.Duration, f func()) {
-	at := (m.now + d + manyStep - 1) / manyStep * manyStep
+func (m *dispatcherGroup) after(d time.Duration, f func()) {
+	at := (m.now + d + groupStep - 1) / groupStep * groupStep
 	if at <= m.now {
-		at = m.now + manyStep
+		at = m.now + groupStep
 	}
-	m.due[at] = append(m.due[at], f)
+	m.callbacks[at] = append(m.callbacks[at], f)
 }
 
-func (m *many) event(i int, e Event) {
-	for _, a := range m.b[i].Handle(m.now, e) {
+func (m *dispatcherGroup) event(i int, e Event) {
+	for _, a := range m.balancers[i].Handle(m.now, e) {
 		switch a := a.(type) {
 		case Send:
 			m.sends[a.Worker] = append(m.sends[a.Worker], m.now)
-			n := len(m.b[i].requests[a.ID].attempts) - 1 // one send of a request at a time
+			n := len(m.balancers[i].requests[a.ID].attempts) - 1 // one send of a request at a time
 			m.after(150*ms, func() {
 				m.event(i, OutcomeEvent{ID: a.ID, Attempt: n, Worker: a.Worker, Status: OK, Elapsed: 150 * ms,
 					Answered: true})
 			})
 		case Load:
-			m.loads++
-			m.after(manyStep, func() {
-				m.event(i, LoadEndedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Elapsed: manyStep, Copies: 1})
+			m.loadCount++
+			m.after(groupStep, func() {
+				m.event(i, LoadEndedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Elapsed: groupStep, Copies: 1})
 			})
 		case SetTimer:
 			m.after(a.After, func() { m.event(i, TimerEvent{TimerID: a.TimerID}) })
@@ -71,20 +71,20 @@
 }
 
 // play sends calls for some time, rate a second over all balancers, a fifth of them for one function.
-func (m *many) play(span time.Duration, rate float64) {
+func (m *dispatcherGroup) play(span time.Duration, rate float64) {
 	for until := m.now + span; m.now < until; {
-		m.now += manyStep
-		events := m.due[m.now]
-		delete(m.due, m.now)
+		m.now += groupStep
+		events := m.callbacks[m.now]
+		delete(m.callbacks, m.now)
 		for _, f := range events {
 			f()
 		}
-		for n := rate * manyStep.Seconds(); n > 0 && m.rng.Float64() < n; n-- {
+		for n := rate * groupStep.Seconds(); n > 0 && m.rng.Float64() < n; n-- {
 			f := m.rng.IntN(40)
 			if m.rng.IntN(5) == 0 {
 				f = 0
 			}
-			m.event(m.rng.IntN(len(m.b)), RequestEvent{ID: RequestID(m.rng.Int64N(1 << 40)), Class: "safe",
+			m.event(m.rng.IntN(len(m.balancers)), RequestEvent{ID: RequestID(m.rng.Int64N(1 << 40)), Class: "safe",
 				Function: FunctionID(fmt.Sprintf("fn%d", f)), TimeLeft: 2 * time.Second, Concurrency: 4, LoadTime: 300 * ms})
 		}
 	}
@@ -94,7 +94,7 @@
 func TestManyDispatchersDoNotPushAColdWorkerOver(t *testing.T) {
 	slow := testSettings()
 	slow.SlowStartFloor, slow.SlowStartDuration = 0.1, 20*time.Second
-	m := newMany(t, slow, 200, 10)
+	m := newDispatcherGroup(t, slow, 200, 10)
 	m.play(12*time.Second, 400)
 	cold, capacity := WorkerID("w00"), 400/10/0.6 // a warm worker is busy for 0.6 of its time
 	for w, at := range m.sends {
@@ -103,12 +103,12 @@
 		}
 	}
 	started := m.now
-	for i := range m.b {
+	for i := range m.balancers {
 		m.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: []Worker{{ID: cold, Zone: "z0", Weight: 1, Started: started}}})
 	}
 	m.sends[cold] = nil
 	m.play(12*time.Second, 400)
-	s := m.b[0].set
+	s := m.balancers[0].settings
 	early := 0
 	for i, at := range m.sends[cold] {
 		if at >= started+s.SlowStartDuration {
@@ -130,17 +130,17 @@
 }
 
 // restart has the balancers begin anew, with nothing but the list.
-func (m *many) restart(t testing.TB, part float64, list []Worker) {
-	for i := range m.b {
+func (m *dispatcherGroup) restart(t testing.TB, part float64, list []Worker) {
+	for i := range m.balancers {
 		if m.rng.Float64() >= part {
 			m.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: list})
 			continue
 		}
-		b, err := New(m.b[i].set, uint64(i)+m.rng.Uint64())
+		b, err := New(m.balancers[i].settings, uint64(i)+m.rng.Uint64())
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.b[i] = b
+		m.balancers[i] = b
 		m.event(i, EndpointsEvent{Scope: ScopeStale, Workers: list})
 	}
 }
@@ -154,10 +154,10 @@
 				s := testSettings()
 				s.SlowStartFloor, s.SlowStartDuration, s.OverloadWindow = 0.27, 16*time.Second, 3*time.Second
 				const workers, rate = 10, 300
-				m := newMany(t, s, peers, workers)
+				m := newDispatcherGroup(t, s, peers, workers)
 				m.play(12*time.Second, rate)
 				var list []Worker
-				for _, w := range m.b[0].list {
+				for _, w := range m.balancers[0].ready {
 					list = append(list, w.Worker)
 				}
 				const cold = 3 // of the workers, as when a room comes back
@@ -188,11 +188,11 @@
 
 // Guards against loads and homes by chance: few own calls must not scatter a fleet's copies.
 func TestManyDispatchersAgreeOnPlaces(t *testing.T) {
-	m := newMany(t, testSettings(), 200, 30)
+	m := newDispatcherGroup(t, testSettings(), 200, 30)
 	m.play(15*time.Second, 400)
-	before := m.loads
+	before := m.loadCount
 	m.play(5*time.Second, 400)
-	if n := m.loads - before; n > 400 {
+	if n := m.loadCount - before; n > 400 {
 		t.Errorf("%d orders for 2000 calls, though all copies stand", n)
 	}
 }
@@ -200,11 +200,11 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, workers := range []int{10, 100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			m := newMany(b, testSettings(), 30, workers)
+			m := newDispatcherGroup(b, testSettings(), 30, workers)
 			m.play(5*time.Second, 200)
 			b.ResetTimer()
 			for range b.N {
-				m.play(manyStep, 200)
+				m.play(groupStep, 200)
 			}
 		})
 	}
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -9,16 +9,16 @@
 )
 
 // served sends one request of a function and answers its orders, so that a copy is believed to stand.
-func (f *fleet) served(class, function string) WorkerID {
+func (f *testFleet) serve(class, function string) WorkerID {
 	f.t.Helper()
 	id := f.request(class, function, 2*time.Second)
-	f.answerOrders(OK)
+	f.endLoads(OK)
 	if len(f.open[id].sends) != 1 {
 		f.t.Fatalf("request %d: %d sends after its order stands", id, len(f.open[id].sends))
 	}
-	f.to(f.now + 50*ms)
-	f.outcome(id, 0, OK)
-	return f.open[id].sends[0].w
+	f.advance(f.now + 50*ms)
+	f.endAttemptNow(id, 0, OK)
+	return f.open[id].sends[0].worker
 }
 
 func TestSettingsThatCannotWork(t *testing.T) {
@@ -42,9 +42,9 @@
 	for i := range 12 {
 		name := fmt.Sprintf("fn%d", i)
 		a, b := newFleet(t, testSettings(), 1), newFleet(t, testSettings(), 99)
-		a.list(6)
-		b.list(6)
-		x, y := a.served("safe", name), b.served("safe", name)
+		a.listWorkers(6)
+		b.listWorkers(6)
+		x, y := a.serve("safe", name), b.serve("safe", name)
 		if x != y {
 			t.Errorf("%s: home %s at one dispatcher, %s at another", name, x, y)
 		}
@@ -59,12 +59,12 @@
 	for i := range 12 {
 		name := fmt.Sprintf("fn%d", i)
 		f := newFleet(t, testSettings(), 1)
-		f.list(6)
-		home := f.served("safe", name)
+		f.listWorkers(6)
+		home := f.serve("safe", name)
 		lost := WorkerID("w03")
-		f.change(ScopeDelta, Worker{ID: lost, State: Removed, Weight: 1})
-		f.to(f.now + 20*time.Second) // let the copy be forgotten
-		if now := f.served("safe", name); home != lost && now != home {
+		f.update(ScopeDelta, Worker{ID: lost, State: Removed, Weight: 1})
+		f.advance(f.now + 20*time.Second) // let the copy be forgotten
+		if now := f.serve("safe", name); home != lost && now != home {
 			t.Errorf("%s moved from %s to %s though %s was lost", name, home, now, lost)
 		}
 	}
@@ -72,9 +72,9 @@
 
 func TestHotFunctionsSpread(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(4)
+	f.listWorkers(4)
 	for range 60 {
-		f.served("safe", "hot")
+		f.serve("safe", "hot")
 	}
 	if len(f.sentTo) < 4 {
 		t.Errorf("a hot function reached only %v", f.sentTo)
@@ -83,16 +83,16 @@
 
 func TestMissOrdersAndResends(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(4)
-	home := f.served("safe", "fn")
+	f.listWorkers(4)
+	home := f.serve("safe", "fn")
 	f.loads = nil
 	id := f.request("safe", "fn", 2*time.Second)
-	f.outcome(id, 0, Miss)
+	f.endAttemptNow(id, 0, Miss)
 	if len(f.loads) != 1 || f.loads[0].Worker != home {
 		t.Fatalf("after a miss: orders %v, want one at %s", f.loads, home)
 	}
-	f.answerOrders(OK)
-	if s := f.open[id].sends; len(s) != 2 || s[1].w != home {
+	f.endLoads(OK)
+	if s := f.open[id].sends; len(s) != 2 || s[1].worker != home {
 		t.Error("the request was not resent once the copy stood")
 	}
 }
@@ -102,15 +102,15 @@
 	s := testSettings()
 	s.MaxAttempts, s.LoadWindow, s.LoadBurst, s.LoadRatio = 4, 10*time.Second, 6, 0.15
 	f := newFleet(t, s, 1)
-	f.list(6)
+	f.listWorkers(6)
 	id := f.request("safe", "fn", 2*time.Second)
 	for n := range 3 {
-		f.outcome(id, n, Miss)
+		f.endAttemptNow(id, n, Miss)
 	}
 	if o := f.open[id]; len(o.sends) != 3 || len(f.loads) == 0 {
 		t.Fatalf("%d sends and orders %v, want the last send to wait for an order", len(o.sends), f.loads)
 	}
-	f.answerOrders(OK)
+	f.endLoads(OK)
 	if n := len(f.open[id].sends); n != 4 {
 		t.Errorf("%d sends once the copy stood, want 4", n)
 	}
@@ -119,17 +119,17 @@
 // A crowded store slows every load; more orders at a time only add to the crowd.
 func TestASlowLoadHalvesTheOrdersInFlight(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(6)
-	f.to(2 * time.Second)
+	f.listWorkers(6)
+	f.advance(2 * time.Second)
 	ask := func(name string) int {
-		f.loads, f.orders = nil, nil
+		f.loads, f.pendingLoads = nil, nil
 		for i := range 12 {
 			f.request("safe", fmt.Sprint(name, i), 2*time.Second)
 		}
 		return len(f.loads)
 	}
 	usual := ask("a")
-	orders := f.orders
+	orders := f.pendingLoads
 	for i, l := range orders {
 		took := 200 * ms
 		if i == len(orders)-1 { // the others have widened the window by a third
@@ -144,25 +144,25 @@
 
 func TestWaitsLeaveInTime(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(4)
+	f.listWorkers(4)
 	f.request("unsafe", "fn", 2*time.Second)
 	first := f.loads[0].Worker
-	f.orders = nil // never answered
-	f.to(f.now + 1200*ms)
+	f.pendingLoads = nil // never answered
+	f.advance(f.now + 1200*ms)
 	if len(f.loads) < 2 || f.loads[1].Worker == first {
 		t.Errorf("orders %v: the request never left the silent one", f.loads)
 	}
-	f.to(f.now + 2*time.Second) // the fleet asserts the final answer
+	f.advance(f.now + 2*time.Second) // the fleet asserts the final answer
 }
 
 // Guards rule 3: a drain or removal stops sends and loads at once.
 func TestDrainsAreKept(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Removed} {
 		f := newFleet(t, testSettings(), 1)
-		f.list(2)
-		home := f.served("safe", "fn")
-		f.change(ScopeDelta, Worker{ID: home, State: state, Weight: 1})
-		if now := f.served("safe", "fn"); now == home {
+		f.listWorkers(2)
+		home := f.serve("safe", "fn")
+		f.update(ScopeDelta, Worker{ID: home, State: state, Weight: 1})
+		if now := f.serve("safe", "fn"); now == home {
 			t.Errorf("state %d: still sent to %s", state, home)
 		}
 	}
@@ -172,21 +172,21 @@
 func TestUnsafeIsNeverRepeated(t *testing.T) {
 	for _, status := range []Status{Failed, TimedOut, Reset, Cancelled, Status(99)} {
 		f := newFleet(t, testSettings(), 1)
-		f.list(4)
-		f.served("unsafe", "fn")
+		f.listWorkers(4)
+		f.serve("unsafe", "fn")
 		id := f.request("unsafe", "fn", 2*time.Second)
-		f.outcome(id, 0, status)
+		f.endAttemptNow(id, 0, status)
 		if len(f.open[id].sends) != 1 || !f.failed[id] {
 			t.Errorf("status %d: sends %d, failed %v", status, len(f.open[id].sends), f.failed[id])
 		}
 	}
 	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
 		f := newFleet(t, testSettings(), 1)
-		f.list(4)
-		f.served("unsafe", "fn")
+		f.listWorkers(4)
+		f.serve("unsafe", "fn")
 		id := f.request("unsafe", "fn", 2*time.Second)
-		f.outcome(id, 0, status)
-		f.answerOrders(OK)
+		f.endAttemptNow(id, 0, status)
+		f.endLoads(OK)
 		if len(f.open[id].sends) != 2 {
 			t.Errorf("status %d proves that it never ran, yet it was not sent on", status)
 		}
@@ -195,22 +195,22 @@
 
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(6)
-	f.served("keyed", "fn")
+	f.listWorkers(6)
+	f.serve("keyed", "fn")
 	id := f.request("keyed", "fn", 2*time.Second)
-	f.outcome(id, 0, Failed)
-	f.answerOrders(OK)
+	f.endAttemptNow(id, 0, Failed)
+	f.endLoads(OK)
 	s := f.open[id].sends // the fleet asserts the group
 	if len(s) != 2 {
 		t.Fatalf("%d sends, want a second within the cell", len(s))
 	}
 	late := f.request("keyed", "fn", 2*time.Second)
 	f.open[late].sends[0].due = f.now + 10*time.Second
-	f.to(f.now + 1100*ms)
+	f.advance(f.now + 1100*ms)
 	n := len(f.open[late].sends)
-	f.outcome(late, 0, Failed)
-	f.answerOrders(OK)
-	f.to(f.now + 100*ms)
+	f.endAttemptNow(late, 0, Failed)
+	f.endLoads(OK)
+	f.advance(f.now + 100*ms)
 	if len(f.open[late].sends) != n {
 		t.Error("sent again after the key's window")
 	}
@@ -220,13 +220,13 @@
 // decided on within it. It carries the end of that window with it.
 func TestRepeatOfAKeyedRequestCarriesTheEndOfItsWindow(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(6)
-	f.served("keyed", "fn")
+	f.listWorkers(6)
+	f.serve("keyed", "fn")
 	id := f.request("keyed", "fn", 2*time.Second)
 	first := f.sent[len(f.sent)-1]
-	f.to(f.now + 900*ms)
-	f.outcome(id, 0, Failed)
-	f.answerOrders(OK)
+	f.advance(f.now + 900*ms)
+	f.endAttemptNow(id, 0, Failed)
+	f.endLoads(OK)
 	again := f.sent[len(f.sent)-1]
 	if first.ID != id || first.StartWithin != 0 || again.ID != id || again == first || again.StartWithin != 100*ms {
 		t.Errorf("sent %+v, then %+v", first, again)
@@ -239,14 +239,14 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		f.request(class, "fn", 500*ms)
 	}
-	f.to(time.Second)
-	f.list(3)
+	f.advance(time.Second)
+	f.listWorkers(3)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		f.request(class, "fn", 500*ms)
 	}
-	f.to(2 * time.Second)
-	if len(f.refused)+len(f.failed) != 6 {
-		t.Errorf("%d answers for 6 requests", len(f.refused)+len(f.failed))
+	f.advance(2 * time.Second)
+	if len(f.rejected)+len(f.failed) != 6 {
+		t.Errorf("%d answers for 6 requests", len(f.rejected)+len(f.failed))
 	}
 }
 
@@ -255,10 +255,10 @@
 	s := testSettings()
 	f := newFleet(t, s, 1)
 	f.now = 20 * time.Second
-	f.change(ScopeFull, Worker{ID: "cold", Weight: 1, Started: f.now})
+	f.update(ScopeFull, Worker{ID: "cold", Weight: 1, Started: f.now})
 	for i := range 50 {
 		f.request("safe", fmt.Sprintf("f%d", i%3), 900*ms)
-		f.answerOrders(OK)
+		f.endLoads(OK)
 	}
 	if n := f.sentTo["cold"]; n > 1 {
 		t.Errorf("%d requests to a worker that has just started, of which nothing is known", n)
@@ -272,15 +272,15 @@
 	s := testSettings()
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = time.Second, 1, 0.1
 	f := newFleet(t, s, 1)
-	f.list(6)
+	f.listWorkers(6)
 	for i := range 30 {
 		id := f.request("safe", fmt.Sprintf("f%d", i), time.Second)
 		for n := range f.open[id].sends { // not loaded anywhere: each send misses
 			if f.open[id].sends[n].pending {
-				f.outcome(id, n, Miss)
+				f.endAttemptNow(id, n, Miss)
 			}
 		}
-		f.to(f.now + 5*ms)
+		f.advance(f.now + 5*ms)
 	}
 	if len(f.loads) == 0 || len(f.loads) > 4 { // the fleet asserts the exact ration
 		t.Errorf("%d orders", len(f.loads))
@@ -297,23 +297,23 @@
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := newFleet(t, s, seed)
-		f.list(12)
+		f.listWorkers(12)
 		var arrived []time.Duration
 		for i := range 400 {
-			f.to(f.now + time.Duration(rng.IntN(150))*ms)
+			f.advance(f.now + time.Duration(rng.IntN(150))*ms)
 			id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
 			for n := 0; n < len(f.open[id].sends); n++ { // not loaded anywhere
 				if f.open[id].sends[n].pending {
-					f.outcome(id, n, Miss)
+					f.endAttemptNow(id, n, Miss)
 				}
 			}
-			for _, l := range f.orders {
+			for _, l := range f.pendingLoads {
 				if l.StartWithin <= 0 || l.StartWithin > 2*s.DialTimeout {
 					t.Fatalf("an order may begin within %v", l.StartWithin)
 				}
 				arrived = append(arrived, f.now+time.Duration(rng.Int64N(int64(2*s.DialTimeout))))
 			}
-			f.answerOrders(OK)
+			f.endLoads(OK)
 		}
 		slices.Sort(arrived)
 		for i, at := range arrived {
@@ -321,7 +321,7 @@
 			for j := i; j >= 0 && arrived[j] > at-s.LoadWindow; j-- {
 				within++
 			}
-			for _, came := range f.taken {
+			for _, came := range f.arrivedAt {
 				if came > at-s.LoadWindow && came <= at {
 					taken++
 				}
@@ -344,7 +344,7 @@
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
 	for name, status := range map[string]Status{"taken back": Cancelled, "unknown": Failed} {
 		f := newFleet(t, s, 1)
-		f.list(12)
+		f.listWorkers(12)
 		for i := range 200 {
 			id := f.request("unsafe", fmt.Sprintf("flood%d", i%20), time.Second)
 			if status == Cancelled {
@@ -353,21 +353,21 @@
 			}
 			for n := range f.open[id].sends {
 				if f.open[id].sends[n].pending {
-					f.outcome(id, n, status)
+					f.endAttemptNow(id, n, status)
 				}
 			}
 		}
-		f.to(f.now + time.Second) // and so much for that
+		f.advance(f.now + time.Second) // and so much for that
 		f.loads = nil
 		for i := range 60 {
 			id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
 			for n := 0; n < len(f.open[id].sends); n++ { // not loaded anywhere
 				if f.open[id].sends[n].pending {
-					f.outcome(id, n, Miss)
+					f.endAttemptNow(id, n, Miss)
 				}
 			}
-			f.answerOrders(OK)
-			f.to(f.now + 5*ms)
+			f.endLoads(OK)
+			f.advance(f.now + 5*ms)
 		}
 		if n := len(f.loads); n < 6 || n > 6+60*15/100 {
 			t.Errorf("%s: %d orders for 60 requests", name, n)
@@ -378,17 +378,17 @@
 func TestSilentWorkerIsPassedOver(t *testing.T) {
 	s := testSettings()
 	f := newFleet(t, s, 1)
-	f.list(4)
+	f.listWorkers(4)
 	for range 10 {
-		f.served("safe", "fn")
+		f.serve("safe", "fn")
 	}
 	home := f.sent[0].Worker
 	id := f.request("unsafe", "fn", 2*time.Second)
-	silent := f.open[id].sends[0].w
-	f.to(f.now + 700*ms)
+	silent := f.open[id].sends[0].worker
+	f.advance(f.now + 700*ms)
 	f.sentTo = map[WorkerID]int{}
 	for range 5 {
-		f.served("unsafe", "fn")
+		f.serve("unsafe", "fn")
 	}
 	if f.sentTo[silent] > 0 {
 		t.Errorf("unsafe work still goes to %s, which is silent (home %s)", silent, home)
@@ -397,18 +397,18 @@
 
 func TestSecondCopyWhereAWorkerIsSilent(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(4)
+	f.listWorkers(4)
 	for range 40 {
-		f.served("safe", "fn")
+		f.serve("safe", "fn")
 	}
 	id := f.request("safe", "fn", 2*time.Second)
-	f.to(f.now + 700*ms)
+	f.advance(f.now + 700*ms)
 	s := f.open[id].sends
-	if len(s) != 2 || s[0].w == s[1].w {
+	if len(s) != 2 || s[0].worker == s[1].worker {
 		t.Fatalf("%d sends for an overdue safe request, want a second elsewhere", len(s))
 	}
-	f.outcome(id, 1, OK)
-	if f.canceled == 0 {
+	f.endAttemptNow(id, 1, OK)
+	if f.cancelled == 0 {
 		t.Error("the slower copy was not called off")
 	}
 }
@@ -417,17 +417,17 @@
 	s := testSettings()
 	s.Hedging = false
 	f := newFleet(t, s, 1)
-	f.list(4)
+	f.listWorkers(4)
 	for range 40 {
-		f.served("safe", "fn")
+		f.serve("safe", "fn")
 	}
 	id := f.request("safe", "fn", 2*time.Second)
-	f.to(f.now + 700*ms)
-	if len(f.open[id].sends) != 1 || f.canceled != 1 {
-		t.Fatalf("sends %d, cancels %d: want the silent attempt called off first", len(f.open[id].sends), f.canceled)
+	f.advance(f.now + 700*ms)
+	if len(f.open[id].sends) != 1 || f.cancelled != 1 {
+		t.Fatalf("sends %d, cancels %d: want the silent attempt called off first", len(f.open[id].sends), f.cancelled)
 	}
-	f.outcome(id, 0, Cancelled)
-	f.answerOrders(OK)
+	f.endAttemptNow(id, 0, Cancelled)
+	f.endLoads(OK)
 	if len(f.open[id].sends) != 2 {
 		t.Error("not sent on after the cancel")
 	}
@@ -440,16 +440,16 @@
 		s := testSettings()
 		s.ClientsMarkRetries = marks
 		f := newFleet(t, s, 1)
-		f.list(1)
-		f.served("safe", "fn")
+		f.listWorkers(1)
+		f.serve("safe", "fn")
 		for range 60 { // more than the worker may hold: requests wait
 			f.request("safe", "fn", 2*time.Second)
 		}
-		f.to(f.now + 20*ms)
-		f.outcome(f.sent[len(f.sent)-1].ID, 0, OK) // room for one
+		f.advance(f.now + 20*ms)
+		f.endAttemptNow(f.sent[len(f.sent)-1].ID, 0, OK) // room for one
 		f.b.Handle(f.now, RequestEvent{ID: 9999, Class: "safe", Function: "fn", TimeLeft: time.Second, Concurrency: 1,
 			Retry: marks})
-		if r := f.b.requests[9999]; r.out > 0 {
+		if r := f.b.requests[9999]; r.outstanding > 0 {
 			t.Errorf("marks %v: a try whose aim has passed took the only room", marks)
 		}
 	}
@@ -458,13 +458,13 @@
 // Guards against calls that wait for a load while a copy stands elsewhere: a crowded copy answers sooner.
 func TestCrowdedCopyGoesBeforeALoad(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(4)
-	f.served("unsafe", "fn")
+	f.listWorkers(4)
+	f.serve("unsafe", "fn")
 	for range 8 {
 		f.request("unsafe", "fn", 2*time.Second)
 	}
-	for _, r := range f.b.open {
-		if r.wait != nil {
+	for _, r := range f.b.inFlight {
+		if r.waitingFor != nil {
 			t.Errorf("request %d waits for a load though a copy stands", r.ID)
 		}
 	}
@@ -476,15 +476,15 @@
 // Guards against second copies for calls that are only long: their worker still answers others.
 func TestNoSecondCopyForALongCall(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(1)
+	f.listWorkers(1)
 	for range 20 {
-		f.served("safe", "fn")
+		f.serve("safe", "fn")
 	}
 	long := f.request("safe", "fn", 2*time.Second)
 	for range 20 {
-		f.served("safe", "fn")
+		f.serve("safe", "fn")
 	}
-	if len(f.open[long].sends) != 1 || f.canceled > 0 {
+	if len(f.open[long].sends) != 1 || f.cancelled > 0 {
 		t.Error("a long call was copied or called off though its worker answers")
 	}
 }
@@ -493,49 +493,49 @@
 // room, was left to the next sweep, and got no answer in time.
 func TestShortLateTryIsAnsweredUnderOverload(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(1)
-	f.served("safe", "fn")
+	f.listWorkers(1)
+	f.serve("safe", "fn")
 	for range 60 {
 		f.request("safe", "fn", 2*time.Second)
 	}
-	f.to(f.now + 20*ms)
+	f.advance(f.now + 20*ms)
 	for left := range 25 {
 		f.request("safe", "fn", time.Duration(left)*ms)
-		f.to(f.now + 2*ms) // the fleet asserts an answer by each deadline
+		f.advance(f.now + 2*ms) // the fleet asserts an answer by each deadline
 	}
-	f.to(f.now + 50*ms)
+	f.advance(f.now + 50*ms)
 }
 
 // Guards against incident i2aae88: some workers never answered one class but were quick with the others, so that
 // they were neither silent nor slow.
 func TestWorkerThatFailsOneClassGetsNoneOfIt(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(3)
-	home := f.served("safe", "fn")
+	f.listWorkers(3)
+	home := f.serve("safe", "fn")
 	other := "other"
-	for f.served("unsafe", other) != home {
+	for f.serve("unsafe", other) != home {
 		other += "!"
 	}
 	for range 6 {
 		id := f.request("safe", "fn", time.Second)
-		f.answerOrders(OK)
+		f.endLoads(OK)
 		n := len(f.open[id].sends) - 1
-		if f.open[id].sends[n].w == home {
-			f.outcome(id, n, Failed)
+		if f.open[id].sends[n].worker == home {
+			f.endAttemptNow(id, n, Failed)
 		} else {
-			f.outcome(id, n, OK)
+			f.endAttemptNow(id, n, OK)
 		}
-		f.served("unsafe", other)
+		f.serve("unsafe", other)
 	}
 	for range 6 { // hot by now, so each worker would have its turn
 		id := f.request("safe", "fn", time.Second)
-		f.answerOrders(OK)
-		if f.open[id].sends[0].w == home {
+		f.endLoads(OK)
+		if f.open[id].sends[0].worker == home {
 			t.Fatalf("still sent to %s", home)
 		}
-		f.outcome(id, 0, OK)
+		f.endAttemptNow(id, 0, OK)
 	}
-	if f.b.workers[home].bad["unsafe"] > 0 {
+	if f.b.workers[home].failureScore["unsafe"] > 0 {
 		t.Error("another class is blamed too")
 	}
 }
@@ -543,19 +543,19 @@
 // The choke points refuse by themselves what no caller should ask of them.
 func TestChokePointsRefuse(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(2)
-	home := f.served("unsafe", "fn")
+	f.listWorkers(2)
+	home := f.serve("unsafe", "fn")
 	id := f.request("unsafe", "fn", 2*time.Second)
 	r := f.b.requests[id]
-	f.b.did = nil
+	f.b.actions = nil
 	f.b.send(r, f.b.workers["w00"]) // its first attempt is still out
-	f.change(ScopeDelta, Worker{ID: home, State: Draining, Weight: 1})
-	fresh := &request{RequestEvent: RequestEvent{ID: 77}, class: r.class, f: r.f, deadline: f.now + time.Second}
-	f.b.did = nil
+	f.update(ScopeDelta, Worker{ID: home, State: Draining, Weight: 1})
+	fresh := &request{RequestEvent: RequestEvent{ID: 77}, class: r.class, function: r.function, deadline: f.now + time.Second}
+	f.b.actions = nil
 	f.b.send(fresh, f.b.workers[home])
-	f.b.order(r.f, r.f.where(f.b.workers[home]), 1, 99)
-	if len(f.b.did) > 0 || len(r.attempts) != 1 {
-		t.Errorf("emitted %v, %d attempts", f.b.did, len(r.attempts))
+	f.b.orderLoad(r.function, r.function.placement(f.b.workers[home]), 1, 99)
+	if len(f.b.actions) > 0 || len(r.attempts) != 1 {
+		t.Errorf("emitted %v, %d attempts", f.b.actions, len(r.attempts))
 	}
 }
 
@@ -563,25 +563,25 @@
 // for each request, one such break left a good worker out of turn for seconds, and peers spoil answers of all alike.
 func TestOneBreakIsOneSign(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(1)
-	home := f.served("unsafe", "fn")
+	f.listWorkers(1)
+	home := f.serve("unsafe", "fn")
 	w := f.b.workers[home]
 	breaks := func() {
-		f.to(f.now + 50*ms)
+		f.advance(f.now + 50*ms)
 		var open []RequestID
 		for range 2 {
 			open = append(open, f.request("unsafe", "fn", time.Second))
 		}
 		for _, id := range open {
-			f.outcome(id, 0, Reset)
+			f.endAttemptNow(id, 0, Reset)
 		}
 	}
 	breaks()
-	if w.suspect || w.bad["unsafe"] > badUnsafe*f.b.badLimit() {
-		t.Errorf("left out for one break: suspect %t, bad %v", w.suspect, w.bad)
+	if w.ejected || w.failureScore["unsafe"] > notIdempotentLimit*f.b.failureScoreLimit() {
+		t.Errorf("left out for one break: suspect %t, bad %v", w.ejected, w.failureScore)
 	}
 	breaks() // and nothing was heard from it in between
-	if !w.suspect {
+	if !w.ejected {
 		t.Error("not suspect, though it breaks every connection")
 	}
 }
@@ -589,14 +589,14 @@
 // Guards against clients that take requests back at once, by hundreds: no worker could have answered by then.
 func TestRequestTakenBackAtOnceSaysNothing(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(2)
-	home := f.served("safe", "fn")
-	f.to(f.now + 50*ms)
+	f.listWorkers(2)
+	home := f.serve("safe", "fn")
+	f.advance(f.now + 50*ms)
 	id := f.request("safe", "fn", time.Second)
-	f.to(f.now + ms)
+	f.advance(f.now + ms)
 	f.event(ClientGoneEvent{ID: id})
-	f.outcome(id, 0, Cancelled)
-	if f.b.workers[home].suspect {
+	f.endAttemptNow(id, 0, Cancelled)
+	if f.b.workers[home].ejected {
 		t.Error("suspect after 1 ms of silence")
 	}
 }
@@ -609,11 +609,11 @@
 		s.LoadOrders = false
 		f := newFleet(t, s, 1)
 		f.now = time.Second
-		f.list(1)
+		f.listWorkers(1)
 		id := f.request("unsafe", "fn", time.Second)
-		f.to(f.now + 20*ms)
-		f.outcome(id, 0, status)
-		if got := f.b.workers["w00"].suspect; got != suspect {
+		f.advance(f.now + 20*ms)
+		f.endAttemptNow(id, 0, status)
+		if got := f.b.workers["w00"].ejected; got != suspect {
 			t.Errorf("status %v: suspect %v", status, got)
 		}
 	}
@@ -622,17 +622,17 @@
 // On a long day workers are replaced by others all the time: those that have left must not stay.
 func TestWorkersThatLeftAreForgotten(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(1)
+	f.listWorkers(1)
 	for i := range 20 {
 		id := WorkerID(fmt.Sprintf("v%02d", i))
-		f.change(ScopeDelta, Worker{ID: id, Weight: 1})
-		f.served("safe", fmt.Sprintf("fn%d", i%3))
-		f.change(ScopeDelta, Worker{ID: id, Weight: 1, State: Removed})
+		f.update(ScopeDelta, Worker{ID: id, Weight: 1})
+		f.serve("safe", fmt.Sprintf("fn%d", i%3))
+		f.update(ScopeDelta, Worker{ID: id, Weight: 1, State: Removed})
 	}
-	f.to(f.now + f.set.SlowStartDuration + f.set.OverloadWindow + time.Second)
+	f.advance(f.now + f.settings.SlowStartDuration + f.settings.OverloadWindow + time.Second)
 	at := 0
 	for _, fn := range f.b.functions {
-		at += len(fn.at)
+		at += len(fn.placements)
 	}
 	if len(f.b.workers) != 1 || at > len(f.b.functions) {
 		t.Errorf("%d workers and %d places are kept", len(f.b.workers), at)
@@ -643,16 +643,16 @@
 // under way, or it is answered.
 func TestWhatNoWorkerHasSeenIsDecidedByHalfOfItsTime(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(1)
+	f.listWorkers(1)
 	loading := f.request("unsafe", "fn", 600*ms) // its order stays unanswered
-	f.to(f.now + 310*ms)
+	f.advance(f.now + 310*ms)
 	if len(f.open[loading].sends) != 1 {
 		t.Errorf("%d sends to where its load is under way", len(f.open[loading].sends))
 	}
-	f.change(ScopeFull)
+	f.update(ScopeFull)
 	none := f.request("unsafe", "other", 600*ms)
-	f.to(f.now + 310*ms)
-	if !f.refused[none] {
+	f.advance(f.now + 310*ms)
+	if !f.rejected[none] {
 		t.Error("no answer by half of its time, and nobody to send it to")
 	}
 }
@@ -663,13 +663,13 @@
 	s := testSettings()
 	s.LoadWindow, s.LoadBurst = 10*time.Second, 1
 	f := newFleet(t, s, 1)
-	f.list(1)
-	f.outcome(f.request("safe", "fn", 3*time.Second), 0, Miss) // its order is the only one to be had
-	f.answerOrders(OK)
+	f.listWorkers(1)
+	f.endAttemptNow(f.request("safe", "fn", 3*time.Second), 0, Miss) // its order is the only one to be had
+	f.endLoads(OK)
 	gone := f.request("safe", "other", 3*time.Second)
-	f.outcome(gone, 0, Miss)
+	f.endAttemptNow(gone, 0, Miss)
 	f.event(ClientGoneEvent{ID: gone})
-	f.to(f.now + 700*ms) // two load times
+	f.advance(f.now + 700*ms) // two load times
 	first, second := f.request("safe", "other", 3*time.Second), f.request("safe", "other", 3*time.Second)
 	if len(f.open[first].sends) != 1 || len(f.open[second].sends) != 0 {
 		t.Errorf("%d and %d sends", len(f.open[first].sends), len(f.open[second].sends))
@@ -680,27 +680,27 @@
 // the other. They were asked again every few milliseconds, and each time cost a request an attempt.
 func TestWorkerThatTurnsAClassAwayIsShutToIt(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(1)
-	f.served("unsafe", "other")
-	f.served("safe", "fn")
+	f.listWorkers(1)
+	f.serve("unsafe", "other")
+	f.serve("safe", "fn")
 	turned := 0
 	for range 40 { // in two seconds
 		id := f.request("safe", "fn", time.Minute)
-		f.to(f.now + 50*ms)
+		f.advance(f.now + 50*ms)
 		if n := len(f.open[id].sends); n > 0 && f.open[id].sends[n-1].pending {
-			f.outcome(id, n-1, Rejected)
+			f.endAttemptNow(id, n-1, Rejected)
 			turned++
 		}
 		f.event(ClientGoneEvent{ID: id})
 	}
-	if turned > turnedMost+4 {
+	if turned > maxRejectedInARow+4 {
 		t.Errorf("asked %d times in two seconds", turned)
 	}
-	f.served("unsafe", "other") // the other class still goes there
-	f.to(f.now + trialMost/4)   // a trial comes
+	f.serve("unsafe", "other")           // the other class still goes there
+	f.advance(f.now + maxProbeBackoff/4) // a trial comes
 	id := f.request("safe", "fn", 3*time.Second)
-	f.answerOrders(OK)
-	f.to(f.now + 20*ms)
+	f.endLoads(OK)
+	f.advance(f.now + 20*ms)
 	if n := len(f.open[id].sends); n == 0 {
 		t.Fatal("no trial")
 	}
@@ -710,24 +710,24 @@
 // each error at once was taken for a crowded store.
 func TestFunctionThatNobodyKnowsIsLeftAlone(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
-	f.list(6)
-	window := f.b.window
+	f.listWorkers(6)
+	window := f.b.loadWindow
 	for range 5 {
 		id := f.request("safe", "nobody's", time.Second)
-		for i := 0; i < len(f.open[id].sends) || len(f.orders) > 0; {
-			f.answerOrders(Failed)
+		for i := 0; i < len(f.open[id].sends) || len(f.pendingLoads) > 0; {
+			f.endLoads(Failed)
 			if i < len(f.open[id].sends) {
-				f.outcome(id, i, Failed)
+				f.endAttemptNow(id, i, Failed)
 				i++
 			}
 		}
-		f.to(f.now + 20*ms)
+		f.advance(f.now + 20*ms)
 	}
-	if n := len(f.loads) + len(f.sent); n > strangeMost {
+	if n := len(f.loads) + len(f.sent); n > maxUnknownErrors {
 		t.Errorf("tried %d times", n)
 	}
-	if f.b.window < window || len(f.b.bad) > 0 && f.b.bad["safe"] > 0 {
-		t.Errorf("the store or the workers are blamed: window %v, bad %v", f.b.window, f.b.bad)
+	if f.b.loadWindow < window || len(f.b.failureRate) > 0 && f.b.failureRate["safe"] > 0 {
+		t.Errorf("the store or the workers are blamed: window %v, bad %v", f.b.loadWindow, f.b.failureRate)
 	}
-	f.served("safe", "fn")
+	f.serve("safe", "fn")
 }
