--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.loadWindow+1 { // one more while fewer are out
-		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.loadWindow)
+	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.loads.window.size+1 { // one more while fewer are out
+		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.loads.window.size)
 	}
 }
--- a/internal/balancer/health_test.go
+++ b/internal/balancer/health_test.go
@@ -41,7 +41,7 @@
 func (f *testFleet) functionAt(suits func(*worker) bool) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprintf("new%d", i)
-		home := f.b.rendezvousOrder(&function{id: FunctionID(name), epoch: -1, groupSize: 1})
+		home := f.b.rendezvousOrder(&function{id: FunctionID(name), rendezvousEpoch: -1, groupSize: 1})
 		if suits(home[0]) && f.b.functions[FunctionID(name)] == nil {
 			return name
 		}
@@ -54,7 +54,7 @@
 // over ten calls never told. One failure must do where calls are few, and a call that may not be repeated waits longest.
 func TestOneFailureInFewCallsIsEnough(t *testing.T) {
 	f := newLargeFleet(t, 40)
-	name := f.functionAt(func(w *worker) bool { return w.lastOK["safe"] > 0 })
+	name := f.functionAt(func(w *worker) bool { return w.class("safe").lastOK > 0 })
 	first := f.request("safe", name, time.Second)
 	bad := f.firstWorker(first)
 	f.endAttempt(first, OK, 5*ms)
@@ -75,8 +75,8 @@
 	}
 	f.endAttempt(f.request("safe", "fn", time.Second), Failed, 5*ms)
 	w := f.b.workers["w00"]
-	require.Less(t, w.failureScore["safe"], f.b.failureScoreLimit())
-	require.Less(t, w.failureScore["unsafe"], notIdempotentLimit*f.b.failureScoreLimit())
+	require.Less(t, w.class("safe").failureScore, f.b.failureScoreLimit())
+	require.Less(t, w.class("unsafe").failureScore, notIdempotentLimit*f.b.failureScoreLimit())
 }
 
 // Guards against errors that count against nobody: in a large fleet nearly each function is new to a dispatcher. Once
@@ -86,9 +86,9 @@
 	id := f.request("safe", "fresh", time.Second)
 	bad := f.b.workers[f.firstWorker(id)]
 	f.endAttempt(id, Failed, 5*ms)
-	require.Zero(t, bad.failureScore["safe"])
+	require.Zero(t, bad.class("safe").failureScore)
 	f.endAttempt(id, OK, 5*ms)
-	require.Greater(t, bad.failureScore["safe"], f.b.failureScoreLimit())
+	require.Greater(t, bad.class("safe").failureScore, f.b.failureScoreLimit())
 }
 
 // Guards against a lost room, found out worker by worker: each of 80 dispatchers lost a call at each of 14 workers. Three
--- /dev/null
+++ b/internal/balancer/loadorders.go
@@ -0,0 +1,151 @@
+package balancer
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	defaultLoadTime    = 1.0 // seconds that a load takes, until one has been seen
+	loadWaitFactor     = 2.0 // a request waits for a load for this many usual load times
+	initialLoadWindow  = 4.0 // load orders in flight at the start
+	slowLoadFactor     = 1.5 // a load this many times slower than usual ...
+	loadWindowDecrease = 0.5 // ... cuts the number of orders in flight to this part ...
+	minLoadWindow      = 2.0 // ... and this many at the least
+	maxCopies          = 16  // of one function at one worker
+)
+
+// needsLoadOrder tells that a copy not believed to be loaded is ordered before a request goes there.
+func (b *Balancer) needsLoadOrder(p *placement) bool {
+	return b.settings.LoadOrders && !b.settings.LoadOnMiss && (b.settings.LoadWindow == 0 || p.missed)
+}
+
+// orderLoad is the one place that emits Load. It keeps to drains, the load budget and the bound in flight.
+func (b *Balancer) orderLoad(f *function, p *placement, copies int, maxInFlight float64) bool {
+	if p.ordered || b.now < p.noOrderUntil || p.worker.State != Ready {
+		return false
+	}
+	if !b.settings.LoadOrders || f.id == "" || b.unknownFunction(f) {
+		return false
+	}
+	if float64(b.loads.inFlight) >= maxInFlight || !b.spendLoadBudget() {
+		return false
+	}
+	b.loads.begin(f, p, b.now)
+	b.emit(Load{Worker: p.worker.ID, Function: f.id, Copies: min(copies, maxCopies),
+		StartWithin: b.maxOrderDelay()})
+	return true
+}
+
+// spendLoadBudget takes one order from the load budget, if it allows one.
+func (b *Balancer) spendLoadBudget() bool {
+	window := b.settings.LoadWindow
+	if window == 0 {
+		return true
+	}
+	b.loads.orders = after(b.loads.orders, b.now-window-b.maxOrderDelay())
+	b.loads.requests = after(b.loads.requests, b.now-window+b.maxOrderDelay())
+	limit := b.settings.LoadBurst + b.settings.LoadRatio*float64(len(b.loads.requests))
+	if float64(len(b.loads.orders)+1) > limit {
+		return false
+	}
+	b.loads.orders = append(b.loads.orders, b.now)
+	return true
+}
+
+// onLoadEnded takes in the end of a load order and places the requests that waited for it.
+func (b *Balancer) onLoadEnded(e LoadEndedEvent) {
+	f := b.functions[e.Function]
+	w := b.workers[e.Worker]
+	if f == nil || w == nil || !f.placement(w).ordered {
+		return
+	}
+	p := f.placement(w)
+	b.loads.end(f, p)
+	p.copies = e.Copies
+	pause := seconds(f.loadTime / 2)
+	if slow := b.applyLoad(f, p, e); slow {
+		size := math.Max(minLoadWindow, b.loads.window.size*loadWindowDecrease)
+		b.loads.window.decrease(b.now, pause, size)
+	}
+	for _, r := range slices.Clone(b.unanswered) {
+		if r.waitingFor == p {
+			r.waitingFor = nil
+			b.place(r)
+		}
+	}
+}
+
+// applyLoad takes in how a load ended; slow tells that it took long or failed, as from a crowded store.
+func (b *Balancer) applyLoad(f *function, p *placement, e LoadEndedEvent) (slow bool) {
+	elapsed := e.Elapsed.Seconds()
+	usual := f.loadTime
+	if e.Status == OK {
+		b.markReachable(p.worker)
+		f.known = true
+		p.setLoaded(e.Copies, b.now+b.loadedTrust())
+		b.loads.window.increase()
+		if elapsed > usual*smoothing { // less: it was loaded already
+			updateMean(&f.loadTime, elapsed, smoothing)
+		}
+		return elapsed > slowLoadFactor*usual
+	}
+	p.noOrderUntil = b.now + seconds(usual)
+	switch e.Status {
+	case Failed:
+		return f.countError(b.now)
+	case Reset:
+		b.onReset(p.worker)
+	case ConnectFailed:
+		b.eject(p.worker)
+	}
+	return true
+}
+
+// loadWaitOver tells that a request has waited long enough for its load order, or in vain.
+func (b *Balancer) loadWaitOver(r *request) bool {
+	p := r.waitingFor
+	workerLost := p.worker.State != Ready || p.worker.unavailable()
+	return !p.ordered || b.now > r.waitUntil || workerLost
+}
+
+// lastAttempt tells that a request's next attempt is its last. Misses within a few ms would end it at once,
+// so that it is kept for a worker where a copy is loaded or has been ordered.
+func (b *Balancer) lastAttempt(r *request) bool {
+	attempts := len(r.attempts)
+	last := attempts > 0 && attempts+1 >= b.settings.MaxAttempts
+	return last && b.settings.LoadOrders && !b.settings.LoadOnMiss
+}
+
+// preloadHotSet orders missing copies of hot functions at their group, where own calls must keep them loaded.
+func (b *Balancer) preloadHotSet() {
+	for _, f := range b.hotSet.functions {
+		if !b.loadedByPeers(f) {
+			b.preload(f)
+		}
+	}
+}
+
+// preload orders the first missing copy of a function's group, unless an order is pending there.
+func (b *Balancer) preload(f *function) {
+	var next *placement
+	for i := range min(f.groupSize, len(b.ready)) {
+		p := f.placement(b.candidate(f, 0, i))
+		if p.ordered {
+			return
+		}
+		if next == nil && b.mayPreload(f, p) {
+			next = p
+		}
+	}
+	if next != nil {
+		b.orderLoad(f, next, 1, b.loads.window.size)
+	}
+}
+
+func (b *Balancer) mayPreload(f *function, p *placement) bool {
+	if b.isLoaded(p) || !b.needsLoadOrder(p) || b.now < p.noOrderUntil {
+		return false
+	}
+	return !p.worker.unavailable() && p.worker.class(f.class).rejectedInARow < maxRejectedInARow
+}
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -463,7 +463,7 @@
 	for range 8 {
 		f.request("unsafe", "fn", 2*time.Second)
 	}
-	for _, r := range f.b.inFlight {
+	for _, r := range f.b.unanswered {
 		if r.waitingFor != nil {
 			t.Errorf("request %d waits for a load though a copy stands", r.ID)
 		}
@@ -535,7 +535,7 @@
 		}
 		f.endAttemptNow(id, 0, OK)
 	}
-	if f.b.workers[home].failureScore["unsafe"] > 0 {
+	if f.b.workers[home].class("unsafe").failureScore > 0 {
 		t.Error("another class is blamed too")
 	}
 }
@@ -577,11 +577,11 @@
 		}
 	}
 	breaks()
-	if w.ejected || w.failureScore["unsafe"] > notIdempotentLimit*f.b.failureScoreLimit() {
-		t.Errorf("left out for one break: suspect %t, bad %v", w.ejected, w.failureScore)
+	if w.ejection.active || w.class("unsafe").failureScore > notIdempotentLimit*f.b.failureScoreLimit() {
+		t.Errorf("left out for one break: suspect %t, failure score %v", w.ejection.active, w.class("unsafe").failureScore)
 	}
 	breaks() // and nothing was heard from it in between
-	if !w.ejected {
+	if !w.ejection.active {
 		t.Error("not suspect, though it breaks every connection")
 	}
 }
@@ -596,7 +596,7 @@
 	f.advance(f.now + ms)
 	f.event(ClientGoneEvent{ID: id})
 	f.endAttemptNow(id, 0, Cancelled)
-	if f.b.workers[home].ejected {
+	if f.b.workers[home].ejection.active {
 		t.Error("suspect after 1 ms of silence")
 	}
 }
@@ -613,7 +613,7 @@
 		id := f.request("unsafe", "fn", time.Second)
 		f.advance(f.now + 20*ms)
 		f.endAttemptNow(id, 0, status)
-		if got := f.b.workers["w00"].ejected; got != suspect {
+		if got := f.b.workers["w00"].ejection.active; got != suspect {
 			t.Errorf("status %v: suspect %v", status, got)
 		}
 	}
@@ -711,7 +711,7 @@
 func TestFunctionThatNobodyKnowsIsLeftAlone(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(6)
-	window := f.b.loadWindow
+	window := f.b.loads.window.size
 	for range 5 {
 		id := f.request("safe", "nobody's", time.Second)
 		for i := 0; i < len(f.open[id].sends) || len(f.pendingLoads) > 0; {
@@ -726,8 +726,8 @@
 	if n := len(f.loads) + len(f.sent); n > maxUnknownErrors {
 		t.Errorf("tried %d times", n)
 	}
-	if f.b.loadWindow < window || len(f.b.failureRate) > 0 && f.b.failureRate["safe"] > 0 {
-		t.Errorf("the store or the workers are blamed: window %v, bad %v", f.b.loadWindow, f.b.failureRate)
+	if f.b.loads.window.size < window || len(f.b.stats.failureRate) > 0 && f.b.stats.failureRate["safe"] > 0 {
+		t.Errorf("the store or the workers are blamed: window %v, bad %v", f.b.loads.window.size, f.b.stats.failureRate)
 	}
 	f.serve("safe", "fn")
 }
--- /dev/null
+++ b/internal/balancer/zone.go
@@ -0,0 +1,34 @@
+package balancer
+
+const (
+	zoneUnreachableFactor = 5.0 // a zone is unreachable whose workers together owe so many mean answers ...
+	maxZoneAttemptFactor  = 2.0 // ... of which one attempt counts for so many: any may be long
+)
+
+// recordContact learns from an attempt whether its worker is there and can be reached.
+func (b *Balancer) recordContact(a *attempt, e OutcomeEvent) {
+	w := a.worker
+	switch e.Status {
+	case OK, Rejected, Miss:
+		b.earnLoads(a.request)
+		b.markHealthy(w)
+	case Failed: // it is there, whatever it answers
+		b.markReachable(w)
+	case ConnectFailed:
+		w.zone.lostTime += b.unansweredTime(w.zone, e.Elapsed)
+		b.eject(w)
+	case TimedOut:
+		w.zone.lostTime += b.unansweredTime(w.zone, e.Elapsed)
+		b.ejectIfSilent(w, e)
+	case Cancelled:
+		b.ejectIfSilent(w, e)
+	}
+}
+
+// checkZone ejects a zone as a whole: few requests to many workers would find out each of them late.
+func (b *Balancer) checkZone(z *zone) {
+	limit := seconds(zoneUnreachableFactor * b.stats.meanAnswer)
+	if b.stats.meanAnswer > 0 && z.outstandingTime > limit {
+		z.ejection.start(b.now, b.silenceLimit())
+	}
+}
