--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// orders calls do with each order of the numbers below n.
+// permutations calls do with each order of the numbers below n.
 func permutations(n int, do func([]int)) {
 	var next func(taken []int)
 	next = func(taken []int) {
@@ -27,11 +27,11 @@
 	next(nil)
 }
 
-// What may cross within one request, in every order: the end of its attempt, the drain of the worker, a fresh start of it
-// under the same name, the answer to an order, the client's end, and the module's own timer. The fleet holds every action
-// against the rules: nothing to a worker that drains, no further run of what may have run, one final answer, none and no
-// attempt for a client that has left.
-func TestEveryOrderOfWhatMayCross(t *testing.T) {
+// What may cross within one request, in every order: the end of its attempt, the drain of the worker, a fresh start of
+// it under the same ID, the end of a load order, the client's leaving, and the module's own timer. The fleet holds
+// every action against the rules: nothing to a worker that drains, no further run of what may have run, one final
+// answer, none and no attempt for a client that has left.
+func TestEveryOrderOfCrossingEvents(t *testing.T) {
 	for _, rationed := range []bool{false, true} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			for _, status := range []Status{OK, Failed, Rejected, Miss, Reset, TimedOut, ConnectFailed, NotSent} {
@@ -61,7 +61,7 @@
 						switch step {
 						case 0:
 							if f.open[id].sends[0].pending {
-								f.endAttemptNow(id, 0, status)
+								f.endAttempt(id, 0, status)
 							}
 						case 1:
 							w.State = Draining
@@ -92,39 +92,3 @@
 		}
 	}
 }
-
-// New versions of handlers come on quiet days too: one miss where a copy stood puts all copies of that function in doubt,
-// and what is missing everywhere at once is loaded at a pace, though no ration holds it back.
-func TestReleaseOnAQuietDayIsNoRush(t *testing.T) {
-	f := newFleet(t, testSettings(), 1)
-	f.listWorkers(6)
-	const functions = 40
-	name := func(i int) string { return fmt.Sprintf("fn%d", i) }
-	for i := range functions {
-		f.serve("safe", name(i))
-	}
-	twice := f.b.functions["fn0"]
-	for _, w := range f.b.ready { // it is believed to stand everywhere
-		p := twice.placement(w)
-		p.copies, p.loadedUntil = 1, f.now+f.b.loadedTrust()
-	}
-	f.loads = nil
-	for i := range functions {
-		id := f.request("safe", name(i), 2*time.Second)
-		for n := 0; n < len(f.open[id].sends); n++ {
-			if f.open[id].sends[n].pending {
-				f.endAttemptNow(id, n, Miss)
-			}
-		}
-		if i == 0 {
-			for _, p := range twice.placements {
-				if f.b.isLoaded(p) {
-					t.Errorf("a copy at %s is still believed in", p.worker.ID)
-				}
-			}
-		}
-	}
-	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.loads.window.size+1 { // one more while fewer are out
-		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.loads.window.size)
-	}
-}
--- a/internal/balancer/many_test.go
+++ b/internal/balancer/dispatchers_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards rule 4 where hundreds of dispatchers each see a call a second: one call each was a flood.
-func TestManyDispatchersDoNotPushAColdWorkerOver(t *testing.T) {
+// Guards rule 4 where hundreds of dispatchers each see a request a second: one request each overloaded a cold worker.
+func TestManyDispatchersKeepSlowStart(t *testing.T) {
 	slow := testSettings()
 	slow.SlowStartFloor, slow.SlowStartDuration = 0.1, 20*time.Second
 	m := newDispatcherGroup(t, slow, 200, 10)
@@ -145,9 +145,9 @@
 	}
 }
 
-// Guards rule 4 where dispatchers restart while workers come back, and know of these no more than the list tells: bounded
-// is the sum over all dispatchers, in a small fleet and in a large one, also in a burst.
-func TestManyRestartedDispatchersDoNotPushAColdWorkerOver(t *testing.T) {
+// Guards rule 4 where dispatchers restart while workers come back, and know no more of these than the list tells: the
+// sum over all dispatchers is bounded, in a small fleet and in a large one, also in a burst.
+func TestManyRestartedDispatchersKeepSlowStart(t *testing.T) {
 	for _, peers := range []int{4, 10, 20, 30, 100, 300} {
 		for _, part := range []float64{0.1, 0.7, 1} {
 			t.Run(fmt.Sprintf("%d, of which %v restart", peers, part), func(t *testing.T) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// Guards against loads and homes by chance: few own calls must not scatter a fleet's copies.
-func TestManyDispatchersAgreeOnPlaces(t *testing.T) {
+// Guards against loads and primary workers by chance: few own calls must not scatter a fleet's copies.
+func TestManyDispatchersAgreeOnPlacement(t *testing.T) {
 	m := newDispatcherGroup(t, testSettings(), 200, 30)
 	m.play(15*time.Second, 400)
 	before := m.loadCount
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -2,12 +2,69 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"sort"
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
+// serve sends one request of a function and ends its load orders, so that a copy is believed to be loaded.
+func (f *testFleet) serve(class, function string) WorkerID {
+	f.t.Helper()
+	id := f.request(class, function, 2*time.Second)
+	f.endLoads(OK)
+	if len(f.open[id].sends) != 1 {
+		f.t.Fatalf("request %d: %d sends after its order stands", id, len(f.open[id].sends))
+	}
+	f.advance(f.now + 50*ms)
+	f.endAttempt(id, 0, OK)
+	return f.open[id].sends[0].worker
+}
+
+// newLargeFleet returns a fleet for a dispatcher of many that has seen requests answered by all workers, a few each.
+func newLargeFleet(t *testing.T, workers int) *testFleet {
+	s := testSettings()
+	s.Dispatchers, s.Zones = 80, []string{"z0", "z1", "z2"}
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
+	f := newFleet(t, s, 1)
+	var list []Worker
+	for i := range workers {
+		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Weight: 1})
+	}
+	f.update(ScopeFull, list...)
+	for i := range 3 * workers {
+		f.advance(f.now + 50*ms)
+		f.endLatestAttempt(f.request("safe", fmt.Sprintf("fn%d", i), time.Second), OK, 50*ms)
+	}
+	return f
+}
+
+// endLatestAttempt ends the latest attempt of a request after a time.
+func (f *testFleet) endLatestAttempt(id RequestID, s Status, after time.Duration) {
+	f.advance(f.now + after)
+	f.endAttempt(id, len(f.open[id].sends)-1, s)
+}
+
+// firstWorker is the worker that the first attempt of a request went to.
+func (f *testFleet) firstWorker(id RequestID) WorkerID {
+	require.NotEmpty(f.t, f.open[id].sends, "request %d is held", id)
+	return f.open[id].sends[0].worker
+}
+
+// functionAt finds a function that no request has named yet, with a primary worker that suits.
+func (f *testFleet) functionAt(suits func(*worker) bool) string {
+	for i := 0; ; i++ {
+		name := fmt.Sprintf("new%d", i)
+		home := f.b.rendezvousOrder(&function{id: FunctionID(name), rendezvousEpoch: -1, groupSize: 1})
+		if suits(home[0]) && f.b.functions[FunctionID(name)] == nil {
+			return name
+		}
+	}
+}
+
+func isWorker(id WorkerID) func(*worker) bool { return func(w *worker) bool { return w.ID == id } }
+
 const ms = time.Millisecond
 
 // testSettings has one class of each effect and every ordinary permission.
@@ -223,8 +280,8 @@
 	}
 }
 
-// outcome ends an attempt.
-func (f *testFleet) endAttemptNow(id RequestID, n int, status Status) {
+// endAttempt ends an attempt now.
+func (f *testFleet) endAttempt(id RequestID, n int, status Status) {
 	r := f.open[id]
 	s := r.sends[n]
 	s.pending = false
@@ -265,7 +322,7 @@
 			r := f.open[id]
 			for n, s := range r.sends {
 				if s.pending && s.due <= f.now {
-					f.endAttemptNow(id, n, TimedOut)
+					f.endAttempt(id, n, TimedOut)
 				}
 			}
 			if !r.answered && f.now > r.deadline+f.settings.AnswerGrace {
@@ -283,101 +340,3 @@
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	return ids
 }
-
-// wild plays random legal events and returns all that happened.
-func playRandomEvents(t testing.TB, seed uint64) []string {
-	rng := rand.New(rand.NewPCG(seed, 1))
-	s := testSettings()
-	coin := func() bool { return rng.IntN(2) == 0 }
-	s.Hedging, s.CanCancel, s.LoadOrders, s.LoadOnMiss = coin(), coin(), rng.IntN(4) > 0, rng.IntN(4) == 0
-	s.MaxAttempts, s.ReportsQueueDepth, s.PollEndpoints = 1+rng.IntN(5), coin(), coin()
-	s.Classes[1].DedupScope = DedupScope(rng.IntN(3))
-	s.Dispatchers = []int{1, 3, 100, 300}[rng.IntN(4)]
-	s.ClientsMarkRetries, s.LiveWeights = coin(), coin()
-	if coin() {
-		s.LoadWindow, s.LoadBurst, s.LoadRatio = time.Second, 2, 0.3
-	}
-	if coin() {
-		s.Tenants = []Tenant{{Name: "a", Quota: 0.5, RateQuota: 5}}
-	}
-	f := newFleet(t, s, seed)
-	f.listWorkers(6)
-	statuses := []Status{OK, OK, OK, OK, OK, Miss, Rejected, Failed, Reset, ConnectFailed, NotSent}
-	for range 1500 {
-		f.advance(f.now + time.Duration(rng.IntN(8))*ms)
-		switch k := rng.IntN(20); {
-		case k < 8:
-			class := f.settings.Classes[rng.IntN(3)].Name
-			f.request(class, fmt.Sprintf("f%d", rng.IntN(12)), time.Duration(5+rng.IntN(1500))*ms)
-		case k < 14:
-			for _, id := range f.requestIDs() {
-				for n, a := range f.open[id].sends {
-					if a.pending && rng.IntN(4) == 0 {
-						f.endAttemptNow(id, n, statuses[rng.IntN(len(statuses))])
-					}
-				}
-			}
-		case k < 16:
-			f.endLoads([]Status{OK, OK, OK, Rejected, Failed, TimedOut, Reset}[rng.IntN(7)])
-		case k == 16:
-			w := f.workers[WorkerID(fmt.Sprintf("w%02d", rng.IntN(6)))]
-			w.State = WorkerState(rng.IntN(3))
-			if w.State == Ready && coin() {
-				w.Started = f.now
-			}
-			f.update(ScopeDelta, w)
-		case k == 17:
-			if ids := f.requestIDs(); len(ids) > 0 {
-				id := ids[rng.IntN(len(ids))]
-				f.open[id].answered = true
-				f.event(ClientGoneEvent{ID: id})
-			}
-		case k == 18: // what is late, repeated or unknown
-			f.event(OutcomeEvent{ID: RequestID(rng.IntN(2000)), Attempt: 7, Worker: "nobody", Status: Status(rng.IntN(12))})
-			f.event(LoadEndedEvent{Worker: "nobody", Function: "f1", Status: OK, Copies: 1})
-			f.event(TimerEvent{TimerID: int64(rng.IntN(5000))})
-			f.event(StreamStartedEvent{ID: 1 << 40})
-		case k == 19 && rng.IntN(10) == 0:
-			f.update(ScopeFull)
-			f.event(EndpointsEvent{Scope: ScopeFailed})
-		case k == 19 && len(f.state) < 3:
-			f.listWorkers(6)
-		}
-		for id, r := range f.open {
-			if r.answered && !anyPending(r) {
-				delete(f.open, id)
-			}
-		}
-	}
-	f.advance(f.now + 4*time.Second)
-	return f.log
-}
-
-func anyPending(r *testRequest) bool {
-	for _, s := range r.sends {
-		if s.pending {
-			return true
-		}
-	}
-	return false
-}
-
-func TestRandomEventsKeepTheRules(t *testing.T) {
-	for seed := range uint64(60) {
-		playRandomEvents(t, seed)
-	}
-}
-
-func TestEqualEventsGiveEqualActions(t *testing.T) {
-	for seed := range uint64(10) {
-		a, b := playRandomEvents(t, seed), playRandomEvents(t, seed)
-		if len(a) != len(b) {
-			t.Fatalf("seed %d: %d and %d entries", seed, len(a), len(b))
-		}
-		for i := range a {
-			if a[i] != b[i] {
-				t.Fatalf("seed %d, entry %d:\n%s\n%s", seed, i, a[i], b[i])
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/balancer/hedging_test.go
@@ -0,0 +1,61 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestHedgeWhereWorkerIsSilent(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(4)
+	for range 40 {
+		f.serve("safe", "fn")
+	}
+	id := f.request("safe", "fn", 2*time.Second)
+	f.advance(f.now + 700*ms)
+	s := f.open[id].sends
+	if len(s) != 2 || s[0].worker == s[1].worker {
+		t.Fatalf("%d sends for an overdue safe request, want a second elsewhere", len(s))
+	}
+	f.endAttempt(id, 1, OK)
+	if f.cancelled == 0 {
+		t.Error("the slower copy was not called off")
+	}
+}
+
+// Where hedging is not allowed, the silent attempt is cancelled before the retry.
+func TestNoHedgeWhereNotAllowed(t *testing.T) {
+	s := testSettings()
+	s.Hedging = false
+	f := newFleet(t, s, 1)
+	f.listWorkers(4)
+	for range 40 {
+		f.serve("safe", "fn")
+	}
+	id := f.request("safe", "fn", 2*time.Second)
+	f.advance(f.now + 700*ms)
+	if len(f.open[id].sends) != 1 || f.cancelled != 1 {
+		t.Fatalf("sends %d, cancels %d: want the silent attempt called off first", len(f.open[id].sends), f.cancelled)
+	}
+	f.endAttempt(id, 0, Cancelled)
+	f.endLoads(OK)
+	if len(f.open[id].sends) != 2 {
+		t.Error("not sent on after the cancel")
+	}
+}
+
+// Guards against hedging requests that only take long: their worker still answers others.
+func TestNoHedgeForLongRequest(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(1)
+	for range 20 {
+		f.serve("safe", "fn")
+	}
+	long := f.request("safe", "fn", 2*time.Second)
+	for range 20 {
+		f.serve("safe", "fn")
+	}
+	if len(f.open[long].sends) != 1 || f.cancelled > 0 {
+		t.Error("a long call was copied or called off though its worker answers")
+	}
+}
--- /dev/null
+++ b/internal/balancer/loadorders_test.go
@@ -0,0 +1,245 @@
+package balancer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestMissOrdersLoadAndResends(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(4)
+	home := f.serve("safe", "fn")
+	f.loads = nil
+	id := f.request("safe", "fn", 2*time.Second)
+	f.endAttempt(id, 0, Miss)
+	if len(f.loads) != 1 || f.loads[0].Worker != home {
+		t.Fatalf("after a miss: orders %v, want one at %s", f.loads, home)
+	}
+	f.endLoads(OK)
+	if s := f.open[id].sends; len(s) != 2 || s[1].worker != home {
+		t.Error("the request was not resent once the copy stood")
+	}
+}
+
+// With a load budget, requests try workers without an order. Misses within a few milliseconds must not use up all
+// attempts of a request.
+func TestLastAttemptWaitsForLoadedCopy(t *testing.T) {
+	s := testSettings()
+	s.MaxAttempts, s.LoadWindow, s.LoadBurst, s.LoadRatio = 4, 10*time.Second, 6, 0.15
+	f := newFleet(t, s, 1)
+	f.listWorkers(6)
+	id := f.request("safe", "fn", 2*time.Second)
+	for n := range 3 {
+		f.endAttempt(id, n, Miss)
+	}
+	if o := f.open[id]; len(o.sends) != 3 || len(f.loads) == 0 {
+		t.Fatalf("%d sends and orders %v, want the last send to wait for an order", len(o.sends), f.loads)
+	}
+	f.endLoads(OK)
+	if n := len(f.open[id].sends); n != 4 {
+		t.Errorf("%d sends once the copy stood, want 4", n)
+	}
+}
+
+// A crowded store slows every load; more orders in flight would only add to the crowd.
+func TestSlowLoadDecreasesLoadWindow(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(6)
+	f.advance(2 * time.Second)
+	ask := func(name string) int {
+		f.loads, f.pendingLoads = nil, nil
+		for i := range 12 {
+			f.request("safe", fmt.Sprint(name, i), 2*time.Second)
+		}
+		return len(f.loads)
+	}
+	usual := ask("a")
+	orders := f.pendingLoads
+	for i, l := range orders {
+		took := 200 * ms
+		if i == len(orders)-1 { // the others have widened the window by a third
+			took = time.Second
+		}
+		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Elapsed: took, Status: OK, Copies: 1})
+	}
+	if slow := ask("b"); slow < 2 || slow > usual*3/4 {
+		t.Errorf("%d orders in flight after a slow load, %d before", slow, usual)
+	}
+}
+
+func TestRequestGivesUpUnansweredLoadOrder(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(4)
+	f.request("unsafe", "fn", 2*time.Second)
+	first := f.loads[0].Worker
+	f.pendingLoads = nil // never answered
+	f.advance(f.now + 1200*ms)
+	if len(f.loads) < 2 || f.loads[1].Worker == first {
+		t.Errorf("orders %v: the request never left the silent one", f.loads)
+	}
+	f.advance(f.now + 2*time.Second) // the fleet asserts the final answer
+}
+
+func TestLoadOrdersKeepToBudget(t *testing.T) {
+	s := testSettings()
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = time.Second, 1, 0.1
+	f := newFleet(t, s, 1)
+	f.listWorkers(6)
+	for i := range 30 {
+		id := f.request("safe", fmt.Sprintf("f%d", i), time.Second)
+		for n := range f.open[id].sends { // not loaded anywhere: each send misses
+			if f.open[id].sends[n].pending {
+				f.endAttempt(id, n, Miss)
+			}
+		}
+		f.advance(f.now + 5*ms)
+	}
+	if len(f.loads) == 0 || len(f.loads) > 4 { // the fleet asserts the exact ration
+		t.Errorf("%d orders", len(f.loads))
+	}
+}
+
+// Guards the load budget on sockets, where an order counts once it has arrived: some wait for a connection that comes
+// up late, and those of one moment meet those of another in one window. None begins later than it says, and
+// whatever delay they have within that, no window holds more than the budget.
+func TestLoadBudgetHoldsForDelayedOrders(t *testing.T) {
+	s := testSettings()
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
+	s.MinEventInterval = 5 * ms
+	for seed := range uint64(4) {
+		rng := rand.New(rand.NewPCG(seed, 3))
+		f := newFleet(t, s, seed)
+		f.listWorkers(12)
+		var arrived []time.Duration
+		for i := range 400 {
+			f.advance(f.now + time.Duration(rng.IntN(150))*ms)
+			id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
+			for n := 0; n < len(f.open[id].sends); n++ { // not loaded anywhere
+				if f.open[id].sends[n].pending {
+					f.endAttempt(id, n, Miss)
+				}
+			}
+			for _, l := range f.pendingLoads {
+				if l.StartWithin <= 0 || l.StartWithin > 2*s.DialTimeout {
+					t.Fatalf("an order may begin within %v", l.StartWithin)
+				}
+				arrived = append(arrived, f.now+time.Duration(rng.Int64N(int64(2*s.DialTimeout))))
+			}
+			f.endLoads(OK)
+		}
+		slices.Sort(arrived)
+		for i, at := range arrived {
+			within, taken := 0, 0
+			for j := i; j >= 0 && arrived[j] > at-s.LoadWindow; j-- {
+				within++
+			}
+			for _, came := range f.arrivedAt {
+				if came > at-s.LoadWindow && came <= at {
+					taken++
+				}
+			}
+			if float64(within) > s.LoadBurst+s.LoadRatio*float64(taken) {
+				t.Fatalf("seed %d: %d orders arrived within %v of %v, and %d requests", seed, within, s.LoadWindow, at, taken)
+			}
+		}
+		if len(arrived) < 30 {
+			t.Fatalf("%d orders for 400 requests", len(arrived))
+		}
+	}
+}
+
+// Guards the load budget against clients that send by hundreds what they cancel at once, or what nobody knows: the
+// platform does not count these requests as taken. Only what a worker took for a request earns, at its arrival.
+func TestUnservedRequestsEarnNoLoadOrders(t *testing.T) {
+	s := testSettings()
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
+	for name, status := range map[string]Status{"taken back": Cancelled, "unknown": Failed} {
+		f := newFleet(t, s, 1)
+		f.listWorkers(12)
+		for i := range 200 {
+			id := f.request("unsafe", fmt.Sprintf("flood%d", i%20), time.Second)
+			if status == Cancelled {
+				f.open[id].answered = true
+				f.event(ClientGoneEvent{ID: id})
+			}
+			for n := range f.open[id].sends {
+				if f.open[id].sends[n].pending {
+					f.endAttempt(id, n, status)
+				}
+			}
+		}
+		f.advance(f.now + time.Second) // and so much for that
+		f.loads = nil
+		for i := range 60 {
+			id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
+			for n := 0; n < len(f.open[id].sends); n++ { // not loaded anywhere
+				if f.open[id].sends[n].pending {
+					f.endAttempt(id, n, Miss)
+				}
+			}
+			f.endLoads(OK)
+			f.advance(f.now + 5*ms)
+		}
+		if n := len(f.loads); n < 6 || n > 6+60*15/100 {
+			t.Errorf("%s: %d orders for 60 requests", name, n)
+		}
+	}
+}
+
+// The load budget runs out while the store is slow, and each dispatcher would wait for its own: another may have
+// ordered the copy meanwhile. So one request in two load times tries where it was missing.
+func TestMissingCopyIsTriedAgainWithoutLoadBudget(t *testing.T) {
+	s := testSettings()
+	s.LoadWindow, s.LoadBurst = 10*time.Second, 1
+	f := newFleet(t, s, 1)
+	f.listWorkers(1)
+	f.endAttempt(f.request("safe", "fn", 3*time.Second), 0, Miss) // its order is the only one to be had
+	f.endLoads(OK)
+	gone := f.request("safe", "other", 3*time.Second)
+	f.endAttempt(gone, 0, Miss)
+	f.event(ClientGoneEvent{ID: gone})
+	f.advance(f.now + 700*ms) // two load times
+	first, second := f.request("safe", "other", 3*time.Second), f.request("safe", "other", 3*time.Second)
+	if len(f.open[first].sends) != 1 || len(f.open[second].sends) != 0 {
+		t.Errorf("%d and %d sends", len(f.open[first].sends), len(f.open[second].sends))
+	}
+}
+
+// New versions of functions come on quiet days too: one miss where a copy was loaded puts all copies of that function
+// in doubt, and what is missing everywhere at once is loaded at a pace, though no budget holds it back.
+func TestReleaseOrdersLoadsAtAPace(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(6)
+	const functions = 40
+	name := func(i int) string { return fmt.Sprintf("fn%d", i) }
+	for i := range functions {
+		f.serve("safe", name(i))
+	}
+	twice := f.b.functions["fn0"]
+	for _, w := range f.b.ready { // it is believed to stand everywhere
+		p := twice.placement(w)
+		p.copies, p.loadedUntil = 1, f.now+f.b.loadedTrust()
+	}
+	f.loads = nil
+	for i := range functions {
+		id := f.request("safe", name(i), 2*time.Second)
+		for n := 0; n < len(f.open[id].sends); n++ {
+			if f.open[id].sends[n].pending {
+				f.endAttempt(id, n, Miss)
+			}
+		}
+		if i == 0 {
+			for _, p := range twice.placements {
+				if f.b.isLoaded(p) {
+					t.Errorf("a copy at %s is still believed in", p.worker.ID)
+				}
+			}
+		}
+	}
+	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.loads.window.size+1 { // one more while fewer are out
+		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.loads.window.size)
+	}
+}
--- /dev/null
+++ b/internal/balancer/placement_test.go
@@ -0,0 +1,71 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// All dispatchers agree on the primary worker of a rare function, and primary workers differ between functions.
+func TestRareFunctionsHaveOnePrimaryWorker(t *testing.T) {
+	homes := map[WorkerID]bool{}
+	for i := range 12 {
+		name := fmt.Sprintf("fn%d", i)
+		a, b := newFleet(t, testSettings(), 1), newFleet(t, testSettings(), 99)
+		a.listWorkers(6)
+		b.listWorkers(6)
+		x, y := a.serve("safe", name), b.serve("safe", name)
+		if x != y {
+			t.Errorf("%s: home %s at one dispatcher, %s at another", name, x, y)
+		}
+		homes[x] = true
+	}
+	if len(homes) < 3 {
+		t.Errorf("12 functions share only %d homes", len(homes))
+	}
+}
+
+// Rendezvous hashing keeps functions where they are when another worker is removed.
+func TestRemovedWorkerMovesOnlyItsOwnFunctions(t *testing.T) {
+	for i := range 12 {
+		name := fmt.Sprintf("fn%d", i)
+		f := newFleet(t, testSettings(), 1)
+		f.listWorkers(6)
+		home := f.serve("safe", name)
+		lost := WorkerID("w03")
+		f.update(ScopeDelta, Worker{ID: lost, State: Removed, Weight: 1})
+		f.advance(f.now + 20*time.Second) // let the copy be forgotten
+		if now := f.serve("safe", name); home != lost && now != home {
+			t.Errorf("%s moved from %s to %s though %s was lost", name, home, now, lost)
+		}
+	}
+}
+
+func TestHotFunctionsSpreadOverWorkers(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(4)
+	for range 60 {
+		f.serve("safe", "hot")
+	}
+	if len(f.sentTo) < 4 {
+		t.Errorf("a hot function reached only %v", f.sentTo)
+	}
+}
+
+// Guards against requests that wait for a load while a copy is loaded elsewhere: a busy copy answers sooner.
+func TestLoadedCopyIsPreferredToALoad(t *testing.T) {
+	f := newFleet(t, testSettings(), 1)
+	f.listWorkers(4)
+	f.serve("unsafe", "fn")
+	for range 8 {
+		f.request("unsafe", "fn", 2*time.Second)
+	}
+	for _, r := range f.b.unanswered {
+		if r.waitingFor != nil {
+			t.Errorf("request %d waits for a load though a copy stands", r.ID)
+		}
+	}
+	if len(f.loads) < 2 {
+		t.Error("no copy was ordered ahead at the next place")
+	}
+}
