--- a/internal/balancer/failuretest.go
+++ b/internal/balancer/classhealth.go
@@ -1,6 +1,17 @@
 package balancer
 
-import "math"
+import (
+	"math"
+	"time"
+)
+
+// classHealth is how a worker treats one class of requests.
+type classHealth struct {
+	lastOK         time.Duration
+	failureScore   float64       // evidence that it fails more than the fleet does
+	rejectedInARow int           // requests rejected since the last answer, which halves it
+	ejectedUntil   time.Duration // no request of the class before this
+}
 
 // failureTest is a sequential test of whether a worker fails more than the fleet: Page's cumulated sum of log
 // likelihood ratios, of a worker that fails at the high rate against one that fails at the usual rate.
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Estimates of load, capacity and time. They choose nothing; the decisions that use them are elsewhere.
+// This file holds estimates of load, capacity and time. They choose nothing; the decisions that use them are
+// elsewhere.
 
 const (
 	smoothing           = 0.1           // weight of a new sample in a running mean
--- /dev/null
+++ b/internal/balancer/fleet.go
@@ -0,0 +1,82 @@
+package balancer
+
+import (
+	"cmp"
+	"slices"
+)
+
+// worker returns the record of a worker, a new one if it is not known.
+func (b *Balancer) worker(id WorkerID) *worker {
+	w := b.workers[id]
+	if w == nil {
+		w = newWorker(id, b.initialWindow())
+		b.workers[id] = w
+	}
+	return w
+}
+
+// unloadAll notes that a worker holds no copies.
+func (b *Balancer) unloadAll(w *worker) {
+	for _, f := range b.functions {
+		if p := f.placements[w.ID]; p != nil {
+			p.setUnloaded()
+		}
+	}
+}
+
+// updateReady lists the ready workers anew, sorted by ID.
+func (b *Balancer) updateReady() {
+	b.ready = b.ready[:0]
+	for _, w := range b.workers {
+		if w.State == Ready {
+			b.ready = append(b.ready, w)
+		}
+	}
+	slices.SortFunc(b.ready, func(v, w *worker) int { return cmp.Compare(v.ID, w.ID) })
+	b.epoch++
+}
+
+// zone returns the record of a zone.
+func (b *Balancer) zone(name string) *zone {
+	z := b.zones[name]
+	if z == nil {
+		z = &zone{}
+		b.zones[name] = z
+	}
+	return z
+}
+
+// forget drops a removed worker, unless a load order to it is still pending.
+func (b *Balancer) forget(id WorkerID) {
+	for _, f := range b.functions {
+		if p := f.placements[id]; p != nil && p.ordered {
+			return
+		}
+	}
+	for _, f := range b.functions {
+		delete(f.placements, id)
+	}
+	delete(b.workers, id)
+}
+
+// markReachable notes a sign of life of a worker, and with it of its zone.
+func (b *Balancer) markReachable(w *worker) {
+	w.lastHeard = b.now
+	*w.zone = zone{lastHeard: b.now}
+}
+
+// markHealthy notes that a worker answers as it should, which ends its ejection.
+func (b *Balancer) markHealthy(w *worker) {
+	b.markReachable(w)
+	w.ejection.end()
+}
+
+// forgetRemoved drops workers that left so long ago that on their return they would be warm, or have a new start.
+func (b *Balancer) forgetRemoved() {
+	memory := b.settings.SlowStartDuration + b.settings.OverloadWindow
+	for id, w := range b.workers {
+		if w.State == Removed && len(w.outstanding) == 0 && b.now-w.removedAt > memory {
+			b.forget(id)
+		}
+	}
+}
--- a/internal/balancer/hash.go
+++ b/internal/balancer/hash.go
@@ -12,7 +12,7 @@
 	return x ^ x>>31
 }
 
-// unitInterval maps a hash to a number between 0 and 1, both excluded.
+// unitInterval maps a hash to a number above 0 and at most 1.
 func unitInterval(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
 
 func hashString(s string) uint64 {
