--- a/internal/balancer/attempts_test.go
+++ b/internal/balancer/attempts_test.go
@@ -91,16 +91,17 @@
 func TestSendAndOrderLoadCheckTheRules(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(2)
-	home := f.serve("unsafe", "fn")
+	primary := f.serve("unsafe", "fn")
 	id := f.request("unsafe", "fn", 2*time.Second)
 	r := f.b.requests[id]
 	f.b.actions = nil
 	f.b.send(r, f.b.workers["w00"]) // its first attempt is still out
-	f.update(ScopeDelta, Worker{ID: home, State: Draining, Weight: 1})
-	fresh := &request{RequestEvent: RequestEvent{ID: 77}, class: r.class, function: r.function, deadline: f.now + time.Second}
+	f.update(ScopeDelta, Worker{ID: primary, State: Draining, Weight: 1})
+	fresh := &request{RequestEvent: RequestEvent{ID: 77}, class: r.class, function: r.function,
+		deadline: f.now + time.Second}
 	f.b.actions = nil
-	f.b.send(fresh, f.b.workers[home])
-	f.b.orderLoad(r.function, r.function.placement(f.b.workers[home]), 1, 99)
+	f.b.send(fresh, f.b.workers[primary])
+	f.b.orderLoad(r.function, r.function.placement(f.b.workers[primary]), 1, 99)
 	if len(f.b.actions) > 0 || len(r.attempts) != 1 {
 		t.Errorf("emitted %v, %d attempts", f.b.actions, len(r.attempts))
 	}
--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -27,68 +27,102 @@
 	next(nil)
 }
 
-// What may cross within one request, in every order: the end of its attempt, the drain of the worker, a fresh start of
-// it under the same ID, the end of a load order, the client's leaving, and the module's own timer. The fleet holds
-// every action against the rules: nothing to a worker that drains, no further run of what may have run, one final
-// answer, none and no attempt for a client that has left.
+// What may cross within one request.
+const (
+	attemptEnds = iota
+	workerDrains
+	workerRestarts // under the same ID
+	loadsEnd
+	clientLeaves
+	timerExpires
+	crossingEvents // how many there are
+)
+
+// crossing is one request, and the events that cross while its first attempt is in flight.
+type crossing struct {
+	*testFleet
+	id         RequestID
+	worker     Worker // of the first attempt
+	status     Status // how the first attempt ends
+	clientLeft bool
+}
+
+// newCrossing sends a request to a worker that holds its function.
+func newCrossing(t *testing.T, budgeted bool, class string, status Status) *crossing {
+	t.Helper()
+	s := testSettings()
+	s.MinEventInterval = sweepInterval // the module looks no oftener
+	if budgeted {
+		s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 2, 0.15
+	}
+	f := newFleet(t, s, 1)
+	f.listWorkers(3)
+	f.serve("safe", "fn")
+	id := f.request(class, "fn", 300*ms)
+	if len(f.open[id].sends) == 0 {
+		f.endLoads(OK)
+	}
+	if len(f.open[id].sends) == 0 {
+		t.Fatalf("%s is held", class)
+	}
+	return &crossing{testFleet: f, id: id, worker: f.workers[f.open[id].sends[0].worker], status: status}
+}
+
+func (c *crossing) play(event int) {
+	c.t.Helper()
+	switch event {
+	case attemptEnds:
+		if c.open[c.id].sends[0].pending {
+			c.endAttempt(c.id, 0, c.status)
+		}
+	case workerDrains:
+		c.worker.State = Draining
+		c.update(ScopeDelta, c.worker)
+	case workerRestarts:
+		c.worker.State = Ready
+		c.worker.Started = c.now + ms
+		c.update(ScopeDelta, c.worker)
+	case loadsEnd:
+		c.endLoads(OK)
+	case clientLeaves:
+		if !c.open[c.id].answered {
+			c.clientLeft = true
+			c.open[c.id].answered = true
+			c.event(ClientGoneEvent{ID: c.id})
+		}
+	case timerExpires:
+		c.advance(c.now + 3*sweepInterval)
+	}
+}
+
+// Crossing events in every order. The fleet holds every action against the rules: nothing to a worker that drains, no
+// further run of what may have run, one final answer, none and no attempt for a client that has left.
 func TestEveryOrderOfCrossingEvents(t *testing.T) {
-	for _, rationed := range []bool{false, true} {
+	for _, budgeted := range []bool{false, true} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			for _, status := range []Status{OK, Failed, Rejected, Miss, Reset, TimedOut, ConnectFailed, NotSent} {
-				if rationed && status != Miss && status != Rejected { // else it orders nothing
+				if budgeted && status != Miss && status != Rejected { // else it orders nothing
 					continue
 				}
-				permutations(6, func(order []int) {
-					s := testSettings()
-					s.MinEventInterval = sweepInterval // the module looks no oftener
-					if rationed {
-						s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 2, 0.15
-					}
-					f := newFleet(t, s, 1)
-					f.listWorkers(3)
-					f.serve("safe", "fn")
-					id := f.request(class, "fn", 300*ms)
-					if len(f.open[id].sends) == 0 {
-						f.endLoads(OK)
-					}
-					if len(f.open[id].sends) == 0 {
-						t.Fatalf("%s is held", class)
-					}
-					w := f.workers[f.open[id].sends[0].worker]
-					gone := false
-					for _, step := range order {
-						f.log = append(f.log, fmt.Sprint("step ", step, " of ", order))
-						switch step {
-						case 0:
-							if f.open[id].sends[0].pending {
-								f.endAttempt(id, 0, status)
-							}
-						case 1:
-							w.State = Draining
-							f.update(ScopeDelta, w)
-						case 2:
-							w.State, w.Started = Ready, f.now+ms
-							f.update(ScopeDelta, w)
-						case 3:
-							f.endLoads(OK)
-						case 4:
-							if !f.open[id].answered {
-								gone, f.open[id].answered = true, true
-								f.event(ClientGoneEvent{ID: id})
-							}
-						case 5:
-							f.advance(f.now + 3*sweepInterval)
-						}
-					}
-					if r := f.b.requests[id]; gone && r != nil && !r.closed {
-						t.Fatalf("%s, %v, %v: open after its client has left", class, status, order)
-					}
-					f.advance(f.now + 350*ms)
-					if !f.open[id].answered {
-						t.Fatalf("%s, %v, %v: never answered", class, status, order)
-					}
+				permutations(crossingEvents, func(order []int) {
+					checkCrossing(t, newCrossing(t, budgeted, class, status), class, order)
 				})
 			}
 		}
 	}
 }
+
+func checkCrossing(t *testing.T, c *crossing, class string, order []int) {
+	t.Helper()
+	for _, event := range order {
+		c.log = append(c.log, fmt.Sprint("event ", event, " of ", order))
+		c.play(event)
+	}
+	if r := c.b.requests[c.id]; c.clientLeft && r != nil && !r.closed {
+		t.Fatalf("%s, %v, %v: open after its client has left", class, c.status, order)
+	}
+	c.advance(c.now + 350*ms)
+	if !c.open[c.id].answered {
+		t.Fatalf("%s, %v, %v: never answered", class, c.status, order)
+	}
+}
--- a/internal/balancer/dedup_test.go
+++ b/internal/balancer/dedup_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestDedupScope(t *testing.T) {
-	home := &worker{Worker: Worker{Zone: "a", Cell: 1}}
+	primary := &worker{Worker: Worker{Zone: "a", Cell: 1}}
 	sameCell := &worker{Worker: Worker{Zone: "b", Cell: 1}}
 	sameZone := &worker{Worker: Worker{Zone: "a", Cell: 2}}
 	for _, test := range []struct {
@@ -50,7 +50,7 @@
 		{"unknown", DedupScope(9), false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := &request{class: &Class{DedupScope: test.scope}, attempts: []*attempt{{worker: home, pending: true}}}
+			r := &request{class: &Class{DedupScope: test.scope}, attempts: []*attempt{{worker: primary, pending: true}}}
 			require.Equal(t, test.sameZone, r.dedupScopeHolds(sameZone))
 			require.Equal(t, test.sameCell, r.dedupScopeHolds(sameCell))
 		})
--- a/internal/balancer/dispatchers_test.go
+++ b/internal/balancer/dispatchers_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// many plays one fleet of workers for many balancers that share nothing, each with a few calls a second.
+// dispatcherGroup plays one fleet of workers for many balancers that share nothing, each with a few requests a second.
 type dispatcherGroup struct {
 	balancers []*Balancer
 	rng       *rand.Rand
@@ -18,11 +18,12 @@
 	loadCount int
 }
 
+// groupStep is how far the clock moves at a time.
 const groupStep = 5 * ms
 
 func newDispatcherGroup(t testing.TB, s Settings, balancers, workers int) *dispatcherGroup {
 	t.Helper()
-	m := &dispatcherGroup{rng: rand.New(rand.NewPCG(7, 7)), callbacks: map[time.Duration][]func(){},
+	g := &dispatcherGroup{rng: rand.New(rand.NewPCG(7, 7)), callbacks: map[time.Duration][]func(){},
 		sends: map[WorkerID][]time.Duration{}}
 	s.Dispatchers = balancers
 	var list []Worker
@@ -35,56 +36,59 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.balancers = append(m.balancers, b)
-		m.event(i, EndpointsEvent{Scope: ScopeFull, Workers: list})
+		g.balancers = append(g.balancers, b)
+		g.event(i, EndpointsEvent{Scope: ScopeFull, Workers: list})
 	}
-	return m
+	return g
 }
 
-func (m *dispatcherGroup) after(d time.Duration, f func()) {
-	at := (m.now + d + groupStep - 1) / groupStep * groupStep
-	if at <= m.now {
-		at = m.now + groupStep
+// after calls f after a time, on the next step.
+func (g *dispatcherGroup) after(d time.Duration, f func()) {
+	at := (g.now + d + groupStep - 1) / groupStep * groupStep
+	if at <= g.now {
+		at = g.now + groupStep
 	}
-	m.callbacks[at] = append(m.callbacks[at], f)
+	g.callbacks[at] = append(g.callbacks[at], f)
 }
 
-func (m *dispatcherGroup) event(i int, e Event) {
-	for _, a := range m.balancers[i].Handle(m.now, e) {
+// event delivers an event to one balancer and answers its actions.
+func (g *dispatcherGroup) event(i int, e Event) {
+	for _, a := range g.balancers[i].Handle(g.now, e) {
 		switch a := a.(type) {
 		case Send:
-			m.sends[a.Worker] = append(m.sends[a.Worker], m.now)
-			n := len(m.balancers[i].requests[a.ID].attempts) - 1 // one send of a request at a time
-			m.after(150*ms, func() {
-				m.event(i, OutcomeEvent{ID: a.ID, Attempt: n, Worker: a.Worker, Status: OK, Elapsed: 150 * ms,
+			g.sends[a.Worker] = append(g.sends[a.Worker], g.now)
+			n := len(g.balancers[i].requests[a.ID].attempts) - 1 // one send of a request at a time
+			g.after(150*ms, func() {
+				g.event(i, OutcomeEvent{ID: a.ID, Attempt: n, Worker: a.Worker, Status: OK, Elapsed: 150 * ms,
 					Answered: true})
 			})
 		case Load:
-			m.loadCount++
-			m.after(groupStep, func() {
-				m.event(i, LoadEndedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Elapsed: groupStep, Copies: 1})
+			g.loadCount++
+			g.after(groupStep, func() {
+				g.event(i, LoadEndedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Elapsed: groupStep,
+					Copies: 1})
 			})
 		case SetTimer:
-			m.after(a.After, func() { m.event(i, TimerEvent{TimerID: a.TimerID}) })
+			g.after(a.After, func() { g.event(i, TimerEvent{TimerID: a.TimerID}) })
 		}
 	}
 }
 
-// play sends calls for some time, rate a second over all balancers, a fifth of them for one function.
-func (m *dispatcherGroup) play(span time.Duration, rate float64) {
-	for until := m.now + span; m.now < until; {
-		m.now += groupStep
-		events := m.callbacks[m.now]
-		delete(m.callbacks, m.now)
+// play sends requests for some time, rate a second over all balancers, a fifth of them for one function.
+func (g *dispatcherGroup) play(span time.Duration, rate float64) {
+	for until := g.now + span; g.now < until; {
+		g.now += groupStep
+		events := g.callbacks[g.now]
+		delete(g.callbacks, g.now)
 		for _, f := range events {
 			f()
 		}
-		for n := rate * groupStep.Seconds(); n > 0 && m.rng.Float64() < n; n-- {
-			f := m.rng.IntN(40)
-			if m.rng.IntN(5) == 0 {
+		for n := rate * groupStep.Seconds(); n > 0 && g.rng.Float64() < n; n-- {
+			f := g.rng.IntN(40)
+			if g.rng.IntN(5) == 0 {
 				f = 0
 			}
-			m.event(m.rng.IntN(len(m.balancers)), RequestEvent{ID: RequestID(m.rng.Int64N(1 << 40)), Class: "safe",
+			g.event(g.rng.IntN(len(g.balancers)), RequestEvent{ID: RequestID(g.rng.Int64N(1 << 40)), Class: "safe",
 				Function: FunctionID(fmt.Sprintf("fn%d", f)), TimeLeft: 2 * time.Second, Concurrency: 4, LoadTime: 300 * ms})
 		}
 	}
@@ -94,33 +98,31 @@
 func TestManyDispatchersKeepSlowStart(t *testing.T) {
 	slow := testSettings()
 	slow.SlowStartFloor, slow.SlowStartDuration = 0.1, 20*time.Second
-	m := newDispatcherGroup(t, slow, 200, 10)
-	m.play(12*time.Second, 400)
-	cold, capacity := WorkerID("w00"), 400/10/0.6 // a warm worker is busy for 0.6 of its time
-	for w, at := range m.sends {
-		if len(at) > len(m.sends[cold]) || len(at) == len(m.sends[cold]) && w < cold {
+	g := newDispatcherGroup(t, slow, 200, 10)
+	g.play(12*time.Second, 400)
+	const capacity = 400 / 10 / 0.6 // a warm worker is busy for 0.6 of its time
+	cold := WorkerID("w00")
+	for w, at := range g.sends {
+		if len(at) > len(g.sends[cold]) || len(at) == len(g.sends[cold]) && w < cold {
 			cold = w // the busiest
 		}
 	}
-	started := m.now
-	for i := range m.balancers {
-		m.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: []Worker{{ID: cold, Zone: "z0", Weight: 1, Started: started}}})
+	started := g.now
+	for i := range g.balancers {
+		restarted := Worker{ID: cold, Zone: "z0", Weight: 1, Started: started}
+		g.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: []Worker{restarted}})
 	}
-	m.sends[cold] = nil
-	m.play(12*time.Second, 400)
-	s := m.balancers[0].settings
+	g.sends[cold] = nil
+	g.play(12*time.Second, 400)
 	early := 0
-	for i, at := range m.sends[cold] {
-		if at >= started+s.SlowStartDuration {
+	for i, at := range g.sends[cold] {
+		if at >= started+slow.SlowStartDuration {
 			break
 		}
-		n := 0
-		for j := i; j >= 0 && m.sends[cold][j] > at-s.OverloadWindow; j-- {
-			n++
-		}
-		warm := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(at-started)/float64(s.SlowStartDuration)
-		if most := s.OverloadMultiple * warm * capacity * s.OverloadWindow.Seconds(); float64(n) > most {
-			t.Fatalf("%v after its start: %d calls within %v, at most %.0f", at-started, n, s.OverloadWindow, most)
+		sends := countAfter(g.sends[cold][:i+1], at-slow.OverloadWindow)
+		if limit := overloadLimit(slow, at-started, capacity); float64(sends) > limit {
+			t.Fatalf("%v after its start: %d requests within %v, at most %.0f", at-started, sends,
+				slow.OverloadWindow, limit)
 		}
 		early++
 	}
@@ -129,19 +131,26 @@
 	}
 }
 
-// restart has the balancers begin anew, with nothing but the list.
-func (m *dispatcherGroup) restart(t testing.TB, part float64, list []Worker) {
-	for i := range m.balancers {
-		if m.rng.Float64() >= part {
-			m.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: list})
+// overloadLimit is how many requests within OverloadWindow overload a worker some time after its start, by how many
+// it answers in a second when it is warm.
+func overloadLimit(s Settings, age time.Duration, capacity float64) float64 {
+	warmth := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(age)/float64(s.SlowStartDuration)
+	return s.OverloadMultiple * warmth * capacity * s.OverloadWindow.Seconds()
+}
+
+// restart has a part of the balancers begin anew, with nothing but the list.
+func (g *dispatcherGroup) restart(t testing.TB, part float64, list []Worker) {
+	for i := range g.balancers {
+		if g.rng.Float64() >= part {
+			g.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: list})
 			continue
 		}
-		b, err := New(m.balancers[i].settings, uint64(i)+m.rng.Uint64())
+		b, err := New(g.balancers[i].settings, uint64(i)+g.rng.Uint64())
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.balancers[i] = b
-		m.event(i, EndpointsEvent{Scope: ScopeStale, Workers: list})
+		g.balancers[i] = b
+		g.event(i, EndpointsEvent{Scope: ScopeStale, Workers: list})
 	}
 }
 
@@ -154,30 +163,28 @@
 				s := testSettings()
 				s.SlowStartFloor, s.SlowStartDuration, s.OverloadWindow = 0.27, 16*time.Second, 3*time.Second
 				const workers, rate = 10, 300
-				m := newDispatcherGroup(t, s, peers, workers)
-				m.play(12*time.Second, rate)
+				g := newDispatcherGroup(t, s, peers, workers)
+				g.play(12*time.Second, rate)
 				var list []Worker
-				for _, w := range m.balancers[0].ready {
+				for _, w := range g.balancers[0].ready {
 					list = append(list, w.Worker)
 				}
 				const cold = 3 // of the workers, as when a room comes back
 				for i := range cold {
-					list[i].Started = m.now
+					list[i].Started = g.now
 				}
-				started := m.now
-				m.sends = map[WorkerID][]time.Duration{}
-				m.restart(t, part, list)
-				m.play(8*time.Second, 1.5*rate) // a burst of half as much again
+				started := g.now
+				g.sends = map[WorkerID][]time.Duration{}
+				g.restart(t, part, list)
+				g.play(8*time.Second, 1.5*rate) // a burst of half as much again
 				for _, w := range list[:cold] {
-					for i, at := range m.sends[w.ID] {
-						n := 0
-						for j := i; j >= 0 && m.sends[w.ID][j] > at-s.OverloadWindow; j-- {
-							n++
-						}
-						warm := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(at-started)/float64(s.SlowStartDuration)
-						most := s.OverloadMultiple * warm * rate / workers / 0.6 * s.OverloadWindow.Seconds()
-						if most += 2*math.Sqrt(most) + 2; float64(n) > most {
-							t.Fatalf("%v after its start: %d calls within %v, at most %.0f", at-started, n, s.OverloadWindow, most)
+					for i, at := range g.sends[w.ID] {
+						sends := countAfter(g.sends[w.ID][:i+1], at-s.OverloadWindow)
+						limit := overloadLimit(s, at-started, rate/workers/0.6)
+						limit += 2*math.Sqrt(limit) + 2
+						if float64(sends) > limit {
+							t.Fatalf("%v after its start: %d requests within %v, at most %.0f", at-started, sends,
+								s.OverloadWindow, limit)
 						}
 					}
 				}
@@ -188,23 +195,23 @@
 
 // Guards against loads and primary workers by chance: few own calls must not scatter a fleet's copies.
 func TestManyDispatchersAgreeOnPlacement(t *testing.T) {
-	m := newDispatcherGroup(t, testSettings(), 200, 30)
-	m.play(15*time.Second, 400)
-	before := m.loadCount
-	m.play(5*time.Second, 400)
-	if n := m.loadCount - before; n > 400 {
-		t.Errorf("%d orders for 2000 calls, though all copies stand", n)
+	g := newDispatcherGroup(t, testSettings(), 200, 30)
+	g.play(15*time.Second, 400)
+	before := g.loadCount
+	g.play(5*time.Second, 400)
+	if n := g.loadCount - before; n > 400 {
+		t.Errorf("%d orders for 2000 requests, though all copies are loaded", n)
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
 	for _, workers := range []int{10, 100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			m := newDispatcherGroup(b, testSettings(), 30, workers)
-			m.play(5*time.Second, 200)
+			g := newDispatcherGroup(b, testSettings(), 30, workers)
+			g.play(5*time.Second, 200)
 			b.ResetTimer()
 			for range b.N {
-				m.play(groupStep, 200)
+				g.play(groupStep, 200)
 			}
 		})
 	}
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -32,7 +32,7 @@
 
 // zone is what is known of all workers of one zone together.
 type zone struct {
-	lastHeard       time.Duration // last sign of life of any of them
+	lastContact     time.Duration // last sign of life of any of them
 	lostTime        time.Duration // waited since then for attempts that ended without an answer
 	outstandingTime time.Duration // ... and with those still pending
 	ejection        ejection      // active while the zone is unreachable
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"kitefall/internal/balancer"
 )
 
-// A dispatcher asks for a copy before it sends a call to a worker that is not known to hold one.
+// A dispatcher asks for a copy before it sends a request to a worker that is not known to hold one.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Dispatchers: 1,
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -61,8 +61,8 @@
 
 // markReachable notes a sign of life of a worker, and with it of its zone.
 func (b *Balancer) markReachable(w *worker) {
-	w.lastHeard = b.now
-	*w.zone = zone{lastHeard: b.now}
+	w.lastContact = b.now
+	*w.zone = zone{lastContact: b.now}
 }
 
 // markHealthy notes that a worker answers as it should, which ends its ejection.
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -2,81 +2,27 @@
 
 import (
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 )
 
-// serve sends one request of a function and ends its load orders, so that a copy is believed to be loaded.
-func (f *testFleet) serve(class, function string) WorkerID {
-	f.t.Helper()
-	id := f.request(class, function, 2*time.Second)
-	f.endLoads(OK)
-	if len(f.open[id].sends) != 1 {
-		f.t.Fatalf("request %d: %d sends after its order stands", id, len(f.open[id].sends))
-	}
-	f.advance(f.now + 50*ms)
-	f.endAttempt(id, 0, OK)
-	return f.open[id].sends[0].worker
-}
-
-// newLargeFleet returns a fleet for a dispatcher of many that has seen requests answered by all workers, a few each.
-func newLargeFleet(t *testing.T, workers int) *testFleet {
-	s := testSettings()
-	s.Dispatchers, s.Zones = 80, []string{"z0", "z1", "z2"}
-	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
-	f := newFleet(t, s, 1)
-	var list []Worker
-	for i := range workers {
-		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Weight: 1})
-	}
-	f.update(ScopeFull, list...)
-	for i := range 3 * workers {
-		f.advance(f.now + 50*ms)
-		f.endLatestAttempt(f.request("safe", fmt.Sprintf("fn%d", i), time.Second), OK, 50*ms)
-	}
-	return f
-}
-
-// endLatestAttempt ends the latest attempt of a request after a time.
-func (f *testFleet) endLatestAttempt(id RequestID, s Status, after time.Duration) {
-	f.advance(f.now + after)
-	f.endAttempt(id, len(f.open[id].sends)-1, s)
-}
-
-// firstWorker is the worker that the first attempt of a request went to.
-func (f *testFleet) firstWorker(id RequestID) WorkerID {
-	require.NotEmpty(f.t, f.open[id].sends, "request %d is held", id)
-	return f.open[id].sends[0].worker
-}
-
-// functionAt finds a function that no request has named yet, with a primary worker that suits.
-func (f *testFleet) functionAt(suits func(*worker) bool) string {
-	for i := 0; ; i++ {
-		name := fmt.Sprintf("new%d", i)
-		home := f.b.rendezvousOrder(&function{id: FunctionID(name), rendezvousEpoch: -1, groupSize: 1})
-		if suits(home[0]) && f.b.functions[FunctionID(name)] == nil {
-			return name
-		}
-	}
-}
-
-func isWorker(id WorkerID) func(*worker) bool { return func(w *worker) bool { return w.ID == id } }
-
 const ms = time.Millisecond
 
-// testSettings has one class of each effect and every ordinary permission.
+// testSettings has one class of each idempotency and every ordinary permission.
 func testSettings() Settings {
+	class := Class{LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second}
+	safe, keyed, unsafe := class, class, class
+	safe.Name, safe.Weight, safe.Idempotency = "safe", 2, Idempotent
+	keyed.Name, keyed.Weight, keyed.Idempotency = "keyed", 3, IdempotentWithKey
+	keyed.DedupScope, keyed.DedupWindow = DedupCell, time.Second
+	unsafe.Name, unsafe.Weight, unsafe.Idempotency = "unsafe", 3, NotIdempotent
 	return Settings{
 		Dispatchers: 2, Zone: "z0", Zones: []string{"z0", "z1"}, MinEventInterval: 2 * ms,
-		Classes: []Class{
-			{Name: "safe", Weight: 2, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: Idempotent},
-			{Name: "keyed", Weight: 3, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentWithKey,
-				DedupScope: DedupCell, DedupWindow: time.Second},
-			{Name: "unsafe", Weight: 3, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: NotIdempotent},
-		},
+		Classes:         []Class{safe, keyed, unsafe},
 		OverQuotaWeight: 0.1, CanCancel: true, Hedging: true, MaxAttempts: 3, MaxInFlight: 1000,
 		DialTimeout: 250 * ms, AnswerGrace: 8 * ms, DrainGrace: 250 * ms,
 		SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second,
@@ -84,30 +30,32 @@
 	}
 }
 
-// fleet plays the other side for one balancer and checks every action against the rules.
+// testFleet plays the other side for one balancer and checks every action against the rules.
 type testFleet struct {
-	t            testing.TB
-	b            *Balancer
-	settings     Settings
-	now          time.Duration
-	state        map[WorkerID]WorkerState
-	workers      map[WorkerID]Worker
-	open         map[RequestID]*testRequest
+	t        testing.TB
+	b        *Balancer
+	settings Settings
+	now      time.Duration
+	timers   []pendingTimer
+	log      []string // every event and action
+
+	state    map[WorkerID]WorkerState
+	workers  map[WorkerID]Worker
+	open     map[RequestID]*testRequest
+	lastID   RequestID
+	arrivals []time.Duration
+
 	pendingLoads []Load
-	orderedAt    []time.Duration
-	arrivedAt    []time.Duration
-	timers       []SetTimer
-	timerDue     []time.Duration
-	log          []string
-	sent         []Send
 	loads        []Load
+	loadTimes    []time.Duration
+	sent         []Send
+	sentTo       map[WorkerID]int
 	rejected     map[RequestID]bool
 	failed       map[RequestID]bool
-	lastID       RequestID
-	sentTo       map[WorkerID]int
 	cancelled    int
 }
 
+// testRequest is a request as its client sees it.
 type testRequest struct {
 	class    Class
 	deadline time.Duration
@@ -115,10 +63,21 @@
 	answered bool
 }
 
+// sentAttempt is an attempt as its worker sees it.
 type sentAttempt struct {
-	worker              WorkerID
-	sentAt, due         time.Duration
-	pending, mayHaveRun bool
+	worker     WorkerID
+	sentAt     time.Duration
+	due        time.Duration // it times out then
+	pending    bool
+	mayHaveRun bool
+}
+
+// mayRun tells that the attempt may run or may have run.
+func (s *sentAttempt) mayRun() bool { return s.pending || s.mayHaveRun }
+
+type pendingTimer struct {
+	id  int64
+	due time.Duration
 }
 
 func newFleet(t testing.TB, s Settings, seed uint64) *testFleet {
@@ -127,12 +86,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &testFleet{t: t, b: b, settings: s, state: map[WorkerID]WorkerState{}, workers: map[WorkerID]Worker{},
-		open: map[RequestID]*testRequest{}, rejected: map[RequestID]bool{}, failed: map[RequestID]bool{},
-		sentTo: map[WorkerID]int{}}
+	return &testFleet{
+		t:        t,
+		b:        b,
+		settings: s,
+		state:    map[WorkerID]WorkerState{},
+		workers:  map[WorkerID]Worker{},
+		open:     map[RequestID]*testRequest{},
+		sentTo:   map[WorkerID]int{},
+		rejected: map[RequestID]bool{},
+		failed:   map[RequestID]bool{},
+	}
 }
 
-// list tells of n ready workers, two cells, two zones.
+// listWorkers tells of n ready workers in two cells and two zones.
 func (f *testFleet) listWorkers(n int) {
 	var list []Worker
 	for i := range n {
@@ -142,6 +109,7 @@
 	f.update(ScopeFull, list...)
 }
 
+// update changes the endpoint list.
 func (f *testFleet) update(scope UpdateScope, list ...Worker) {
 	if scope == ScopeFull {
 		clear(f.state)
@@ -153,6 +121,7 @@
 	f.event(EndpointsEvent{Scope: scope, Workers: list})
 }
 
+// request sends a new request with some time left.
 func (f *testFleet) request(class, function string, left time.Duration) RequestID {
 	f.lastID++
 	for _, c := range f.settings.Classes {
@@ -160,13 +129,15 @@
 			f.open[f.lastID] = &testRequest{class: c, deadline: f.now + left}
 		}
 	}
-	f.arrivedAt = append(f.arrivedAt, f.now)
+	f.arrivals = append(f.arrivals, f.now)
 	f.event(RequestEvent{ID: f.lastID, Class: class, Function: FunctionID(function), TimeLeft: left, Concurrency: 1,
 		LoadTime: 300 * ms})
 	return f.lastID
 }
 
+// event delivers an event and checks what the balancer does.
 func (f *testFleet) event(e Event) {
+	f.t.Helper()
 	f.log = append(f.log, fmt.Sprintf("%d %T%+v", f.now, e, e))
 	for _, a := range f.b.Handle(f.now, e) {
 		f.log = append(f.log, fmt.Sprintf("%d -> %T%+v", f.now, a, a))
@@ -174,112 +145,147 @@
 	}
 }
 
+// checkAction fails the test if an action breaks a rule, and carries it out.
 func (f *testFleet) checkAction(action Action) {
 	f.t.Helper()
 	switch a := action.(type) {
 	case Send:
-		r := f.open[a.ID]
-		if r == nil || r.answered {
-			f.t.Fatalf("rule 1: send for %d, which is over", a.ID)
-		}
-		if f.state[a.Worker] != Ready {
-			f.t.Fatalf("rule 3: send to %s, which drains or is gone", a.Worker)
-		}
-		if _, known := f.state[a.Worker]; !known {
-			f.t.Fatalf("rule 3: send to %s, which is not listed", a.Worker)
-		}
-		if len(r.sends) >= f.settings.MaxAttempts {
-			f.t.Fatalf("more attempts than allowed for %d", a.ID)
-		}
-		for _, s := range r.sends {
-			if s.pending && !f.settings.Hedging {
-				f.t.Fatalf("rule 2: two attempts of %d at a time", a.ID)
-			}
-			if !s.pending && !s.mayHaveRun {
-				continue
-			}
-			switch r.class.Idempotency {
-			case NotIdempotent:
-				f.t.Fatalf("rule 2: unsafe %d sent again", a.ID)
-			case IdempotentWithKey:
-				x, y := f.workers[s.worker], f.workers[a.Worker]
-				if f.now-s.sentAt >= r.class.DedupWindow {
-					f.t.Fatalf("rule 2: keyed %d sent again after its window", a.ID)
-				}
-				if r.class.DedupScope == DedupCell && x.Cell != y.Cell || r.class.DedupScope == DedupZone && x.Zone != y.Zone {
-					f.t.Fatalf("rule 2: keyed %d sent outside its group", a.ID)
-				}
-			}
-		}
-		due := r.deadline
-		if a.Timeout > 0 {
-			due = min(due, f.now+a.Timeout)
-		}
-		r.sends = append(r.sends, &sentAttempt{worker: a.Worker, sentAt: f.now, due: due, pending: true})
-		f.sent = append(f.sent, a)
-		f.sentTo[a.Worker]++
-	case Reject, Fail:
-		id, refused := RequestID(0), false
-		if x, ok := a.(Reject); ok {
-			id, refused = x.ID, true
-		} else {
-			id = a.(Fail).ID
-		}
-		r := f.open[id]
-		if r == nil || r.answered {
-			f.t.Fatalf("rule 1: second final answer for %d", id)
-		}
-		r.answered = true
-		if f.now > r.deadline+f.settings.AnswerGrace {
-			f.t.Fatalf("rule 1: answer to %d after its deadline", id)
-		}
-		if refused {
-			f.rejected[id] = true
-			for _, s := range r.sends {
-				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet
-				if (s.pending || s.mayHaveRun) && !harmless {
-					f.t.Fatalf("rule 2: %d refused though it may have run", id)
-				}
-			}
-		} else {
-			f.failed[id] = true
-		}
+		f.checkSend(a)
+	case Reject:
+		f.checkFinalAnswer(a.ID)
+		f.checkReject(a.ID)
+	case Fail:
+		f.checkFinalAnswer(a.ID)
+		f.failed[a.ID] = true
 	case Load:
-		if a.Copies > 0 {
-			if f.state[a.Worker] != Ready {
-				f.t.Fatalf("rule 3: load at %s, which drains or is gone", a.Worker)
-			}
-			if f.settings.LoadWindow > 0 {
-				f.orderedAt = append(f.orderedAt, f.now)
-				count := func(times []time.Duration) (n int) {
-					for _, t := range times {
-						if t > f.now-f.settings.LoadWindow {
-							n++
-						}
-					}
-					return n
-				}
-				if float64(count(f.orderedAt)) > f.settings.LoadBurst+f.settings.LoadRatio*float64(count(f.arrivedAt)) {
-					f.t.Fatal("rule 5: more orders than the ration")
-				}
-			}
-		}
-		if !f.settings.LoadOrders || a.Function == "" {
-			f.t.Fatal("order that is not allowed")
-		}
-		f.pendingLoads = append(f.pendingLoads, a)
-		f.loads = append(f.loads, a)
+		f.checkLoad(a)
 	case Cancel:
 		if r := f.open[a.ID]; !f.settings.CanCancel || r == nil || a.Attempt >= len(r.sends) {
 			f.t.Fatal("cancel of what was never sent, or not allowed")
 		}
 		f.cancelled++
 	case SetTimer:
-		f.timers = append(f.timers, a)
-		f.timerDue = append(f.timerDue, f.now+a.After)
+		f.timers = append(f.timers, pendingTimer{id: a.TimerID, due: f.now + a.After})
 	}
 }
 
+func (f *testFleet) checkSend(a Send) {
+	f.t.Helper()
+	r := f.open[a.ID]
+	if r == nil || r.answered {
+		f.t.Fatalf("rule 1: send for %d, which is over", a.ID)
+	}
+	if f.state[a.Worker] != Ready {
+		f.t.Fatalf("rule 3: send to %s, which drains or is gone", a.Worker)
+	}
+	if _, known := f.state[a.Worker]; !known {
+		f.t.Fatalf("rule 3: send to %s, which is not listed", a.Worker)
+	}
+	if len(r.sends) >= f.settings.MaxAttempts {
+		f.t.Fatalf("more attempts than allowed for %d", a.ID)
+	}
+	for _, previous := range r.sends {
+		f.checkRepeat(a, r, previous)
+	}
+	due := r.deadline
+	if a.Timeout > 0 {
+		due = min(due, f.now+a.Timeout)
+	}
+	r.sends = append(r.sends, &sentAttempt{worker: a.Worker, sentAt: f.now, due: due, pending: true})
+	f.sent = append(f.sent, a)
+	f.sentTo[a.Worker]++
+}
+
+// checkRepeat checks a send against an earlier attempt of the same request.
+func (f *testFleet) checkRepeat(a Send, r *testRequest, previous *sentAttempt) {
+	f.t.Helper()
+	if previous.pending && !f.settings.Hedging {
+		f.t.Fatalf("rule 2: two attempts of %d at a time", a.ID)
+	}
+	if !previous.mayRun() {
+		return
+	}
+	switch r.class.Idempotency {
+	case NotIdempotent:
+		f.t.Fatalf("rule 2: unsafe %d sent again", a.ID)
+	case IdempotentWithKey:
+		if f.now-previous.sentAt >= r.class.DedupWindow {
+			f.t.Fatalf("rule 2: keyed %d sent again after its window", a.ID)
+		}
+		v, w := f.workers[previous.worker], f.workers[a.Worker]
+		otherCell := r.class.DedupScope == DedupCell && v.Cell != w.Cell
+		otherZone := r.class.DedupScope == DedupZone && v.Zone != w.Zone
+		if otherCell || otherZone {
+			f.t.Fatalf("rule 2: keyed %d sent outside its dedup scope", a.ID)
+		}
+	}
+}
+
+func (f *testFleet) checkFinalAnswer(id RequestID) {
+	f.t.Helper()
+	r := f.open[id]
+	if r == nil || r.answered {
+		f.t.Fatalf("rule 1: second final answer for %d", id)
+	}
+	r.answered = true
+	if f.now > r.deadline+f.settings.AnswerGrace {
+		f.t.Fatalf("rule 1: answer to %d after its deadline", id)
+	}
+}
+
+func (f *testFleet) checkReject(id RequestID) {
+	f.t.Helper()
+	f.rejected[id] = true
+	class := f.open[id].class
+	deduplicated := class.Idempotency == IdempotentWithKey && class.DedupScope == DedupFleet
+	harmless := class.Idempotency == Idempotent || deduplicated
+	for _, s := range f.open[id].sends {
+		if s.mayRun() && !harmless {
+			f.t.Fatalf("rule 2: %d rejected though it may have run", id)
+		}
+	}
+}
+
+func (f *testFleet) checkLoad(a Load) {
+	f.t.Helper()
+	if a.Copies > 0 {
+		if f.state[a.Worker] != Ready {
+			f.t.Fatalf("rule 3: load at %s, which drains or is gone", a.Worker)
+		}
+		f.checkLoadBudget()
+	}
+	if !f.settings.LoadOrders || a.Function == "" {
+		f.t.Fatal("order that is not allowed")
+	}
+	f.pendingLoads = append(f.pendingLoads, a)
+	f.loads = append(f.loads, a)
+}
+
+// checkLoadBudget counts an order that is sent now.
+func (f *testFleet) checkLoadBudget() {
+	f.t.Helper()
+	if f.settings.LoadWindow == 0 {
+		return
+	}
+	f.loadTimes = append(f.loadTimes, f.now)
+	since := f.now - f.settings.LoadWindow
+	budget := f.settings.LoadBurst + f.settings.LoadRatio*float64(countAfter(f.arrivals, since))
+	if float64(countAfter(f.loadTimes, since)) > budget {
+		f.t.Fatal("rule 5: more orders than the load budget")
+	}
+}
+
+// countAfter counts the times after since.
+func countAfter(times []time.Duration, since time.Duration) int {
+	count := 0
+	for _, t := range times {
+		if t > since {
+			count++
+		}
+	}
+	return count
+}
+
 // endAttempt ends an attempt now.
 func (f *testFleet) endAttempt(id RequestID, n int, status Status) {
 	r := f.open[id]
@@ -289,42 +295,41 @@
 	if status == OK {
 		r.answered = true
 	}
-	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.worker, Status: status, Elapsed: f.now - s.sentAt, Answered: r.answered})
+	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.worker, Status: status, Elapsed: f.now - s.sentAt,
+		Answered: r.answered})
 }
 
-// answerOrders lets all pending orders stand.
+// missEverywhere ends every attempt of a request with a miss, also those that follow: nothing is loaded anywhere.
+func (f *testFleet) missEverywhere(id RequestID) {
+	f.t.Helper()
+	for index := 0; index < len(f.open[id].sends); index++ {
+		if f.open[id].sends[index].pending {
+			f.endAttempt(id, index, Miss)
+		}
+	}
+}
+
+// endLoads ends all pending load orders.
 func (f *testFleet) endLoads(status Status) {
 	pending := f.pendingLoads
 	f.pendingLoads = nil
 	for _, l := range pending {
-		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Status: status, Elapsed: 200 * ms, Copies: l.Copies})
+		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Status: status, Elapsed: 200 * ms,
+			Copies: l.Copies})
 	}
 }
 
-// to moves the clock, step by step, with timers and time-outs.
+// advance moves the clock step by step, with timers and time-outs.
 func (f *testFleet) advance(now time.Duration) {
+	f.t.Helper()
 	for f.now < now {
 		f.now = min(now, f.now+f.settings.MinEventInterval)
-		var due []SetTimer
-		for i := 0; i < len(f.timers); {
-			if f.timerDue[i] <= f.now {
-				due = append(due, f.timers[i])
-				f.timers = append(f.timers[:i], f.timers[i+1:]...)
-				f.timerDue = append(f.timerDue[:i], f.timerDue[i+1:]...)
-				continue
-			}
-			i++
-		}
-		for _, w := range due {
-			f.event(TimerEvent{TimerID: w.TimerID})
+		for _, timer := range f.takeDueTimers() {
+			f.event(TimerEvent{TimerID: timer.id})
 		}
 		for _, id := range f.requestIDs() {
+			f.timeOutAttempts(id)
 			r := f.open[id]
-			for n, s := range r.sends {
-				if s.pending && s.due <= f.now {
-					f.endAttempt(id, n, TimedOut)
-				}
-			}
 			if !r.answered && f.now > r.deadline+f.settings.AnswerGrace {
 				f.t.Fatalf("rule 1: no answer to %d in time", id)
 			}
@@ -332,11 +337,83 @@
 	}
 }
 
-func (f *testFleet) requestIDs() []RequestID {
-	var ids []RequestID
-	for id := range f.open {
-		ids = append(ids, id)
+// takeDueTimers removes and returns the timers that have expired.
+func (f *testFleet) takeDueTimers() []pendingTimer {
+	var due, later []pendingTimer
+	for _, timer := range f.timers {
+		if timer.due <= f.now {
+			due = append(due, timer)
+		} else {
+			later = append(later, timer)
+		}
+	}
+	f.timers = later
+	return due
+}
+
+func (f *testFleet) timeOutAttempts(id RequestID) {
+	for index, s := range f.open[id].sends {
+		if s.pending && s.due <= f.now {
+			f.endAttempt(id, index, TimedOut)
+		}
 	}
-	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
-	return ids
 }
+
+// requestIDs are the open requests, sorted.
+func (f *testFleet) requestIDs() []RequestID { return slices.Sorted(maps.Keys(f.open)) }
+
+// serve sends one request of a function and ends its load orders, so that a copy is believed to be loaded.
+func (f *testFleet) serve(class, function string) WorkerID {
+	f.t.Helper()
+	id := f.request(class, function, 2*time.Second)
+	f.endLoads(OK)
+	if len(f.open[id].sends) != 1 {
+		f.t.Fatalf("request %d: %d sends after its load ended", id, len(f.open[id].sends))
+	}
+	f.advance(f.now + 50*ms)
+	f.endAttempt(id, 0, OK)
+	return f.open[id].sends[0].worker
+}
+
+// newLargeFleet returns a fleet for a dispatcher of many that has seen requests answered by all workers, a few each.
+func newLargeFleet(t *testing.T, workers int) *testFleet {
+	s := testSettings()
+	s.Dispatchers, s.Zones = 80, []string{"z0", "z1", "z2"}
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
+	f := newFleet(t, s, 1)
+	var list []Worker
+	for i := range workers {
+		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Weight: 1})
+	}
+	f.update(ScopeFull, list...)
+	for i := range 3 * workers {
+		f.advance(f.now + 50*ms)
+		f.endLatestAttempt(f.request("safe", fmt.Sprintf("fn%d", i), time.Second), OK, 50*ms)
+	}
+	return f
+}
+
+// endLatestAttempt ends the latest attempt of a request after a time.
+func (f *testFleet) endLatestAttempt(id RequestID, s Status, after time.Duration) {
+	f.advance(f.now + after)
+	f.endAttempt(id, len(f.open[id].sends)-1, s)
+}
+
+// firstWorker is the worker that the first attempt of a request went to.
+func (f *testFleet) firstWorker(id RequestID) WorkerID {
+	require.NotEmpty(f.t, f.open[id].sends, "request %d is held", id)
+	return f.open[id].sends[0].worker
+}
+
+// functionAt finds a function that no request has named yet, with a primary worker that suits.
+func (f *testFleet) functionAt(suits func(*worker) bool) string {
+	for i := 0; ; i++ {
+		name := fmt.Sprintf("new%d", i)
+		primary := f.b.rendezvousOrder(&function{id: FunctionID(name), rendezvousEpoch: -1, groupSize: 1})
+		if suits(primary[0]) && f.b.functions[FunctionID(name)] == nil {
+			return name
+		}
+	}
+}
+
+func isWorker(id WorkerID) func(*worker) bool { return func(w *worker) bool { return w.ID == id } }
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -19,7 +19,7 @@
 	}
 	f.endAttempt(id, 1, OK)
 	if f.cancelled == 0 {
-		t.Error("the slower copy was not called off")
+		t.Error("the slower attempt was not cancelled")
 	}
 }
 
@@ -56,6 +56,6 @@
 		f.serve("safe", "fn")
 	}
 	if len(f.open[long].sends) != 1 || f.cancelled > 0 {
-		t.Error("a long call was copied or called off though its worker answers")
+		t.Error("a long request was hedged or cancelled though its worker answers")
 	}
 }
--- a/internal/balancer/loadorders_test.go
+++ b/internal/balancer/loadorders_test.go
@@ -11,16 +11,16 @@
 func TestMissOrdersLoadAndResends(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(4)
-	home := f.serve("safe", "fn")
+	primary := f.serve("safe", "fn")
 	f.loads = nil
 	id := f.request("safe", "fn", 2*time.Second)
 	f.endAttempt(id, 0, Miss)
-	if len(f.loads) != 1 || f.loads[0].Worker != home {
-		t.Fatalf("after a miss: orders %v, want one at %s", f.loads, home)
+	if len(f.loads) != 1 || f.loads[0].Worker != primary {
+		t.Fatalf("after a miss: orders %v, want one at %s", f.loads, primary)
 	}
 	f.endLoads(OK)
-	if s := f.open[id].sends; len(s) != 2 || s[1].worker != home {
-		t.Error("the request was not resent once the copy stood")
+	if s := f.open[id].sends; len(s) != 2 || s[1].worker != primary {
+		t.Error("the request was not resent once the copy was loaded")
 	}
 }
 
@@ -40,11 +40,11 @@
 	}
 	f.endLoads(OK)
 	if n := len(f.open[id].sends); n != 4 {
-		t.Errorf("%d sends once the copy stood, want 4", n)
+		t.Errorf("%d sends once the copy was loaded, want 4", n)
 	}
 }
 
-// A crowded store slows every load; more orders in flight would only add to the crowd.
+// A crowded store slows every load; more orders in flight would only add to that.
 func TestSlowLoadDecreasesLoadWindow(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(6)
@@ -97,7 +97,7 @@
 		}
 		f.advance(f.now + 5*ms)
 	}
-	if len(f.loads) == 0 || len(f.loads) > 4 { // the fleet asserts the exact ration
+	if len(f.loads) == 0 || len(f.loads) > 4 { // the fleet asserts the exact budget
 		t.Errorf("%d orders", len(f.loads))
 	}
 }
@@ -110,43 +110,46 @@
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
 	s.MinEventInterval = 5 * ms
 	for seed := range uint64(4) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		f := newFleet(t, s, seed)
-		f.listWorkers(12)
-		var arrived []time.Duration
-		for i := range 400 {
-			f.advance(f.now + time.Duration(rng.IntN(150))*ms)
-			id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
-			for n := 0; n < len(f.open[id].sends); n++ { // not loaded anywhere
-				if f.open[id].sends[n].pending {
-					f.endAttempt(id, n, Miss)
-				}
-			}
-			for _, l := range f.pendingLoads {
-				if l.StartWithin <= 0 || l.StartWithin > 2*s.DialTimeout {
-					t.Fatalf("an order may begin within %v", l.StartWithin)
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 3))
+			f := newFleet(t, s, seed)
+			f.listWorkers(12)
+			var arrived []time.Duration
+			for i := range 400 {
+				f.advance(f.now + time.Duration(rng.IntN(150))*ms)
+				id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
+				f.missEverywhere(id)
+				for _, l := range f.pendingLoads {
+					if l.StartWithin <= 0 || l.StartWithin > 2*s.DialTimeout {
+						t.Fatalf("an order may begin within %v", l.StartWithin)
+					}
+					arrived = append(arrived, f.now+time.Duration(rng.Int64N(int64(2*s.DialTimeout))))
 				}
-				arrived = append(arrived, f.now+time.Duration(rng.Int64N(int64(2*s.DialTimeout))))
+				f.endLoads(OK)
 			}
-			f.endLoads(OK)
-		}
-		slices.Sort(arrived)
-		for i, at := range arrived {
-			within, taken := 0, 0
-			for j := i; j >= 0 && arrived[j] > at-s.LoadWindow; j-- {
-				within++
+			checkArrivals(t, f, arrived)
+			if len(arrived) < 30 {
+				t.Fatalf("%d orders for 400 requests", len(arrived))
 			}
-			for _, came := range f.arrivedAt {
-				if came > at-s.LoadWindow && came <= at {
-					taken++
-				}
-			}
-			if float64(within) > s.LoadBurst+s.LoadRatio*float64(taken) {
-				t.Fatalf("seed %d: %d orders arrived within %v of %v, and %d requests", seed, within, s.LoadWindow, at, taken)
+		})
+	}
+}
+
+// checkArrivals checks the load budget in the window that ends with each arrival of an order.
+func checkArrivals(t *testing.T, f *testFleet, arrived []time.Duration) {
+	t.Helper()
+	slices.Sort(arrived)
+	s := f.settings
+	for i, at := range arrived {
+		orders := countAfter(arrived[:i+1], at-s.LoadWindow)
+		requests := 0
+		for _, arrival := range f.arrivals {
+			if arrival > at-s.LoadWindow && arrival <= at {
+				requests++
 			}
 		}
-		if len(arrived) < 30 {
-			t.Fatalf("%d orders for 400 requests", len(arrived))
+		if float64(orders) > s.LoadBurst+s.LoadRatio*float64(requests) {
+			t.Fatalf("%d orders arrived within %v of %v, and %d requests", orders, s.LoadWindow, at, requests)
 		}
 	}
 }
@@ -156,7 +159,7 @@
 func TestUnservedRequestsEarnNoLoadOrders(t *testing.T) {
 	s := testSettings()
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
-	for name, status := range map[string]Status{"taken back": Cancelled, "unknown": Failed} {
+	for name, status := range map[string]Status{"cancelled": Cancelled, "unknown": Failed} {
 		f := newFleet(t, s, 1)
 		f.listWorkers(12)
 		for i := range 200 {
@@ -171,15 +174,11 @@
 				}
 			}
 		}
-		f.advance(f.now + time.Second) // and so much for that
+		f.advance(f.now + time.Second) // all of these are over
 		f.loads = nil
 		for i := range 60 {
 			id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
-			for n := 0; n < len(f.open[id].sends); n++ { // not loaded anywhere
-				if f.open[id].sends[n].pending {
-					f.endAttempt(id, n, Miss)
-				}
-			}
+			f.missEverywhere(id)
 			f.endLoads(OK)
 			f.advance(f.now + 5*ms)
 		}
@@ -219,22 +218,18 @@
 		f.serve("safe", name(i))
 	}
 	twice := f.b.functions["fn0"]
-	for _, w := range f.b.ready { // it is believed to stand everywhere
+	for _, w := range f.b.ready { // it is believed to be loaded everywhere
 		p := twice.placement(w)
 		p.copies, p.loadedUntil = 1, f.now+f.b.loadedTrust()
 	}
 	f.loads = nil
 	for i := range functions {
 		id := f.request("safe", name(i), 2*time.Second)
-		for n := 0; n < len(f.open[id].sends); n++ {
-			if f.open[id].sends[n].pending {
-				f.endAttempt(id, n, Miss)
-			}
-		}
+		f.missEverywhere(id)
 		if i == 0 {
 			for _, p := range twice.placements {
 				if f.b.isLoaded(p) {
-					t.Errorf("a copy at %s is still believed in", p.worker.ID)
+					t.Errorf("a copy at %s is still believed to be loaded", p.worker.ID)
 				}
 			}
 		}
--- a/internal/balancer/membership_test.go
+++ b/internal/balancer/membership_test.go
@@ -11,10 +11,10 @@
 	for _, state := range []WorkerState{Draining, Removed} {
 		f := newFleet(t, testSettings(), 1)
 		f.listWorkers(2)
-		home := f.serve("safe", "fn")
-		f.update(ScopeDelta, Worker{ID: home, State: state, Weight: 1})
-		if now := f.serve("safe", "fn"); now == home {
-			t.Errorf("state %d: still sent to %s", state, home)
+		primary := f.serve("safe", "fn")
+		f.update(ScopeDelta, Worker{ID: primary, State: state, Weight: 1})
+		if now := f.serve("safe", "fn"); now == primary {
+			t.Errorf("state %d: still sent to %s", state, primary)
 		}
 	}
 }
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -72,8 +72,8 @@
 		w.window.increase()
 	}
 	b.learnDemand(f, e.QueueDepth)
-	crowded := b.settings.ReportsQueueDepth && e.QueueDepth >= f.concurrency*p.copies
-	if crowded && p.copies < maxCopies && b.isLoaded(p) {
+	queueFull := b.settings.ReportsQueueDepth && e.QueueDepth >= f.concurrency*p.copies
+	if queueFull && p.copies < maxCopies && b.isLoaded(p) {
 		b.orderLoad(f, p, p.copies+1, b.loads.window.size)
 	}
 }
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -13,7 +13,7 @@
 	maxProbeBackoff     = 8 * time.Second        // longest time between two probes of an ejected worker
 	failureExcess       = 0.3                    // an outlier fails this much more of a class than the fleet ...
 	minFailureRate      = 0.01                   // ... which is taken to fail this part at the least
-	failureLimitBase    = 1.5                    // failure score of an outlier in the smallest fleet of calls
+	failureLimitBase    = 1.5                    // failure score of an outlier where there are no calls yet
 	fleetFailureWeight  = smoothing / 10         // weight of a new sample in the fleet's failure rate
 	otherClassShare     = 0.5                    // a failure says this much of the other classes ...
 	recentAnswer        = time.Second            // ... unless the worker has answered them in this time
@@ -108,7 +108,7 @@
 	if b.now-w.lastReset < sweepInterval && w.lastReset > 0 {
 		return false
 	}
-	if w.lastReset > w.lastHeard {
+	if w.lastReset > w.lastContact {
 		b.eject(w)
 	}
 	w.lastReset = b.now
@@ -121,7 +121,7 @@
 // ejectIfSilent ejects a worker that gave no sign of life during an attempt, unless its client soon left.
 func (b *Balancer) ejectIfSilent(w *worker, e OutcomeEvent) {
 	limitKnown := b.stats.meanAnswer > 0 || e.Status == TimedOut
-	if limitKnown && e.Elapsed >= b.silenceLimit() && b.now-w.lastHeard > e.Elapsed {
+	if limitKnown && e.Elapsed >= b.silenceLimit() && b.now-w.lastContact > e.Elapsed {
 		b.eject(w)
 	}
 }
@@ -137,7 +137,7 @@
 		b.meanLoad += b.load(w) / float64(len(b.ready))
 		if len(w.outstanding) > 0 && b.stats.meanAnswer > 0 {
 			oldest := w.outstanding[0].sentAt
-			if b.now-max(oldest, w.lastHeard) > b.silenceLimit() {
+			if b.now-max(oldest, w.lastContact) > b.silenceLimit() {
 				b.eject(w)
 			}
 			w.zone.outstandingTime += b.unansweredTime(w.zone, b.now-oldest)
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -14,7 +14,7 @@
 	for range 10 {
 		f.serve("safe", "fn")
 	}
-	home := f.sent[0].Worker
+	primary := f.sent[0].Worker
 	id := f.request("unsafe", "fn", 2*time.Second)
 	silent := f.open[id].sends[0].worker
 	f.advance(f.now + 700*ms)
@@ -23,7 +23,7 @@
 		f.serve("unsafe", "fn")
 	}
 	if f.sentTo[silent] > 0 {
-		t.Errorf("unsafe work still goes to %s, which is silent (home %s)", silent, home)
+		t.Errorf("unsafe work still goes to %s, which is silent (primary %s)", silent, primary)
 	}
 }
 
@@ -32,16 +32,16 @@
 func TestWorkerFailingOneClassGetsNoneOfIt(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(3)
-	home := f.serve("safe", "fn")
+	primary := f.serve("safe", "fn")
 	other := "other"
-	for f.serve("unsafe", other) != home {
+	for f.serve("unsafe", other) != primary {
 		other += "!"
 	}
 	for range 6 {
 		id := f.request("safe", "fn", time.Second)
 		f.endLoads(OK)
 		n := len(f.open[id].sends) - 1
-		if f.open[id].sends[n].worker == home {
+		if f.open[id].sends[n].worker == primary {
 			f.endAttempt(id, n, Failed)
 		} else {
 			f.endAttempt(id, n, OK)
@@ -51,12 +51,12 @@
 	for range 6 { // hot by now, so each worker would have its turn
 		id := f.request("safe", "fn", time.Second)
 		f.endLoads(OK)
-		if f.open[id].sends[0].worker == home {
-			t.Fatalf("still sent to %s", home)
+		if f.open[id].sends[0].worker == primary {
+			t.Fatalf("still sent to %s", primary)
 		}
 		f.endAttempt(id, 0, OK)
 	}
-	if f.b.workers[home].class("unsafe").failureScore > 0 {
+	if f.b.workers[primary].class("unsafe").failureScore > 0 {
 		t.Error("another class is blamed too")
 	}
 }
@@ -66,8 +66,8 @@
 func TestOneResetCountsOnce(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(1)
-	home := f.serve("unsafe", "fn")
-	w := f.b.workers[home]
+	primary := f.serve("unsafe", "fn")
+	w := f.b.workers[primary]
 	breaks := func() {
 		f.advance(f.now + 50*ms)
 		var open []RequestID
@@ -80,11 +80,11 @@
 	}
 	breaks()
 	if w.ejection.active || w.class("unsafe").failureScore > notIdempotentLimit*f.b.failureScoreLimit() {
-		t.Errorf("left out for one break: suspect %t, failure score %v", w.ejection.active, w.class("unsafe").failureScore)
+		t.Errorf("excluded for one break: ejected %t, failure score %v", w.ejection.active, w.class("unsafe").failureScore)
 	}
-	breaks() // and nothing was heard from it in between
+	breaks() // and it has not answered in between
 	if !w.ejection.active {
-		t.Error("not suspect, though it breaks every connection")
+		t.Error("not ejected, though it breaks every connection")
 	}
 }
 
@@ -92,20 +92,20 @@
 func TestEarlyCancelDoesNotEject(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(2)
-	home := f.serve("safe", "fn")
+	primary := f.serve("safe", "fn")
 	f.advance(f.now + 50*ms)
 	id := f.request("safe", "fn", time.Second)
 	f.advance(f.now + ms)
 	f.event(ClientGoneEvent{ID: id})
 	f.endAttempt(id, 0, Cancelled)
-	if f.b.workers[home].ejection.active {
-		t.Error("suspect after 1 ms of silence")
+	if f.b.workers[primary].ejection.active {
+		t.Error("ejected after 1 ms of silence")
 	}
 }
 
 // The same before any answer, as after a start: there is no mean answer time yet that the worker could be late against.
 func TestCancelBeforeAnyAnswerDoesNotEject(t *testing.T) {
-	for status, suspect := range map[Status]bool{Cancelled: false, TimedOut: true} {
+	for status, ejected := range map[Status]bool{Cancelled: false, TimedOut: true} {
 		s := testSettings()
 		s.LoadOrders = false
 		f := newFleet(t, s, 1)
@@ -114,8 +114,8 @@
 		id := f.request("unsafe", "fn", time.Second)
 		f.advance(f.now + 20*ms)
 		f.endAttempt(id, 0, status)
-		if got := f.b.workers["w00"].ejection.active; got != suspect {
-			t.Errorf("status %v: suspect %v", status, got)
+		if got := f.b.workers["w00"].ejection.active; got != ejected {
+			t.Errorf("status %v: ejected %v", status, got)
 		}
 	}
 }
@@ -127,26 +127,26 @@
 	f.listWorkers(1)
 	f.serve("unsafe", "other")
 	f.serve("safe", "fn")
-	turned := 0
+	rejections := 0
 	for range 40 { // in two seconds
 		id := f.request("safe", "fn", time.Minute)
 		f.advance(f.now + 50*ms)
 		if n := len(f.open[id].sends); n > 0 && f.open[id].sends[n-1].pending {
 			f.endAttempt(id, n-1, Rejected)
-			turned++
+			rejections++
 		}
 		f.event(ClientGoneEvent{ID: id})
 	}
-	if turned > maxRejectedInARow+4 {
-		t.Errorf("asked %d times in two seconds", turned)
+	if rejections > maxRejectedInARow+4 {
+		t.Errorf("tried %d times in two seconds", rejections)
 	}
 	f.serve("unsafe", "other")           // the other class still goes there
-	f.advance(f.now + maxProbeBackoff/4) // a trial comes
+	f.advance(f.now + maxProbeBackoff/4) // a probe comes
 	id := f.request("safe", "fn", 3*time.Second)
 	f.endLoads(OK)
 	f.advance(f.now + 20*ms)
 	if n := len(f.open[id].sends); n == 0 {
-		t.Fatal("no trial")
+		t.Fatal("no probe")
 	}
 }
 
@@ -197,17 +197,18 @@
 	f := newLargeFleet(t, 40)
 	name := f.functionAt(func(w *worker) bool { return true })
 	first := f.request("safe", name, time.Second)
-	home := f.firstWorker(first)
+	primary := f.firstWorker(first)
 	f.endLatestAttempt(first, OK, 500*ms)
-	require.NotEqual(t, home, f.firstWorker(f.request("safe", f.functionAt(isWorker(home)), time.Second)))
+	require.NotEqual(t, primary, f.firstWorker(f.request("safe", f.functionAt(isWorker(primary)), time.Second)))
 	f.advance(f.now + 15*time.Second)
-	require.Equal(t, home, f.firstWorker(f.request("safe", f.functionAt(isWorker(home)), time.Second)), "it is left out for good")
+	again := f.firstWorker(f.request("safe", f.functionAt(isWorker(primary)), time.Second))
+	require.Equal(t, primary, again, "it is passed over for good")
 }
 
 // The same before any answer: an overdue attempt tells as much.
 func TestOverdueAttemptMarksPrimaryWorkerSlow(t *testing.T) {
 	f := newLargeFleet(t, 40)
-	home := f.firstWorker(f.request("unsafe", f.functionAt(func(w *worker) bool { return true }), 3*time.Second))
+	primary := f.firstWorker(f.request("unsafe", f.functionAt(func(w *worker) bool { return true }), 3*time.Second))
 	f.advance(f.now + 300*ms)
-	require.NotEqual(t, home, f.firstWorker(f.request("safe", f.functionAt(isWorker(home)), time.Second)))
+	require.NotEqual(t, primary, f.firstWorker(f.request("safe", f.functionAt(isWorker(primary)), time.Second)))
 }
--- a/internal/balancer/placement_test.go
+++ b/internal/balancer/placement_test.go
@@ -16,7 +16,7 @@
 		b.listWorkers(6)
 		x, y := a.serve("safe", name), b.serve("safe", name)
 		if x != y {
-			t.Errorf("%s: home %s at one dispatcher, %s at another", name, x, y)
+			t.Errorf("%s: primary %s at one dispatcher, %s at another", name, x, y)
 		}
 		homes[x] = true
 	}
@@ -31,12 +31,12 @@
 		name := fmt.Sprintf("fn%d", i)
 		f := newFleet(t, testSettings(), 1)
 		f.listWorkers(6)
-		home := f.serve("safe", name)
+		primary := f.serve("safe", name)
 		lost := WorkerID("w03")
 		f.update(ScopeDelta, Worker{ID: lost, State: Removed, Weight: 1})
 		f.advance(f.now + 20*time.Second) // let the copy be forgotten
-		if now := f.serve("safe", name); home != lost && now != home {
-			t.Errorf("%s moved from %s to %s though %s was lost", name, home, now, lost)
+		if now := f.serve("safe", name); primary != lost && now != primary {
+			t.Errorf("%s moved from %s to %s though %s was lost", name, primary, now, lost)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	for _, r := range f.b.unanswered {
 		if r.waitingFor != nil {
-			t.Errorf("request %d waits for a load though a copy stands", r.ID)
+			t.Errorf("request %d waits for a load though a copy is loaded", r.ID)
 		}
 	}
 	if len(f.loads) < 2 {
--- a/internal/balancer/worker.go
+++ b/internal/balancer/worker.go
@@ -15,7 +15,7 @@
 	slowStart     slowStart
 	window        concurrencyWindow // for this dispatcher's attempts in flight
 	latency       latencyHistory
-	lastHeard     time.Duration // last sign of life
+	lastContact   time.Duration // last sign of life
 	lastReset     time.Duration // when a connection to it last broke
 	ejection      ejection
 	fullUntil     time.Duration           // it rejected for lack of room
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -1,7 +1,7 @@
 package balancer
 
 const (
-	zoneUnreachableFactor = 5.0 // a zone is unreachable whose workers together owe so many mean answers ...
+	zoneUnreachableFactor = 5.0 // unreachable if its workers together lack so many mean answer times ...
 	maxZoneAttemptFactor  = 2.0 // ... of which one attempt counts for so many: any may be long
 )
 
--- a/internal/balancer/zone_test.go
+++ b/internal/balancer/zone_test.go
@@ -21,12 +21,13 @@
 	f.advance(f.now + 200*ms)
 	for range 5 {
 		w := f.b.workers[f.firstWorker(f.request("unsafe", f.functionAt(inZone), time.Second))]
-		require.NotEqual(t, "z1", w.Zone, "sent to %s, which nobody has heard from", w.ID)
+		require.NotEqual(t, "z1", w.Zone, "sent to %s, which has not answered", w.ID)
 	}
-	for id := range lost { // one word from any of them, and the zone is back
+	for id := range lost { // one answer of any of them, and the zone is back
 		f.b.markHealthy(f.b.workers[id])
 		break
 	}
-	w := f.b.workers[f.firstWorker(f.request("unsafe", f.functionAt(func(w *worker) bool { return inZone(w) && !lost[w.ID] }), time.Second))]
+	name := f.functionAt(func(w *worker) bool { return inZone(w) && !lost[w.ID] })
+	w := f.b.workers[f.firstWorker(f.request("unsafe", name, time.Second))]
 	require.Equal(t, "z1", w.Zone)
 }
