--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
 // Guards against incidents i11969c and i77f7d9: under overload, retries of requests that were already late took the
@@ -87,3 +89,31 @@
 	}
 	f.serve("safe", "fn")
 }
+
+func TestWeightOfARequest(t *testing.T) {
+	settings := testSettings()
+	settings.ClientsMarkRetries = true
+	settings.Tenants = []Tenant{{Name: "small", RateQuota: 0.1}, {Name: "large", RateQuota: 100}}
+	for _, test := range []struct {
+		name  string
+		event RequestEvent
+		want  float64
+	}{
+		{"no tenant", RequestEvent{}, 2},
+		{"within its quota", RequestEvent{Tenant: "large"}, 2},
+		{"beyond its quota", RequestEvent{Tenant: "small"}, 2 * settings.OverQuotaWeight},
+		{"retry", RequestEvent{Retry: true}, 2 * 0.6},
+		{"both", RequestEvent{Tenant: "small", Retry: true}, 2 * settings.OverQuotaWeight * 0.6},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFleet(t, settings, 1)
+			e := test.event
+			e.ID = 1
+			e.Class = "safe"
+			e.Function = "fn"
+			e.TimeLeft = time.Second
+			f.b.Handle(0, e)
+			require.InDelta(t, test.want, f.b.requests[1].weight, 1e-9)
+		})
+	}
+}
--- a/internal/balancer/hotset.go
+++ b/internal/balancer/hotset.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// updateHot tells whether a function is hot and sizes its group, by own calls and the queue depths they met.
+// updateHot decides whether a function is hot, and sizes its group by calls and the queue depths they met.
 func (b *Balancer) updateHot(f *function) {
 	wasHot := f.hot
 	prior := 0.0
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -17,7 +17,7 @@
 
 // needsLoadOrder tells that a copy not believed to be loaded is ordered before a request goes there.
 func (b *Balancer) needsLoadOrder(p *placement) bool {
-	return b.settings.LoadOrders && !b.settings.LoadOnMiss && (b.settings.LoadWindow == 0 || p.missed)
+	return b.loadsOnOrderOnly() && (b.settings.LoadWindow == 0 || p.missed)
 }
 
 // orderLoad is the one place that emits Load. It keeps to drains, the load budget and the bound in flight.
@@ -114,7 +114,7 @@
 func (b *Balancer) lastAttempt(r *request) bool {
 	attempts := len(r.attempts)
 	last := attempts > 0 && attempts+1 >= b.settings.MaxAttempts
-	return last && b.settings.LoadOrders && !b.settings.LoadOnMiss
+	return last && b.loadsOnOrderOnly()
 }
 
 // preloadHotSet orders missing copies of hot functions at their group, where own calls must keep them loaded.
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -5,7 +5,7 @@
 	maxZoneAttemptFactor  = 2.0 // ... of which one attempt counts for so many: any may be long
 )
 
-// recordContact learns from an attempt whether its worker is there and can be reached.
+// recordContact learns from an attempt whether its worker can be reached, and counts requests that it took.
 func (b *Balancer) recordContact(a *attempt, e OutcomeEvent) {
 	w := a.worker
 	switch e.Status {
