--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -101,6 +101,7 @@
 
 // listWorkers tells of n ready workers in two cells and two zones.
 func (f *testFleet) listWorkers(n int) {
+	f.t.Helper()
 	var list []Worker
 	for i := range n {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%2), Cell: i % 2,
@@ -111,6 +112,7 @@
 
 // update changes the endpoint list.
 func (f *testFleet) update(scope UpdateScope, list ...Worker) {
+	f.t.Helper()
 	if scope == ScopeFull {
 		clear(f.state)
 	}
@@ -123,6 +125,7 @@
 
 // request sends a new request with some time left.
 func (f *testFleet) request(class, function string, left time.Duration) RequestID {
+	f.t.Helper()
 	f.lastID++
 	for _, c := range f.settings.Classes {
 		if c.Name == class {
@@ -147,6 +150,7 @@
 
 // endAttempt ends an attempt now.
 func (f *testFleet) endAttempt(id RequestID, n int, status Status) {
+	f.t.Helper()
 	r := f.open[id]
 	s := r.sends[n]
 	s.pending = false
@@ -170,6 +174,7 @@
 
 // endLoads ends all pending load orders.
 func (f *testFleet) endLoads(status Status) {
+	f.t.Helper()
 	pending := f.pendingLoads
 	f.pendingLoads = nil
 	for _, l := range pending {
@@ -211,6 +216,7 @@
 }
 
 func (f *testFleet) timeOutAttempts(id RequestID) {
+	f.t.Helper()
 	for index, s := range f.open[id].sends {
 		if s.pending && s.due <= f.now {
 			f.endAttempt(id, index, TimedOut)
@@ -236,6 +242,7 @@
 
 // newLargeFleet returns a fleet for a dispatcher of many that has seen requests answered by all workers, a few each.
 func newLargeFleet(t *testing.T, workers int) *testFleet {
+	t.Helper()
 	s := testSettings()
 	s.Dispatchers, s.Zones = 80, []string{"z0", "z1", "z2"}
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
@@ -254,18 +261,21 @@
 
 // endLatestAttempt ends the latest attempt of a request after a time.
 func (f *testFleet) endLatestAttempt(id RequestID, s Status, after time.Duration) {
+	f.t.Helper()
 	f.advance(f.now + after)
 	f.endAttempt(id, len(f.open[id].sends)-1, s)
 }
 
 // firstWorker is the worker that the first attempt of a request went to.
 func (f *testFleet) firstWorker(id RequestID) WorkerID {
+	f.t.Helper()
 	require.NotEmpty(f.t, f.open[id].sends, "request %d is held", id)
 	return f.open[id].sends[0].worker
 }
 
 // functionAt finds a function that no request has named yet, with a primary worker that suits.
 func (f *testFleet) functionAt(suits func(*worker) bool) string {
+	f.t.Helper()
 	for i := 0; ; i++ {
 		name := fmt.Sprintf("new%d", i)
 		primary := f.b.rendezvousOrder(&function{id: FunctionID(name), rendezvousEpoch: -1, groupSize: 1})
