--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// orders calls do with each order of the numbers below n.
-func orders(n int, do func([]int)) {
+// permutations calls do with each order of the numbers below n.
+func permutations(n int, do func([]int)) {
 	var next func(taken []int)
 	next = func(taken []int) {
 		if len(taken) == n {
@@ -27,104 +27,102 @@
 	next(nil)
 }
 
-// What may cross within one request, in every order: the end of its attempt, the drain of the worker, a fresh start of it
-// under the same name, the answer to an order, the client's end, and the module's own timer. The fleet holds every action
-// against the rules: nothing to a worker that drains, no further run of what may have run, one final answer, none and no
-// attempt for a client that has left.
-func TestEveryOrderOfWhatMayCross(t *testing.T) {
-	for _, rationed := range []bool{false, true} {
+// What may cross within one request.
+const (
+	attemptEnds = iota
+	workerDrains
+	workerRestarts // under the same ID
+	loadsEnd
+	clientLeaves
+	timerExpires
+	crossingEvents // how many there are
+)
+
+// crossing is one request, and the events that cross while its first attempt is in flight.
+type crossing struct {
+	*testFleet
+	id         RequestID
+	worker     Worker // of the first attempt
+	status     Status // how the first attempt ends
+	clientLeft bool
+}
+
+// newCrossing sends a request to a worker that holds its function.
+func newCrossing(t *testing.T, budgeted bool, class string, status Status) *crossing {
+	t.Helper()
+	s := testSettings()
+	s.MinEventInterval = sweepInterval // the module looks no oftener
+	if budgeted {
+		s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 2, 0.15
+	}
+	f := newFleet(t, s, 1)
+	f.listWorkers(3)
+	f.serve("safe", "fn")
+	id := f.request(class, "fn", 300*ms)
+	if len(f.open[id].sends) == 0 {
+		f.endLoads(OK)
+	}
+	if len(f.open[id].sends) == 0 {
+		t.Fatalf("%s is held", class)
+	}
+	return &crossing{testFleet: f, id: id, worker: f.workers[f.open[id].sends[0].worker], status: status}
+}
+
+func (c *crossing) play(event int) {
+	c.t.Helper()
+	switch event {
+	case attemptEnds:
+		if c.open[c.id].sends[0].pending {
+			c.endAttempt(c.id, 0, c.status)
+		}
+	case workerDrains:
+		c.worker.State = Draining
+		c.update(ScopeDelta, c.worker)
+	case workerRestarts:
+		c.worker.State = Ready
+		c.worker.Started = c.now + ms
+		c.update(ScopeDelta, c.worker)
+	case loadsEnd:
+		c.endLoads(OK)
+	case clientLeaves:
+		if !c.open[c.id].answered {
+			c.clientLeft = true
+			c.open[c.id].answered = true
+			c.event(ClientGoneEvent{ID: c.id})
+		}
+	case timerExpires:
+		c.advance(c.now + 3*sweepInterval)
+	}
+}
+
+// Crossing events in every order. The fleet holds every action against the rules: nothing to a worker that drains, no
+// further run of what may have run, one final answer, none and no attempt for a client that has left.
+func TestEveryOrderOfCrossingEvents(t *testing.T) {
+	for _, budgeted := range []bool{false, true} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			for _, status := range []Status{OK, Failed, Rejected, Miss, Reset, TimedOut, ConnectFailed, NotSent} {
-				if rationed && status != Miss && status != Rejected { // else it orders nothing
+				if budgeted && status != Miss && status != Rejected { // else it orders nothing
 					continue
 				}
-				orders(6, func(order []int) {
-					s := testSettings()
-					s.MinEventInterval = sweepEvery // the module looks no oftener
-					if rationed {
-						s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 2, 0.15
-					}
-					f := newFleet(t, s, 1)
-					f.list(3)
-					f.served("safe", "fn")
-					id := f.request(class, "fn", 300*ms)
-					if len(f.open[id].sends) == 0 {
-						f.answerOrders(OK)
-					}
-					if len(f.open[id].sends) == 0 {
-						t.Fatalf("%s is held", class)
-					}
-					w := f.workers[f.open[id].sends[0].w]
-					gone := false
-					for _, step := range order {
-						f.log = append(f.log, fmt.Sprint("step ", step, " of ", order))
-						switch step {
-						case 0:
-							if f.open[id].sends[0].pending {
-								f.outcome(id, 0, status)
-							}
-						case 1:
-							w.State = Draining
-							f.change(ScopeDelta, w)
-						case 2:
-							w.State, w.Started = Ready, f.now+ms
-							f.change(ScopeDelta, w)
-						case 3:
-							f.answerOrders(OK)
-						case 4:
-							if !f.open[id].answered {
-								gone, f.open[id].answered = true, true
-								f.event(ClientGoneEvent{ID: id})
-							}
-						case 5:
-							f.to(f.now + 3*sweepEvery)
-						}
-					}
-					if r := f.b.requests[id]; gone && r != nil && !r.closed {
-						t.Fatalf("%s, %v, %v: open after its client has left", class, status, order)
-					}
-					f.to(f.now + 350*ms)
-					if !f.open[id].answered {
-						t.Fatalf("%s, %v, %v: never answered", class, status, order)
-					}
+				permutations(crossingEvents, func(order []int) {
+					checkCrossing(t, newCrossing(t, budgeted, class, status), class, order)
 				})
 			}
 		}
 	}
 }
 
-// New versions of handlers come on quiet days too: one miss where a copy stood puts all copies of that function in doubt,
-// and what is missing everywhere at once is loaded at a pace, though no ration holds it back.
-func TestReleaseOnAQuietDayIsNoRush(t *testing.T) {
-	f := newFleet(t, testSettings(), 1)
-	f.list(6)
-	const functions = 40
-	name := func(i int) string { return fmt.Sprintf("fn%d", i) }
-	for i := range functions {
-		f.served("safe", name(i))
-	}
-	twice := f.b.functions["fn0"]
-	for _, w := range f.b.list { // it is believed to stand everywhere
-		p := twice.where(w)
-		p.copies, p.until = 1, f.now+f.b.trust()
+func checkCrossing(t *testing.T, c *crossing, class string, order []int) {
+	t.Helper()
+	for _, event := range order {
+		c.log = append(c.log, fmt.Sprint("event ", event, " of ", order))
+		c.play(event)
 	}
-	f.loads = nil
-	for i := range functions {
-		id := f.request("safe", name(i), 2*time.Second)
-		for n := 0; n < len(f.open[id].sends); n++ {
-			if f.open[id].sends[n].pending {
-				f.outcome(id, n, Miss)
-			}
-		}
-		if i == 0 {
-			for _, p := range twice.at {
-				if f.b.stands(p) {
-					t.Errorf("a copy at %s is still believed in", p.w.ID)
-				}
-			}
-		}
+	if r := c.b.requests[c.id]; c.clientLeft && r != nil && !r.closed {
+		t.Fatalf("%s, %v, %v: open after its client has left", class, c.status, order)
 	}
-	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.window+1 { // one more while fewer are out
-		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.window)
+	c.advance(c.now + 350*ms)
+	if !c.open[c.id].answered {
+		t.Fatalf("%s, %v, %v: never answered", class, c.status, order)
 	}
 }
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -2,24 +2,27 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
-	"sort"
+	"maps"
+	"slices"
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
 const ms = time.Millisecond
 
-// testSettings has one class of each effect and every ordinary permission.
+// testSettings has one class of each idempotency and every ordinary permission.
 func testSettings() Settings {
+	class := Class{LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second}
+	safe, keyed, unsafe := class, class, class
+	safe.Name, safe.Weight, safe.Idempotency = "safe", 2, Idempotent
+	keyed.Name, keyed.Weight, keyed.Idempotency = "keyed", 3, IdempotentWithKey
+	keyed.DedupScope, keyed.DedupWindow = DedupCell, time.Second
+	unsafe.Name, unsafe.Weight, unsafe.Idempotency = "unsafe", 3, NotIdempotent
 	return Settings{
 		Dispatchers: 2, Zone: "z0", Zones: []string{"z0", "z1"}, MinEventInterval: 2 * ms,
-		Classes: []Class{
-			{Name: "safe", Weight: 2, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: Idempotent},
-			{Name: "keyed", Weight: 3, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentWithKey,
-				DedupScope: DedupCell, DedupWindow: time.Second},
-			{Name: "unsafe", Weight: 3, LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: NotIdempotent},
-		},
+		Classes:         []Class{safe, keyed, unsafe},
 		OverQuotaWeight: 0.1, CanCancel: true, Hedging: true, MaxAttempts: 3, MaxInFlight: 1000,
 		DialTimeout: 250 * ms, AnswerGrace: 8 * ms, DrainGrace: 250 * ms,
 		SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second,
@@ -27,65 +30,89 @@
 	}
 }
 
-// fleet plays the other side for one balancer and checks every action against the rules.
-type fleet struct {
+// testFleet plays the other side for one balancer and checks every action against the rules.
+type testFleet struct {
 	t        testing.TB
 	b        *Balancer
-	set      Settings
+	settings Settings
 	now      time.Duration
+	timers   []pendingTimer
+	log      []string // every event and action
+
 	state    map[WorkerID]WorkerState
 	workers  map[WorkerID]Worker
-	open     map[RequestID]*tried
-	orders   []Load
-	ordered  []time.Duration
-	taken    []time.Duration
-	wakes    []SetTimer
-	wakeAt   []time.Duration
-	log      []string
-	sent     []Send
-	loads    []Load
-	refused  map[RequestID]bool
-	failed   map[RequestID]bool
+	open     map[RequestID]*testRequest
 	lastID   RequestID
-	sentTo   map[WorkerID]int
-	canceled int
+	arrivals []time.Duration
+
+	pendingLoads []Load
+	loads        []Load
+	loadTimes    []time.Duration
+	sent         []Send
+	sentTo       map[WorkerID]int
+	rejected     map[RequestID]bool
+	failed       map[RequestID]bool
+	cancelled    int
 }
 
-type tried struct {
+// testRequest is a request as its client sees it.
+type testRequest struct {
 	class    Class
 	deadline time.Duration
-	sends    []*sendState
+	sends    []*sentAttempt
 	answered bool
 }
 
-type sendState struct {
-	w              WorkerID
-	at, due        time.Duration
-	pending, maybe bool
+// sentAttempt is an attempt as its worker sees it.
+type sentAttempt struct {
+	worker     WorkerID
+	sentAt     time.Duration
+	due        time.Duration // it times out then
+	pending    bool
+	mayHaveRun bool
+}
+
+// mayRun tells that the attempt may run or may have run.
+func (s *sentAttempt) mayRun() bool { return s.pending || s.mayHaveRun }
+
+type pendingTimer struct {
+	id  int64
+	due time.Duration
 }
 
-func newFleet(t testing.TB, s Settings, seed uint64) *fleet {
+func newFleet(t testing.TB, s Settings, seed uint64) *testFleet {
 	t.Helper()
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &fleet{t: t, b: b, set: s, state: map[WorkerID]WorkerState{}, workers: map[WorkerID]Worker{},
-		open: map[RequestID]*tried{}, refused: map[RequestID]bool{}, failed: map[RequestID]bool{},
-		sentTo: map[WorkerID]int{}}
+	return &testFleet{
+		t:        t,
+		b:        b,
+		settings: s,
+		state:    map[WorkerID]WorkerState{},
+		workers:  map[WorkerID]Worker{},
+		open:     map[RequestID]*testRequest{},
+		sentTo:   map[WorkerID]int{},
+		rejected: map[RequestID]bool{},
+		failed:   map[RequestID]bool{},
+	}
 }
 
-// list tells of n ready workers, two cells, two zones.
-func (f *fleet) list(n int) {
+// listWorkers tells of n ready workers in two cells and two zones.
+func (f *testFleet) listWorkers(n int) {
+	f.t.Helper()
 	var list []Worker
 	for i := range n {
 		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%2), Cell: i % 2,
 			Weight: 1})
 	}
-	f.change(ScopeFull, list...)
+	f.update(ScopeFull, list...)
 }
 
-func (f *fleet) change(scope UpdateScope, list ...Worker) {
+// update changes the endpoint list.
+func (f *testFleet) update(scope UpdateScope, list ...Worker) {
+	f.t.Helper()
 	if scope == ScopeFull {
 		clear(f.state)
 	}
@@ -96,288 +123,166 @@
 	f.event(EndpointsEvent{Scope: scope, Workers: list})
 }
 
-func (f *fleet) request(class, function string, left time.Duration) RequestID {
+// request sends a new request with some time left.
+func (f *testFleet) request(class, function string, left time.Duration) RequestID {
+	f.t.Helper()
 	f.lastID++
-	for _, c := range f.set.Classes {
+	for _, c := range f.settings.Classes {
 		if c.Name == class {
-			f.open[f.lastID] = &tried{class: c, deadline: f.now + left}
+			f.open[f.lastID] = &testRequest{class: c, deadline: f.now + left}
 		}
 	}
-	f.taken = append(f.taken, f.now)
+	f.arrivals = append(f.arrivals, f.now)
 	f.event(RequestEvent{ID: f.lastID, Class: class, Function: FunctionID(function), TimeLeft: left, Concurrency: 1,
 		LoadTime: 300 * ms})
 	return f.lastID
 }
 
-func (f *fleet) event(e Event) {
+// event delivers an event and checks what the balancer does.
+func (f *testFleet) event(e Event) {
+	f.t.Helper()
 	f.log = append(f.log, fmt.Sprintf("%d %T%+v", f.now, e, e))
 	for _, a := range f.b.Handle(f.now, e) {
 		f.log = append(f.log, fmt.Sprintf("%d -> %T%+v", f.now, a, a))
-		f.check(a)
+		f.checkAction(a)
 	}
 }
 
-func (f *fleet) check(action Action) {
+// endAttempt ends an attempt now.
+func (f *testFleet) endAttempt(id RequestID, n int, status Status) {
 	f.t.Helper()
-	switch a := action.(type) {
-	case Send:
-		r := f.open[a.ID]
-		if r == nil || r.answered {
-			f.t.Fatalf("rule 1: send for %d, which is over", a.ID)
-		}
-		if f.state[a.Worker] != Ready {
-			f.t.Fatalf("rule 3: send to %s, which drains or is gone", a.Worker)
-		}
-		if _, known := f.state[a.Worker]; !known {
-			f.t.Fatalf("rule 3: send to %s, which is not listed", a.Worker)
-		}
-		if len(r.sends) >= f.set.MaxAttempts {
-			f.t.Fatalf("more attempts than allowed for %d", a.ID)
-		}
-		for _, s := range r.sends {
-			if s.pending && !f.set.Hedging {
-				f.t.Fatalf("rule 2: two attempts of %d at a time", a.ID)
-			}
-			if !s.pending && !s.maybe {
-				continue
-			}
-			switch r.class.Idempotency {
-			case NotIdempotent:
-				f.t.Fatalf("rule 2: unsafe %d sent again", a.ID)
-			case IdempotentWithKey:
-				x, y := f.workers[s.w], f.workers[a.Worker]
-				if f.now-s.at >= r.class.DedupWindow {
-					f.t.Fatalf("rule 2: keyed %d sent again after its window", a.ID)
-				}
-				if r.class.DedupScope == DedupCell && x.Cell != y.Cell || r.class.DedupScope == DedupZone && x.Zone != y.Zone {
-					f.t.Fatalf("rule 2: keyed %d sent outside its group", a.ID)
-				}
-			}
-		}
-		due := r.deadline
-		if a.Timeout > 0 {
-			due = min(due, f.now+a.Timeout)
-		}
-		r.sends = append(r.sends, &sendState{w: a.Worker, at: f.now, due: due, pending: true})
-		f.sent = append(f.sent, a)
-		f.sentTo[a.Worker]++
-	case Reject, Fail:
-		id, refused := RequestID(0), false
-		if x, ok := a.(Reject); ok {
-			id, refused = x.ID, true
-		} else {
-			id = a.(Fail).ID
-		}
-		r := f.open[id]
-		if r == nil || r.answered {
-			f.t.Fatalf("rule 1: second final answer for %d", id)
-		}
-		r.answered = true
-		if f.now > r.deadline+f.set.AnswerGrace {
-			f.t.Fatalf("rule 1: answer to %d after its deadline", id)
-		}
-		if refused {
-			f.refused[id] = true
-			for _, s := range r.sends {
-				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet
-				if (s.pending || s.maybe) && !harmless {
-					f.t.Fatalf("rule 2: %d refused though it may have run", id)
-				}
-			}
-		} else {
-			f.failed[id] = true
-		}
-	case Load:
-		if a.Copies > 0 {
-			if f.state[a.Worker] != Ready {
-				f.t.Fatalf("rule 3: load at %s, which drains or is gone", a.Worker)
-			}
-			if f.set.LoadWindow > 0 {
-				f.ordered = append(f.ordered, f.now)
-				count := func(times []time.Duration) (n int) {
-					for _, t := range times {
-						if t > f.now-f.set.LoadWindow {
-							n++
-						}
-					}
-					return n
-				}
-				if float64(count(f.ordered)) > f.set.LoadBurst+f.set.LoadRatio*float64(count(f.taken)) {
-					f.t.Fatal("rule 5: more orders than the ration")
-				}
-			}
-		}
-		if !f.set.LoadOrders || a.Function == "" {
-			f.t.Fatal("order that is not allowed")
-		}
-		f.orders = append(f.orders, a)
-		f.loads = append(f.loads, a)
-	case Cancel:
-		if r := f.open[a.ID]; !f.set.CanCancel || r == nil || a.Attempt >= len(r.sends) {
-			f.t.Fatal("cancel of what was never sent, or not allowed")
-		}
-		f.canceled++
-	case SetTimer:
-		f.wakes = append(f.wakes, a)
-		f.wakeAt = append(f.wakeAt, f.now+a.After)
-	}
-}
-
-// outcome ends an attempt.
-func (f *fleet) outcome(id RequestID, n int, status Status) {
 	r := f.open[id]
 	s := r.sends[n]
 	s.pending = false
-	s.maybe = status != Rejected && status != Miss && status != ConnectFailed && status != NotSent
+	s.mayHaveRun = status != Rejected && status != Miss && status != ConnectFailed && status != NotSent
 	if status == OK {
 		r.answered = true
 	}
-	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.w, Status: status, Elapsed: f.now - s.at, Answered: r.answered})
+	f.event(OutcomeEvent{ID: id, Attempt: n, Worker: s.worker, Status: status, Elapsed: f.now - s.sentAt,
+		Answered: r.answered})
+}
+
+// missEverywhere ends every attempt of a request with a miss, also those that follow: nothing is loaded anywhere.
+func (f *testFleet) missEverywhere(id RequestID) {
+	f.t.Helper()
+	for index := 0; index < len(f.open[id].sends); index++ {
+		if f.open[id].sends[index].pending {
+			f.endAttempt(id, index, Miss)
+		}
+	}
 }
 
-// answerOrders lets all pending orders stand.
-func (f *fleet) answerOrders(status Status) {
-	pending := f.orders
-	f.orders = nil
+// endLoads ends all pending load orders.
+func (f *testFleet) endLoads(status Status) {
+	f.t.Helper()
+	pending := f.pendingLoads
+	f.pendingLoads = nil
 	for _, l := range pending {
-		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Status: status, Elapsed: 200 * ms, Copies: l.Copies})
+		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Status: status, Elapsed: 200 * ms,
+			Copies: l.Copies})
 	}
 }
 
-// to moves the clock, step by step, with timers and time-outs.
-func (f *fleet) to(now time.Duration) {
+// advance moves the clock step by step, with timers and time-outs.
+func (f *testFleet) advance(now time.Duration) {
+	f.t.Helper()
 	for f.now < now {
-		f.now = min(now, f.now+f.set.MinEventInterval)
-		var due []SetTimer
-		for i := 0; i < len(f.wakes); {
-			if f.wakeAt[i] <= f.now {
-				due = append(due, f.wakes[i])
-				f.wakes = append(f.wakes[:i], f.wakes[i+1:]...)
-				f.wakeAt = append(f.wakeAt[:i], f.wakeAt[i+1:]...)
-				continue
-			}
-			i++
-		}
-		for _, w := range due {
-			f.event(TimerEvent{TimerID: w.TimerID})
+		f.now = min(now, f.now+f.settings.MinEventInterval)
+		for _, timer := range f.takeDueTimers() {
+			f.event(TimerEvent{TimerID: timer.id})
 		}
-		for _, id := range f.ids() {
+		for _, id := range f.requestIDs() {
+			f.timeOutAttempts(id)
 			r := f.open[id]
-			for n, s := range r.sends {
-				if s.pending && s.due <= f.now {
-					f.outcome(id, n, TimedOut)
-				}
-			}
-			if !r.answered && f.now > r.deadline+f.set.AnswerGrace {
+			if !r.answered && f.now > r.deadline+f.settings.AnswerGrace {
 				f.t.Fatalf("rule 1: no answer to %d in time", id)
 			}
 		}
 	}
 }
 
-func (f *fleet) ids() []RequestID {
-	var ids []RequestID
-	for id := range f.open {
-		ids = append(ids, id)
+// takeDueTimers removes and returns the timers that have expired.
+func (f *testFleet) takeDueTimers() []pendingTimer {
+	var due, later []pendingTimer
+	for _, timer := range f.timers {
+		if timer.due <= f.now {
+			due = append(due, timer)
+		} else {
+			later = append(later, timer)
+		}
 	}
-	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
-	return ids
+	f.timers = later
+	return due
 }
 
-// wild plays random legal events and returns all that happened.
-func wild(t testing.TB, seed uint64) []string {
-	rng := rand.New(rand.NewPCG(seed, 1))
-	s := testSettings()
-	coin := func() bool { return rng.IntN(2) == 0 }
-	s.Hedging, s.CanCancel, s.LoadOrders, s.LoadOnMiss = coin(), coin(), rng.IntN(4) > 0, rng.IntN(4) == 0
-	s.MaxAttempts, s.ReportsQueueDepth, s.PollEndpoints = 1+rng.IntN(5), coin(), coin()
-	s.Classes[1].DedupScope = DedupScope(rng.IntN(3))
-	s.Dispatchers = []int{1, 3, 100, 300}[rng.IntN(4)]
-	s.ClientsMarkRetries, s.LiveWeights = coin(), coin()
-	if coin() {
-		s.LoadWindow, s.LoadBurst, s.LoadRatio = time.Second, 2, 0.3
-	}
-	if coin() {
-		s.Tenants = []Tenant{{Name: "a", Quota: 0.5, RateQuota: 5}}
-	}
-	f := newFleet(t, s, seed)
-	f.list(6)
-	statuses := []Status{OK, OK, OK, OK, OK, Miss, Rejected, Failed, Reset, ConnectFailed, NotSent}
-	for range 1500 {
-		f.to(f.now + time.Duration(rng.IntN(8))*ms)
-		switch k := rng.IntN(20); {
-		case k < 8:
-			class := f.set.Classes[rng.IntN(3)].Name
-			f.request(class, fmt.Sprintf("f%d", rng.IntN(12)), time.Duration(5+rng.IntN(1500))*ms)
-		case k < 14:
-			for _, id := range f.ids() {
-				for n, a := range f.open[id].sends {
-					if a.pending && rng.IntN(4) == 0 {
-						f.outcome(id, n, statuses[rng.IntN(len(statuses))])
-					}
-				}
-			}
-		case k < 16:
-			f.answerOrders([]Status{OK, OK, OK, Rejected, Failed, TimedOut, Reset}[rng.IntN(7)])
-		case k == 16:
-			w := f.workers[WorkerID(fmt.Sprintf("w%02d", rng.IntN(6)))]
-			w.State = WorkerState(rng.IntN(3))
-			if w.State == Ready && coin() {
-				w.Started = f.now
-			}
-			f.change(ScopeDelta, w)
-		case k == 17:
-			if ids := f.ids(); len(ids) > 0 {
-				id := ids[rng.IntN(len(ids))]
-				f.open[id].answered = true
-				f.event(ClientGoneEvent{ID: id})
-			}
-		case k == 18: // what is late, repeated or unknown
-			f.event(OutcomeEvent{ID: RequestID(rng.IntN(2000)), Attempt: 7, Worker: "nobody", Status: Status(rng.IntN(12))})
-			f.event(LoadEndedEvent{Worker: "nobody", Function: "f1", Status: OK, Copies: 1})
-			f.event(TimerEvent{TimerID: int64(rng.IntN(5000))})
-			f.event(StreamStartedEvent{ID: 1 << 40})
-		case k == 19 && rng.IntN(10) == 0:
-			f.change(ScopeFull)
-			f.event(EndpointsEvent{Scope: ScopeFailed})
-		case k == 19 && len(f.state) < 3:
-			f.list(6)
-		}
-		for id, r := range f.open {
-			if r.answered && !pendingAny(r) {
-				delete(f.open, id)
-			}
+func (f *testFleet) timeOutAttempts(id RequestID) {
+	f.t.Helper()
+	for index, s := range f.open[id].sends {
+		if s.pending && s.due <= f.now {
+			f.endAttempt(id, index, TimedOut)
 		}
 	}
-	f.to(f.now + 4*time.Second)
-	return f.log
 }
 
-func pendingAny(r *tried) bool {
-	for _, s := range r.sends {
-		if s.pending {
-			return true
-		}
+// requestIDs are the open requests, sorted.
+func (f *testFleet) requestIDs() []RequestID { return slices.Sorted(maps.Keys(f.open)) }
+
+// serve sends one request of a function and ends its load orders, so that a copy is believed to be loaded.
+func (f *testFleet) serve(class, function string) WorkerID {
+	f.t.Helper()
+	id := f.request(class, function, 2*time.Second)
+	f.endLoads(OK)
+	if len(f.open[id].sends) != 1 {
+		f.t.Fatalf("request %d: %d sends after its load ended", id, len(f.open[id].sends))
 	}
-	return false
+	f.advance(f.now + 50*ms)
+	f.endAttempt(id, 0, OK)
+	return f.open[id].sends[0].worker
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
-	for seed := range uint64(60) {
-		wild(t, seed)
+// newLargeFleet returns a fleet for a dispatcher of many that has seen requests answered by all workers, a few each.
+func newLargeFleet(t *testing.T, workers int) *testFleet {
+	t.Helper()
+	s := testSettings()
+	s.Dispatchers, s.Zones = 80, []string{"z0", "z1", "z2"}
+	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
+	f := newFleet(t, s, 1)
+	var list []Worker
+	for i := range workers {
+		list = append(list, Worker{ID: WorkerID(fmt.Sprintf("w%02d", i)), Zone: fmt.Sprintf("z%d", i%3), Weight: 1})
 	}
+	f.update(ScopeFull, list...)
+	for i := range 3 * workers {
+		f.advance(f.now + 50*ms)
+		f.endLatestAttempt(f.request("safe", fmt.Sprintf("fn%d", i), time.Second), OK, 50*ms)
+	}
+	return f
 }
 
-func TestEqualEventsGiveEqualActions(t *testing.T) {
-	for seed := range uint64(10) {
-		a, b := wild(t, seed), wild(t, seed)
-		if len(a) != len(b) {
-			t.Fatalf("seed %d: %d and %d entries", seed, len(a), len(b))
-		}
-		for i := range a {
-			if a[i] != b[i] {
-				t.Fatalf("seed %d, entry %d:\n%s\n%s", seed, i, a[i], b[i])
-			}
+// endLatestAttempt ends the latest attempt of a request after a time.
+func (f *testFleet) endLatestAttempt(id RequestID, s Status, after time.Duration) {
+	f.t.Helper()
+	f.advance(f.now + after)
+	f.endAttempt(id, len(f.open[id].sends)-1, s)
+}
+
+// firstWorker is the worker that the first attempt of a request went to.
+func (f *testFleet) firstWorker(id RequestID) WorkerID {
+	f.t.Helper()
+	require.NotEmpty(f.t, f.open[id].sends, "request %d is held", id)
+	return f.open[id].sends[0].worker
+}
+
+// functionAt finds a function that no request has named yet, with a primary worker that suits.
+func (f *testFleet) functionAt(suits func(*worker) bool) string {
+	f.t.Helper()
+	for i := 0; ; i++ {
+		name := fmt.Sprintf("new%d", i)
+		primary := f.b.rendezvousOrder(&function{id: FunctionID(name), rendezvousEpoch: -1, groupSize: 1})
+		if suits(primary[0]) && f.b.functions[FunctionID(name)] == nil {
+			return name
 		}
 	}
 }
+
+func isWorker(id WorkerID) func(*worker) bool { return func(w *worker) bool { return w.ID == id } }
--- /dev/null
+++ b/internal/balancer/worker.go
@@ -0,0 +1,70 @@
+package balancer
+
+import "time"
+
+// worker is what is known of one worker.
+type worker struct {
+	Worker
+	zone          *zone   // that of Worker.Zone
+	fullWeight    float64 // Worker.Weight, or the largest seen where weights are live
+	hash          uint64  // of the ID
+	rendezvousKey float64 // in the rendezvous order that is being made
+	hotCalls      float64 // its part of this dispatcher's calls of hot functions
+	removedAt     time.Duration
+	outstanding   []*attempt // pending attempts, oldest first
+	slowStart     slowStart
+	window        concurrencyWindow // for this dispatcher's attempts in flight
+	latency       latencyHistory
+	lastContact   time.Duration // last sign of life
+	lastReset     time.Duration // when a connection to it last broke
+	ejection      ejection
+	fullUntil     time.Duration           // it rejected for lack of room
+	classes       map[string]*classHealth // by class name
+}
+
+func newWorker(id WorkerID, window float64) *worker {
+	return &worker{
+		hash:    hashString(string(id)),
+		window:  concurrencyWindow{size: window},
+		latency: newLatencyHistory(),
+		classes: map[string]*classHealth{},
+	}
+}
+
+// class returns the health record of a class.
+func (w *worker) class(name string) *classHealth {
+	health := w.classes[name]
+	if health == nil {
+		health = &classHealth{}
+		w.classes[name] = health
+	}
+	return health
+}
+
+// restart resets what a fresh start makes obsolete.
+func (w *worker) restart(window float64) {
+	w.slowStart = slowStart{startedAt: w.Started, active: true}
+	w.ejection.active = false
+	w.window.size = window
+	w.latency = newLatencyHistory()
+	for _, health := range w.classes {
+		health.rejectedInARow = 0
+		health.ejectedUntil = 0
+	}
+}
+
+// setState sets the state of the list and notes the moment of a removal.
+func (w *worker) setState(state WorkerState, now time.Duration) {
+	if state == Removed && w.State != Removed {
+		w.removedAt = now
+	}
+	w.State = state
+}
+
+// hasRoom tells that a worker has not just rejected for lack of room, and its window is not full.
+func (w *worker) hasRoom(now time.Duration) bool {
+	return now >= w.fullUntil && !w.window.full(len(w.outstanding))
+}
+
+// unavailable tells that a worker is out of placement: it is ejected, or its zone is unreachable.
+func (w *worker) unavailable() bool { return w.ejection.active || w.zone.ejection.active }
