--- a/internal/balancer/dedup.go
+++ b/internal/balancer/dedup.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// dedupTimeLeft is how long workers still drop repeats of the attempts that may have run; limited is false where
-// there is no such limit.
+// dedupTimeLeft is how long workers still drop repeats of the attempts that may have run; limited is false
+// where there is no such limit.
 func (r *request) dedupTimeLeft(now time.Duration) (left time.Duration, limited bool) {
 	if r.class.Idempotency != IdempotentWithKey {
 		return 0, false
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -7,14 +7,14 @@
 //
 // The decisions are in the files that deploy/balancer.toml lists under policy, one concern each:
 //
-//   - sweep.go: what is looked at periodically
-//   - membership.go: the endpoint list
+//   - sweep.go: what is looked at periodically, and polls of the endpoint list
 //   - hotset.go: which functions are hot and how many workers serve them
 //   - admission.go: new requests, their weight, the end of their wait
 //   - placement.go: the choice of a worker
 //   - loadorders.go: load orders and their budget
 //   - slowstart.go: what a worker that is warming up may receive
 //   - attempts.go: sending, retrying, hedging and the final answer
+//   - dedup.go: where and how long a repeat is dropped by the workers
 //   - outcome.go: what the end of an attempt teaches
 //   - outlier.go: ejection of workers that fail, lag, reject or keep silent
 //   - zone.go: zones that cannot be reached
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -10,12 +10,18 @@
 // elsewhere.
 
 const (
-	smoothing           = 0.1           // weight of a new sample in a running mean
-	fleetSmoothing      = smoothing / 4 // ... over the whole fleet
-	minPositiveEstimate = 1e-6          // keeps divisors above zero
-	minAnswerTime       = 0.01          // seconds; the shortest that a mean answer is taken for
-	maxCallWeight       = 10.0          // one request counts as this many of mean work at most
-	maxFunctionRatio    = 10.0          // an answer counts as this many usual ones at most
+	smoothing            = 0.1             // weight of a new sample in a running mean
+	fleetSmoothing       = smoothing / 4   // ... over the whole fleet
+	minPositiveEstimate  = 1e-6            // keeps divisors above zero
+	minAnswerTime        = 0.01            // seconds; the shortest that a mean answer is taken for
+	maxCallWeight        = 10.0            // one request counts as this many of mean work at most
+	maxFunctionRatio     = 10.0            // an answer counts as this many usual ones at most
+	initialConcurrency   = 12.0            // in flight to a worker from all dispatchers at first; half at least
+	latencyPrior         = 1.5             // a latency ratio starts with this many usual answers ...
+	latencyDecay         = 3 * time.Second // ... and a worker's own are forgotten with this time constant
+	silenceFactor        = 10.0            // a worker is silent after this many mean answer times
+	maxZoneAttemptFactor = 2.0             // one attempt counts for so many mean answer times of its zone at most: any may be long
+	concurrencyDecrease  = 0.8             // a concurrency window shrinks to this part
 )
 
 // warmth is the part of its capacity that a worker has for certain.
@@ -130,3 +136,9 @@
 
 // silenceLimit is how long a worker may keep silent.
 func (b *Balancer) silenceLimit() time.Duration { return seconds(silenceFactor * b.stats.meanAnswer) }
+
+// decreaseWindow shrinks a worker's concurrency window, at most once in a mean answer time.
+func (b *Balancer) decreaseWindow(w *worker) {
+	size := math.Min(w.window.size, float64(len(w.outstanding)+2)) * concurrencyDecrease
+	w.window.decrease(b.now, seconds(b.stats.meanAnswer), math.Max(b.initialWindow()/2, size))
+}
--- a/internal/balancer/function.go
+++ b/internal/balancer/function.go
@@ -6,6 +6,11 @@
 	"time"
 )
 
+const (
+	defaultLoadTime = 1.0 // seconds that a load takes, until one has been seen
+	loadWaitFactor  = 2.0 // a request waits for a load for this many usual load times
+)
+
 // function is what is known of one function.
 type function struct {
 	id             FunctionID
--- a/internal/balancer/loadbudget.go
+++ b/internal/balancer/loadbudget.go
@@ -1,9 +1,6 @@
 package balancer
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // loadBudget bounds load orders: in flight by a window, and over time by the requests that workers have taken.
 type loadBudget struct {
@@ -28,17 +25,6 @@
 	p.ordered = false
 }
 
-// earnLoads counts a request for the load budget, at its arrival, once a worker has taken it for a request.
-// Clients send by hundreds what they take back at once, or what no worker knows: these earn no orders.
-func (b *Balancer) earnLoads(r *request) {
-	if r.earnedLoads || b.settings.LoadWindow == 0 {
-		return
-	}
-	r.earnedLoads = true
-	i, _ := slices.BinarySearch(b.loads.requests, r.arrivedAt())
-	b.loads.requests = slices.Insert(b.loads.requests, i, r.arrivedAt())
-}
-
 // maxOrderDelay is how long a load order may take to its worker: one connection that does not come up in time, and
 // another. The load budget counts orders as they arrive, so what was ordered this long before its window may fall
 // into it, and what was taken in its first part may have left it.
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -6,8 +6,6 @@
 )
 
 const (
-	defaultLoadTime    = 1.0 // seconds that a load takes, until one has been seen
-	loadWaitFactor     = 2.0 // a request waits for a load for this many usual load times
 	initialLoadWindow  = 4.0 // load orders in flight at the start
 	slowLoadFactor     = 1.5 // a load this many times slower than usual ...
 	loadWindowDecrease = 0.5 // ... cuts the number of orders in flight to this part ...
@@ -53,6 +51,17 @@
 	return true
 }
 
+// earnLoads counts a request for the load budget, at its arrival, once a worker has taken it for a request.
+// Clients send by hundreds what they take back at once, or what no worker knows: these earn no orders.
+func (b *Balancer) earnLoads(r *request) {
+	if r.earnedLoads || b.settings.LoadWindow == 0 {
+		return
+	}
+	r.earnedLoads = true
+	i, _ := slices.BinarySearch(b.loads.requests, r.arrivedAt())
+	b.loads.requests = slices.Insert(b.loads.requests, i, r.arrivedAt())
+}
+
 // onLoadEnded takes in the end of a load order and places the requests that waited for it.
 func (b *Balancer) onLoadEnded(e LoadEndedEvent) {
 	f := b.functions[e.Function]
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -1,12 +1,7 @@
 package balancer
 
-import "math"
-
-const (
-	initialConcurrency  = 12.0 // in flight to a worker from all dispatchers at first; half at least
-	maxObjectiveRatio   = 0.3  // a window shrinks when answers take more of the objective than this ...
-	concurrencyDecrease = 0.8  // ... to this part
-)
+// maxObjectiveRatio: a concurrency window shrinks when answers take more of the objective than this.
+const maxObjectiveRatio = 0.3
 
 // onOutcome takes in the end of an attempt, then ends or retries its request.
 func (b *Balancer) onOutcome(e OutcomeEvent) {
@@ -105,9 +100,3 @@
 		b.orderLoad(f, p, 1, b.loads.window.size)
 	}
 }
-
-// decreaseWindow shrinks a worker's concurrency window, at most once in a mean answer time.
-func (b *Balancer) decreaseWindow(w *worker) {
-	size := math.Min(w.window.size, float64(len(w.outstanding)+2)) * concurrencyDecrease
-	w.window.decrease(b.now, seconds(b.stats.meanAnswer), math.Max(b.initialWindow()/2, size))
-}
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -7,9 +7,6 @@
 
 const (
 	latencyOutlierRatio = 2.0                    // a worker is slow from this multiple of the expected time
-	latencyPrior        = 1.5                    // ... where this many usual answers speak for it
-	latencyDecay        = 3 * time.Second        // ... and its own are forgotten with this time constant
-	silenceFactor       = 10.0                   // a worker is silent after this many mean answer times
 	maxProbeBackoff     = 8 * time.Second        // longest time between two probes of an ejected worker
 	failureExcess       = 0.3                    // an outlier fails this much more of a class than the fleet ...
 	minFailureRate      = 0.01                   // ... which is taken to fail this part at the least
--- a/internal/balancer/sweep.go
+++ b/internal/balancer/sweep.go
@@ -53,3 +53,14 @@
 		b.backlogged = b.backlogged || held
 	}
 }
+
+// pollEndpoints subscribes to the endpoint list where that is needed, at once and again after a failure.
+func (b *Balancer) pollEndpoints() {
+	if !b.settings.PollEndpoints || b.polling.active {
+		return
+	}
+	if b.timer.id == 0 || b.now-b.polling.changedAt > pollRetryDelay { // the first event, or a retry
+		b.polling = polling{active: true, changedAt: b.now}
+		b.emit(Watch{On: true})
+	}
+}
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -1,9 +1,7 @@
 package balancer
 
-const (
-	zoneUnreachableFactor = 5.0 // unreachable if its workers together lack so many mean answer times ...
-	maxZoneAttemptFactor  = 2.0 // ... of which one attempt counts for so many: any may be long
-)
+// zoneUnreachableFactor: a zone is unreachable if its workers together lack so many mean answer times.
+const zoneUnreachableFactor = 5.0
 
 // recordContact learns from an attempt whether its worker can be reached, and counts requests that it took.
 func (b *Balancer) recordContact(a *attempt, e OutcomeEvent) {
