--- a/cmd/dispatcher/commands_test.go
+++ b/cmd/dispatcher/commands_test.go
@@ -26,7 +26,7 @@
 func (s shell) run(code int, args ...string) string {
 	s.t.Helper()
 	var out, errs bytes.Buffer
-	got := command(append(args, "--invoke", s.file), &out, &errs)
+	got := execute(append(args, "--invoke", s.file), &out, &errs)
 	require.Equal(s.t, code, got, "%v: %s%s", args, out.String(), errs.String())
 	return out.String() + errs.String()
 }
@@ -79,11 +79,11 @@
 		require.NoError(t, json.Unmarshal([]byte(sh.run(0, "tickets", "list", "--dead", "--json")), &found))
 		assert.Len(t, found, 2)
 		assert.Contains(t, sh.run(0, "tickets", "show", "ran"), "may have run, dead")
-		sh.run(exitUnknown, "tickets", "show", "none")
+		sh.run(exitNotFound, "tickets", "show", "none")
 		sh.run(exitUsage, "tickets", "show")
 		sh.run(exitUsage, "tickets", "list", "--all-of-them")
-		sh.run(exitRefused, "tickets", "redrive", "open")
-		sh.run(exitRefused, "tickets", "redrive", "ran", "--reason", "it looks fine")
+		sh.run(exitRejected, "tickets", "redrive", "open")
+		sh.run(exitRejected, "tickets", "redrive", "ran", "--reason", "it looks fine")
 		sh.run(exitUsage, "tickets", "redrive", "ran", "--checked")
 		assert.Contains(t, sh.run(0, "tickets", "redrive", "ran", "--checked", "--reason", "no such booking"), "origin    ran")
 		assert.Contains(t, sh.run(0, "tickets", "show", "ran"), "no such booking")
@@ -91,17 +91,17 @@
 		sh.run(exitUsage, "tickets", "purge")
 		assert.Contains(t, sh.run(0, "tickets", "purge", "--all", "--older", "1h"), "0 purged")
 		assert.Contains(t, sh.run(0, "tickets", "purge", "refused"), "1 purged")
-		sh.run(exitUnknown, "tickets", "show", "refused")
+		sh.run(exitNotFound, "tickets", "show", "refused")
 		assert.Contains(t, sh.run(0, "tickets", "verify"), "5 tickets, all sound")
 		sh.run(0, "tickets", "compact")
 		copied := filepath.Join(t.TempDir(), "copy.db")
 		sh.run(0, "tickets", "snapshot", copied)
-		sh.run(exitStore, "tickets", "snapshot", copied)
+		sh.run(exitStorage, "tickets", "snapshot", copied)
 		done()
-		sh.run(exitStore, "tickets", "restore", copied)
+		sh.run(exitStorage, "tickets", "restore", copied)
 		require.NoError(t, os.RemoveAll(path))
 		require.NoError(t, os.RemoveAll(path+".log"))
-		sh.run(exitStore, "tickets", "list")
+		sh.run(exitStorage, "tickets", "list")
 		sh.run(0, "tickets", "restore", copied)
 		assert.Contains(t, sh.run(0, "tickets", "verify"), "5 tickets, all sound")
 	}
@@ -113,22 +113,22 @@
 	s, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
 	defer s.Close()
-	assert.Contains(t, shell{t, file}.run(exitStore, "tickets", "list"), "another process holds the file")
+	assert.Contains(t, shell{t, file}.run(exitStorage, "tickets", "list"), "another process holds the file")
 }
 
 func TestConfigCheck(t *testing.T) {
 	var out, errs bytes.Buffer
-	assert.Equal(t, exitOK, command([]string{"config", "check", "../../deploy/invoke.toml", "--relay-config", ""}, &out, &errs))
+	assert.Equal(t, exitOK, execute([]string{"config", "check", "../../deploy/invoke.toml", "--relay-config", ""}, &out, &errs))
 	assert.Contains(t, out.String(), "function free-slots: consulta")
 	file := filepath.Join(t.TempDir(), "invoke.toml")
 	require.NoError(t, os.WriteFile(file, []byte("listen = ':1'\nretention = '0s'\n[functions.f]\nclass = 'c'\nkey = 'short'\n"), 0o600))
 	errs.Reset()
-	assert.Equal(t, exitFailed, command([]string{"config", "check", file, "--relay-config", ""}, &out, &errs))
+	assert.Equal(t, exitFailed, execute([]string{"config", "check", file, "--relay-config", ""}, &out, &errs))
 	for _, line := range []string{":2: retention: has to be above 0", ":5: functions.f.key: ", ":3: functions.f.deadline: ", "store: is missing"} {
 		assert.Contains(t, errs.String(), line)
 	}
-	assert.Equal(t, exitUsage, command([]string{"config", "check"}, &out, &errs))
-	assert.Equal(t, exitUsage, command([]string{"brew"}, &out, &errs))
-	assert.Equal(t, exitUsage, command([]string{"serve", "--log", "xml"}, &out, &errs))
-	assert.Equal(t, []string{"--invoke", "f", "--invoke=g"}, long([]string{"-invoke", "f", "-invoke=g"}))
+	assert.Equal(t, exitUsage, execute([]string{"config", "check"}, &out, &errs))
+	assert.Equal(t, exitUsage, execute([]string{"brew"}, &out, &errs))
+	assert.Equal(t, exitUsage, execute([]string{"serve", "--log", "xml"}, &out, &errs))
+	assert.Equal(t, []string{"--invoke", "f", "--invoke=g"}, expandLegacyFlags([]string{"-invoke", "f", "-invoke=g"}))
 }
--- /dev/null
+++ b/cmd/dispatcher/invoke.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"runtime/debug"
+	"time"
+
+	"github.com/spiffe/go-spiffe/v2/workloadapi"
+
+	"kitefall/internal/config"
+	"kitefall/internal/control"
+	"kitefall/internal/dispatch"
+	"kitefall/internal/frontend/invoke"
+	"kitefall/internal/invocation/executor"
+	"kitefall/internal/invocation/store"
+	"kitefall/internal/monotonic"
+)
+
+const (
+	// identityTimeout is how long the Workload API may take to deliver the first identity.
+	identityTimeout = 30 * time.Second
+	// storeLockTimeout is how long another process may hold the lock of the invocation store.
+	storeLockTimeout = 5 * time.Second
+	// maxClockLead is how far the clock of the last run may be ahead before it is logged.
+	maxClockLead = time.Minute
+	// invokeGCPercent replaces the garbage collector's default of 100 while the invoke API is on.
+	invokeGCPercent = 50
+	// shutdownTimeout is how long requests of the invoke API may take to end.
+	shutdownTimeout = 5 * time.Second
+)
+
+// invokeService is the invoke API and what it needs: the executor of invocations with its store, the control socket and
+// the source of the TLS identity.
+type invokeService struct {
+	core     *dispatch.Core
+	identity *workloadapi.X509Source
+	executor *executor.Executor
+	control  *control.Server
+	server   *invoke.Server
+}
+
+// startInvoke starts the invoke API as the operator's file says. An error of the server after the start is sent to failed.
+func startInvoke(invokeFile string, conf *config.Config, core *dispatch.Core, failed chan<- error) (*invokeService, error) {
+	invokeConfig, err := invoke.ReadConfig(invokeFile, conf.Settings)
+	if err != nil {
+		return nil, err
+	}
+	s := &invokeService{core: core}
+	if s.identity, err = waitForIdentity(invokeConfig.WorkloadAPI); err != nil {
+		return nil, err
+	}
+	invocations, err := s.startExecutor(invokeConfig)
+	if err != nil {
+		return nil, err
+	}
+	if s.control, err = control.Listen(invokeConfig.Control, control.ForStore(invocations, s.executor.Redrive)); err != nil {
+		return nil, err
+	}
+	listener, err := net.Listen("tcp", invokeConfig.Listen)
+	if err != nil {
+		return nil, err
+	}
+	s.server = invoke.New(invokeConfig, s.executor, s.identity)
+	go func() { // ended by close
+		if err := s.server.Serve(listener); err != nil {
+			failed <- err
+		}
+	}()
+	slog.Info("serving the invoke API", "name", conf.Name, "addr", listener.Addr().String())
+	return s, nil
+}
+
+// waitForIdentity returns the source of the server's identity once the first one is there.
+func waitForIdentity(workloadAPI string) (*workloadapi.X509Source, error) {
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(identityTimeout))
+	defer cancel()
+	return invoke.WaitForIdentity(ctx, workloadAPI)
+}
+
+// startExecutor opens the store and has the executor take up the invocations that the last run left open.
+func (s *invokeService) startExecutor(invokeConfig *invoke.Config) (*store.Store, error) {
+	invocations, latest, err := openStore(invokeConfig)
+	if err != nil {
+		return nil, err
+	}
+	clock := monotonic.Start(latest)
+	s.executor, err = executor.New(invocations, s.core, invokeConfig, invokeConfig.SchedulerConfig(), clock)
+	if err != nil {
+		return nil, err
+	}
+	// The store may hold 100,000 waiting invocations: small objects that live long. Keeping less garbage beside them is
+	// worth the collector's time. While the invoke API is off the default stays.
+	debug.SetGCPercent(invokeGCPercent)
+	return invocations, s.executor.Recover()
+}
+
+// openStore opens and verifies the invocation store. It also returns the latest time that the store has on record, from
+// which the clock of this run goes on.
+func openStore(invokeConfig *invoke.Config) (*store.Store, time.Time, error) {
+	options := invokeConfig.StoreOptions()
+	options.Durable.LockDeadline = time.Now().Add(storeLockTimeout)
+	options.Durable.VerifyOnOpen = true
+	invocations, err := store.Open(invokeConfig.Store, options)
+	if err != nil {
+		return nil, time.Time{}, err
+	}
+	latest, err := invocations.AdvanceClock(time.Now())
+	if err != nil {
+		return nil, time.Time{}, err
+	}
+	if lead := time.Until(latest); lead > maxClockLead {
+		slog.Warn("tickets: the last run's clock was ahead of this one's; times go on from there", "ahead", lead.Round(time.Second))
+	}
+	return invocations, latest, nil
+}
+
+// drain rejects new requests from now on. Without it a busy invoke API would never run out of calls in flight.
+func (s *invokeService) drain() { s.server.Drain() }
+
+// close ends the service and stops the core. It must be called once nothing is in flight in the core.
+func (s *invokeService) close() error {
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(shutdownTimeout))
+	defer cancel()
+	s.server.Shutdown(ctx)
+	s.control.Close()
+	s.core.Stop()
+	s.identity.Close()
+	return s.executor.Close()
+}
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -34,7 +34,6 @@
 	ran     map[string]int // calls by body that the worker took and did not turn away
 	answers map[string]map[string]bool
 	tickets map[string]string // by body: where to ask
-	reused  int               // answers to repeats under a key
 }
 
 // serve answers calls: most are served, some turned away, some never answered or cut off.
--- /dev/null
+++ b/internal/control/operations.go
@@ -0,0 +1,81 @@
+package control
+
+import (
+	"crypto/rand"
+	"fmt"
+	"os"
+	"time"
+
+	"kitefall/internal/invocation"
+	"kitefall/internal/invocation/store"
+)
+
+// RedriveFunc submits a dead letter's request again, as Operations.Redrive does.
+type RedriveFunc func(id string, confirmed bool, reason string) (*invocation.Invocation, error)
+
+// OpenFile opens a store that no dispatcher has open. The caller must call the returned function to close it. With
+// readOnly set nothing is written, and operations that write fail. The file has to exist; errors of opening it wrap
+// invocation.ErrStorage.
+func OpenFile(path string, options store.Options, readOnly bool) (Operations, func() error, error) {
+	if _, err := os.Stat(path); err != nil { // store.Open would create it
+		return nil, nil, fmt.Errorf("%w: %w", invocation.ErrStorage, err)
+	}
+	options.Durable.ReadOnly = readOnly
+	s, err := store.Open(path, options)
+	if err != nil {
+		return nil, nil, err
+	}
+	return ForStore(s, nil), s.Close, nil
+}
+
+// ForStore returns the operations on an open store, which stays the caller's to close. A running dispatcher passes its
+// executor's redrive, as the executor has to learn of the new invocation; nil redrives in the store alone.
+func ForStore(s *store.Store, redrive RedriveFunc) Operations {
+	if redrive == nil {
+		redrive = func(id string, confirmed bool, reason string) (*invocation.Invocation, error) {
+			return s.Redrive(id, rand.Text(), confirmed, reason, time.Now())
+		}
+	}
+	return &storeOperations{store: s, redrive: redrive}
+}
+
+// storeOperations are the operations on an open store.
+type storeOperations struct {
+	store   *store.Store
+	redrive RedriveFunc
+}
+
+func (o *storeOperations) List(filter store.Filter) ([]Invocation, error) {
+	found, err := o.store.List(filter)
+	listed := make([]Invocation, 0, len(found))
+	for _, stored := range found {
+		listed = append(listed, newInvocation(stored))
+	}
+	return listed, err
+}
+
+func (o *storeOperations) Show(id string) (Invocation, error) {
+	stored, err := o.store.Get(id)
+	if err != nil {
+		return Invocation{}, err
+	}
+	return newInvocation(stored), nil
+}
+
+func (o *storeOperations) Redrive(id string, confirmed bool, reason string) (Invocation, error) {
+	created, err := o.redrive(id, confirmed, reason)
+	if err != nil {
+		return Invocation{}, err
+	}
+	return newInvocation(created), nil
+}
+
+func (o *storeOperations) Purge(ids []string, completedBefore time.Time) (int, error) {
+	return o.store.Purge(ids, completedBefore, time.Now())
+}
+
+func (o *storeOperations) Snapshot(path string) error { return o.store.Snapshot(path) }
+
+func (o *storeOperations) Verify() (int, error) { return o.store.Verify() }
+
+func (o *storeOperations) Compact() (before, after int64, err error) { return o.store.Compact() }
