--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,17 +6,18 @@
 	"testing"
 )
 
+// up starts dispatcher 1.
 const up = `{"msg":"up","dispatcher":1,"rng_seed":1,"profile_data":{"caps":{"try_limit":1},` +
 	`"grades":[{"name":"x","effect":"pure","deadline_us":1000000,"goal_time_us":500000}]}}`
 
-func TestRun(t *testing.T) {
-	in := `{"clock_us":1,"events":[]}
+func TestRunAnswersEachBatch(t *testing.T) {
+	input := `{"clock_us":1,"events":[]}
 {"clock_us":2,"events":[` + up + `]}
 {"clock_us":3,"events":[{"msg":"client_left","dispatcher":9,"msg_id":1},{"msg":"client_left","dispatcher":1,"msg_id":1}]}
 {"clock_us":4,"events":[{"msg":"halt","dispatcher":1},{"msg":"wake","dispatcher":1,"ref":1}]}
 `
 	var out bytes.Buffer
-	if err := run(strings.NewReader(in), &out); err != nil {
+	if err := run(strings.NewReader(input), &out); err != nil {
 		t.Fatal(err)
 	}
 	if lines := strings.Split(out.String(), "\n"); len(lines) != 5 || lines[0] != `{"steps":[]}` || lines[3] != `{"steps":[]}` {
@@ -24,10 +25,10 @@
 	}
 }
 
-func TestRunBadInput(t *testing.T) {
-	for _, in := range []string{"nonsense\n", "\n", `{"clock_us":1,"events":[{"msg":"up","profile_data":{}}]}` + "\n"} {
-		if err := run(strings.NewReader(in), &bytes.Buffer{}); err == nil {
-			t.Errorf("%q: no error", in)
+func TestRunRejectsBadInput(t *testing.T) {
+	for _, input := range []string{"nonsense\n", "\n", `{"clock_us":1,"events":[{"msg":"up","profile_data":{}}]}` + "\n"} {
+		if err := run(strings.NewReader(input), &bytes.Buffer{}); err == nil {
+			t.Errorf("%q: no error", input)
 		}
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/decode_test.go
@@ -1,33 +1,32 @@
 package simwire
 
 import (
-	"encoding/json"
 	"reflect"
-	"strings"
 	"testing"
 	"time"
 
 	"kitefall/internal/balancer"
 )
 
-func decode(t *testing.T, d *Decoder, events string) []Event {
+// decodeEvents decodes a batch with the given events, which are joined by commas.
+func decodeEvents(t *testing.T, decoder *Decoder, events string) []Event {
 	t.Helper()
-	b, err := d.Decode([]byte(`{"clock_us":8412250,"more":1,"events":[` + events + `]}`))
+	batch, err := decoder.Decode([]byte(`{"clock_us":8412250,"more":1,"events":[` + events + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Clock != 8412250*time.Microsecond {
-		t.Fatalf("clock %v", b.Clock)
+	if batch.Clock != 8412250*time.Microsecond {
+		t.Fatalf("clock %v", batch.Clock)
 	}
-	return b.Events
+	return batch.Events
 }
 
-func TestEvents(t *testing.T) {
-	d := NewDecoder()
-	decode(t, d, `{"msg":"catalog","slot":3,"members":[{"runner":"a","pod":2,"condition":"healthy","flavor":"k",
+func TestDecodeEvents(t *testing.T) {
+	decoder := NewDecoder()
+	decodeEvents(t, decoder, `{"msg":"catalog","slot":3,"members":[{"runner":"a","pod":2,"condition":"healthy","flavor":"k",
 		"boot_time_us":6,"rating":1.5,"area":"z"},{"runner":"b","condition":"cordoned"},
 		{"runner":"c","condition":"deregistered"},{"runner":"d","condition":"odd"}]}`)
-	for in, want := range map[string]balancer.Event{
+	for message, want := range map[string]balancer.Event{
 		`{"msg":"backends_changed","dispatcher":3,"version":1,"slot":3,"scope":"Partial"}`: balancer.EndpointsEvent{
 			Scope: balancer.ScopeDelta, Workers: []balancer.Worker{
 				{ID: "a", Cell: 2, Kind: "k", Started: 6 * time.Microsecond, Weight: 1.5, Zone: "z"},
@@ -52,18 +51,18 @@
 		`{"msg":"wake","dispatcher":3,"ref":77}`: balancer.TimerEvent{TimerID: 77},
 		`{"msg":"later","dispatcher":3}`:         nil,
 	} {
-		got := decode(t, d, in)
+		got := decodeEvents(t, decoder, message)
 		if len(got) != 1 || got[0].Dispatcher != 3 || !reflect.DeepEqual(got[0].Event, want) {
-			t.Errorf("%s\n got %+v\nwant %+v", in, got, want)
+			t.Errorf("%s\n got %+v\nwant %+v", message, got, want)
 		}
 	}
-	if got := decode(t, d, `{"msg":"halt","dispatcher":3}`); !got[0].Halt {
+	if got := decodeEvents(t, decoder, `{"msg":"halt","dispatcher":3}`); !got[0].Halt {
 		t.Error("halt not seen")
 	}
 }
 
-func TestUp(t *testing.T) {
-	got := decode(t, NewDecoder(), `{"msg":"up","dispatcher":1,"rng_seed":18446744073709551615,"profile_data":{
+func TestDecodeSettings(t *testing.T) {
+	got := decodeEvents(t, NewDecoder(), `{"msg":"up","dispatcher":1,"rng_seed":18446744073709551615,"profile_data":{
 		"peers_total":3,"caps":{"cancel":true,"try_limit":4,"odd":{}},"kinds":["k"],"discovery":"ask",
 		"domain":{"ram_mb_by_kind":[9152.0],"when_absent":"load","load_period_us":5},"weights":"live",
 		"grades":[{"name":"x","effect":"token","group":"cell","credit":2.5},
@@ -81,7 +80,7 @@
 	}
 }
 
-func TestNoBatch(t *testing.T) {
+func TestDecodeRejectsOtherLines(t *testing.T) {
 	for _, line := range []string{"", "{", "[]", "{}", `{"clock_us":1}`, `{"events":[]}`,
 		`{"clock_us":"x","events":[]}`} {
 		if _, err := NewDecoder().Decode([]byte(line)); err == nil {
@@ -89,43 +88,3 @@
 		}
 	}
 }
-
-func TestActions(t *testing.T) {
-	for _, c := range []struct {
-		action balancer.Action
-		want   string
-	}{
-		{balancer.Send{ID: 1, Worker: "a", Timeout: 80 * time.Millisecond},
-			`{"msg":"call_out","dispatcher":3,"msg_id":1,"limit_us":80000,"runner":"a"}`},
-		{balancer.Cancel{ID: 0, Attempt: 0}, `{"msg":"revoke","dispatcher":3,"msg_id":0,"n":0}`},
-		{balancer.Reject{ID: 1}, `{"msg":"push_back","dispatcher":3,"msg_id":1}`},
-		{balancer.Reject{ID: 1, RetryAfter: time.Second},
-			`{"msg":"push_back","dispatcher":3,"msg_id":1,"come_back_us":1000000}`},
-		{balancer.Fail{ID: 1}, `{"msg":"surrender","dispatcher":3,"msg_id":1}`},
-		{balancer.Load{Worker: "a", Function: "0f", Copies: 0},
-			`{"msg":"start_copy","dispatcher":3,"runner":"a","function":"0f","copies":0}`},
-		{balancer.Unload{Worker: "a", Function: "0f"}, `{"msg":"unmount","dispatcher":3,"runner":"a","function":"0f"}`},
-		{balancer.SetTimer{After: time.Second, TimerID: 7}, `{"msg":"sleep","dispatcher":3,"span_us":1000000,"ref":7}`},
-		{balancer.Watch{On: false}, `{"msg":"stream_changes","dispatcher":3,"want":false}`},
-		{balancer.Fetch{}, `{"msg":"pull","dispatcher":3}`},
-		{balancer.Log{Text: "<a>"}, `{"msg":"write_log","dispatcher":3,"text":"<a>"}`},
-	} {
-		var e Encoder
-		e.Add(3, []balancer.Action{c.action})
-		got, err := e.Reply()
-		if err != nil || !strings.HasSuffix(string(got), "\n") || !json.Valid(got) {
-			t.Fatalf("%q %v", got, err)
-		}
-		var reply struct{ Steps []map[string]any }
-		var want map[string]any
-		json.Unmarshal(got, &reply)
-		json.Unmarshal([]byte(c.want), &want)
-		if len(reply.Steps) != 1 || !reflect.DeepEqual(reply.Steps[0], want) {
-			t.Errorf("%+v: got %s want %s", c.action, got, c.want)
-		}
-	}
-	var e Encoder
-	if got, _ := e.Reply(); string(got) != "{\"steps\":[]}\n" {
-		t.Errorf("empty reply %q", got)
-	}
-}
