--- a/internal/citest/citest_test.go
+++ b/internal/citest/citest_test.go
@@ -1,60 +1,121 @@
-// Package verdict tests the script that gives the verdict on all tests: a check that cannot fail is none.
+// Package citest tests the script .ci/test, which decides whether CI passes: a check that cannot fail would be none.
 package citest
 
 import (
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
-func TestKnownRed(t *testing.T) {
+// Lines of KNOWN-RED.txt for tests of the fixture module.
+const (
+	redKnown     = "m/a TestRed: it is broken (issue 3)\n"
+	fineKnown    = "m/a TestFine: it is broken (issue 3)\n"
+	redOfBKnown  = "m/b TestRed: it is broken (issue 3)\n"
+	missingKnown = "m/a TestNone: it is broken (issue 3)\n"
+	withoutCause = "m/a TestRed: (issue 3)\n"
+	withoutIssue = "m/a TestRed: it is broken\n"
+)
+
+// fixture is a module m with the packages a and b, which have tests of the same name.
+type fixture struct {
+	knownRed string // content of KNOWN-RED.txt; empty: there is no such file
+	aBroken  bool   // TestRed of package a fails
+	bBroken  bool   // TestRed of package b fails
+}
+
+// write returns the folder of the module.
+func (f fixture) write(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	writeFile := func(path, text string) {
+		path = filepath.Join(dir, path)
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o700))
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	}
+	writeFile("go.mod", "module m\n\ngo 1.26\n")
+	writeFile("a/a_test.go", testFile("a", f.aBroken)+"func TestFine(t *testing.T) {}\n")
+	writeFile("b/b_test.go", testFile("b", f.bBroken))
+	if f.knownRed != "" {
+		writeFile("KNOWN-RED.txt", f.knownRed)
+	}
+	return dir
+}
+
+// testFile returns a test file with the test TestRed.
+func testFile(packageName string, broken bool) string {
+	body := ""
+	if broken {
+		body = `t.Error("broken")`
+	}
+	return "package " + packageName + "\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { " + body + " }\n"
+}
+
+func TestVerdict(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	require.NoError(t, err)
-	const red, fine = "m/a TestRed: it is broken (issue 3)\n", "m/a TestFine: it is broken (issue 3)\n"
-	for name, c := range map[string]struct {
-		known  string // none: the file is absent
-		broken bool   // a test fails that is not known
+	for name, test := range map[string]struct {
+		fixture
 		passes bool
-		says   string
+		prints string
 	}{
-		"red and not known":     {broken: true, says: "--- FAIL: TestRed"},
-		"red and known":         {known: red, broken: true, passes: true, says: "known red: m/a TestRed: it is broken"},
-		"known, but passes":     {known: red, says: "TestRed passes"},
-		"another one red":       {known: fine, broken: true, says: "--- FAIL: TestRed"},
-		"no cause":              {known: "m/a TestRed: (issue 3)\n", broken: true, says: "not 'PACKAGE TEST"},
-		"no issue":              {known: "m/a TestRed: it is broken\n", broken: true, says: "not 'PACKAGE TEST"},
-		"no test":               {known: "m/a TestNone: it is broken (issue 3)\n", broken: true, says: "is no test of m/a"},
-		"four lines":            {known: red + red + red + red, broken: true, says: "more than three lines"},
-		"nothing in it":         {known: "\n", says: "names no test"},
-		"the same name, abroad": {known: "m/b TestRed: it is broken (issue 3)\n", broken: true, says: "--- FAIL: TestRed"},
+		"red and not known": {
+			fixture: fixture{aBroken: true},
+			prints:  "--- FAIL: TestRed",
+		},
+		"red and known": {
+			fixture: fixture{knownRed: redKnown, aBroken: true},
+			passes:  true,
+			prints:  "known red: m/a TestRed: it is broken",
+		},
+		"known, but passes": {
+			fixture: fixture{knownRed: redKnown},
+			prints:  "TestRed passes",
+		},
+		"another test red": {
+			fixture: fixture{knownRed: fineKnown, aBroken: true},
+			prints:  "--- FAIL: TestRed",
+		},
+		"no cause": {
+			fixture: fixture{knownRed: withoutCause, aBroken: true},
+			prints:  "not 'PACKAGE TEST",
+		},
+		"no issue": {
+			fixture: fixture{knownRed: withoutIssue, aBroken: true},
+			prints:  "not 'PACKAGE TEST",
+		},
+		"no such test": {
+			fixture: fixture{knownRed: missingKnown, aBroken: true},
+			prints:  "is no test of m/a",
+		},
+		"four lines": {
+			fixture: fixture{knownRed: strings.Repeat(redKnown, 4), aBroken: true},
+			prints:  "more than three lines",
+		},
+		"empty file": {
+			fixture: fixture{knownRed: "\n"},
+			prints:  "names no test",
+		},
+		"red and known in the other package": {
+			fixture: fixture{knownRed: redOfBKnown, bBroken: true},
+			passes:  true,
+			prints:  "known red: m/b TestRed: it is broken",
+		},
+		"red in both packages, known in one": {
+			fixture: fixture{knownRed: redOfBKnown, aBroken: true, bBroken: true},
+			prints:  "--- FAIL: TestRed",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			dir := t.TempDir()
-			write := func(path, text string) {
-				require.NoError(t, os.MkdirAll(filepath.Dir(filepath.Join(dir, path)), 0o700))
-				require.NoError(t, os.WriteFile(filepath.Join(dir, path), []byte(text), 0o600))
-			}
-			body := ""
-			if c.broken {
-				body = `t.Error("broken")`
-			}
-			write("go.mod", "module m\n\ngo 1.26\n")
-			write("a/a_test.go", "package a\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { "+body+" }\nfunc TestFine(t *testing.T) {}\n")
-			write("b/b_test.go", "package b\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { t.Error(\"broken here\") }\n")
-			if c.known != "m/b TestRed: it is broken (issue 3)\n" {
-				write("b/b_test.go", "package b\n\nimport \"testing\"\n\nfunc TestOther(t *testing.T) {}\n")
-			}
-			if c.known != "" {
-				write("KNOWN-RED.txt", c.known)
-			}
-			out, err := exec.Command(script, dir).CombinedOutput()
-			assert.Equal(t, c.passes, err == nil, "%s", out)
-			assert.Contains(t, string(out), c.says)
+			out, err := exec.Command(script, test.write(t)).CombinedOutput()
+			assert.Equal(t, test.passes, err == nil, "%s", out)
+			assert.Contains(t, string(out), test.prints)
 		})
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads what the platform tells a dispatcher, and shares out its limits.
+// Package config reads the configuration file with which the platform starts a dispatcher, and divides the limits that it
+// sets among the dispatcher's parts.
 package config
 
 import (
@@ -15,30 +16,20 @@
 	"kitefall/internal/settings"
 )
 
-// The shares of the limits.
+// Values for what the configuration leaves out.
 const (
-	clientShare = 0.34      // of the descriptors: clients hold a third at most
-	workerShare = 0.4       // ... the rest is for the board, the listener, what the runtime holds, and the first
-	workerMost  = 8         // connection to each worker, which is always allowed
-	usualSocket = 1024      // descriptors, where no limit is told
-	usualMemory = 192       // MB, likewise
-	staysIdle   = time.Hour // idle connections are kept so long where workers close none
-	memoryShare = 0.75      // of the memory: what the collector keeps to; the rest is the kernel's and the program's own
-	bodiesShare = 0.2       // of the memory: bodies of open calls
-	mostOpen    = 20000
+	defaultSockets     = 1024
+	defaultMemoryMB    = 192
+	defaultIdleTimeout = time.Hour // of connections to workers
 )
 
-// Config is the configuration of a dispatcher.
+// Config is the configuration of a dispatcher. The tagged fields are as in the file; Read fills in the others from them.
 type Config struct {
-	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Limits struct {
-		Cores    float64 `json:"cores"`
-		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
-	} `json:"limits"`
+	Name             string                  `json:"name"`
+	Listen           string                  `json:"listen"` // address for clients
+	Limits           Limits                  `json:"limits"`
 	DiscoveryAddr    string                  `json:"board"`
-	InitialEndpoints discovery.WatchResponse `json:"known"`
+	InitialEndpoints discovery.WatchResponse `json:"known"` // used until the first answer of discovery
 	SeedHex          string                  `json:"seed"`
 	RawSettings      json.RawMessage         `json:"settings"`
 
@@ -47,72 +38,67 @@
 	Connections settings.Conns    `json:"-"`
 }
 
-// Read reads a configuration file.
+// Limits are the resources that a dispatcher may use.
+type Limits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"` // file descriptors
+}
+
+// Read reads a configuration file. Limits that it does not set get defaults. Errors name the file and, where one is at
+// fault, the key.
 func Read(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	c := &Config{}
-	if err := json.Unmarshal(data, c); err != nil {
+	if err := c.parse(data); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
+	c.applyDefaults()
+	return c, nil
+}
+
+func (c *Config) parse(data []byte) error {
+	err := json.Unmarshal(data, c)
+	if err != nil {
+		return err
+	}
 	if c.Seed, err = strconv.ParseUint(c.SeedHex, 16, 64); err != nil {
-		return nil, fmt.Errorf("%s: seed: %w", path, err)
+		return fmt.Errorf("seed: %w", err)
 	}
 	if c.Settings, err = settings.Parse(c.RawSettings); err != nil {
-		return nil, fmt.Errorf("%s: settings: %w", path, err)
+		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Connections, err = settings.ParseConns(c.RawSettings); err != nil {
-		return nil, fmt.Errorf("%s: settings: %w", path, err)
+		return fmt.Errorf("settings: %w", err)
 	}
 	if _, _, err := net.SplitHostPort(c.DiscoveryAddr); err != nil {
-		return nil, fmt.Errorf("%s: board: %w", path, err)
+		return fmt.Errorf("board: %w", err)
 	}
-	c.complete()
-	return c, nil
+	return nil
 }
 
-// complete puts the safest figure where a deployment tells none. To refuse to start would serve its clients worse.
-func (c *Config) complete() {
+// applyDefaults replaces missing limits by safe values: a dispatcher that refuses to start would serve its clients worse.
+func (c *Config) applyDefaults() {
 	c.Connections.Streams = max(1, c.Connections.Streams)
 	if c.Connections.IdleClose <= 0 {
-		c.Connections.IdleClose = staysIdle
+		c.Connections.IdleClose = defaultIdleTimeout
 	}
 	if c.Limits.Sockets <= 0 {
-		c.Limits.Sockets = usualSocket
+		c.Limits.Sockets = defaultSockets
 	}
 	if c.Limits.MemoryMB <= 0 {
-		c.Limits.MemoryMB = usualMemory
+		c.Limits.MemoryMB = defaultMemoryMB
 	}
 }
 
-// SameBut tells whether a configuration differs from another in nothing but what a reload takes up or a start
-// draws anew.
-func (c *Config) EqualExceptReloadable(o *Config) bool {
-	return c.Name == o.Name && c.Listen == o.Listen && c.Limits == o.Limits && bytes.Equal(c.RawSettings, o.RawSettings)
-}
-
-func (c *Config) memory(share float64) int64 { return int64(c.Limits.MemoryMB * share * (1 << 20)) }
-
-// MemoryLimit is what the garbage collector keeps to, in bytes.
-func (c *Config) MemoryLimit() int64 { return c.memory(memoryShare) }
-
-// MostHeld is the bytes that the bodies of open calls may hold.
-func (c *Config) MaxBodyBytes() int64 { return c.memory(bodiesShare) }
-
-// MostOpen is how many calls may be open.
-func (c *Config) MaxInFlight() int {
-	if c.Settings.MaxInFlight > 0 {
-		return min(c.Settings.MaxInFlight, mostOpen)
-	}
-	return mostOpen
-}
-
-// ClientConnections is how many connections of clients are held.
-func (c *Config) MaxClientConns() int { return int(clientShare * float64(c.Limits.Sockets)) }
-
-// WorkerConnections is how many connections one worker may have, and all together.
-func (c *Config) MaxWorkerConns() (one, all int) {
-	return workerMost, int(workerShare * float64(c.Limits.Sockets))
+// EqualExceptReloadable reports whether c differs from other at most in what a reload takes up, the discovery address, or
+// in what every start sets anew, the seed and the initial endpoints.
+func (c *Config) EqualExceptReloadable(other *Config) bool {
+	return c.Name == other.Name &&
+		c.Listen == other.Listen &&
+		c.Limits == other.Limits &&
+		bytes.Equal(c.RawSettings, other.RawSettings)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,47 +11,64 @@
 	"github.com/stretchr/testify/require"
 )
 
-func read(t *testing.T, limits, caps string) (*Config, error) {
+// readConfig reads a configuration file with the given members of its limits and of its settings' caps.
+func readConfig(t *testing.T, limits, caps string) (*Config, error) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
-		"board":"127.0.0.1:1","limits":{%s},"settings":{"caps":{%s},"grades":[{"name":"mirar","effect":"pure"}]}}`, limits, caps), 0o600))
+	text := fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","board":"127.0.0.1:1",
+		"limits":{%s},"settings":{"caps":{%s},"grades":[{"name":"mirar","effect":"pure"}]}}`, limits, caps)
+	require.NoError(t, os.WriteFile(path, text, 0o600))
 	return Read(path)
 }
 
-// Other deployments tell other limits, or none. A start that is refused for that serves nobody.
-func TestMissingLimitsGetTheUsualOnes(t *testing.T) {
-	c, err := read(t, "", "")
-	require.NoError(t, err)
-	assert.Equal(t, []any{1, time.Hour, 1024, 192.0}, []any{c.Connections.Streams, c.Connections.IdleClose, c.Limits.Sockets,
-		c.Limits.MemoryMB})
-	c, err = read(t, `"cores":0.2,"memory_mb":24,"sockets":48`, `"idle_close_us":500000,"max_streams":4`)
-	require.NoError(t, err)
-	assert.Equal(t, []any{4, 500 * time.Millisecond, 48, 24.0}, []any{c.Connections.Streams, c.Connections.IdleClose,
-		c.Limits.Sockets, c.Limits.MemoryMB})
+func TestReadAppliesDefaultLimits(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		limits, caps string
+		streams      int
+		idleClose    time.Duration
+		sockets      int
+		memoryMB     float64
+	}{
+		{name: "nothing set", streams: 1, idleClose: time.Hour, sockets: 1024, memoryMB: 192},
+		{name: "all set", limits: `"cores":0.2,"memory_mb":24,"sockets":48`, caps: `"idle_close_us":500000,"max_streams":4`,
+			streams: 4, idleClose: 500 * time.Millisecond, sockets: 48, memoryMB: 24},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c, err := readConfig(t, test.limits, test.caps)
+			require.NoError(t, err)
+			assert.Equal(t, test.streams, c.Connections.Streams)
+			assert.Equal(t, test.idleClose, c.Connections.IdleClose)
+			assert.Equal(t, test.sockets, c.Limits.Sockets)
+			assert.Equal(t, test.memoryMB, c.Limits.MemoryMB)
+		})
+	}
 }
 
-func TestWhatCannotBeReadIsAnError(t *testing.T) {
-	_, err := read(t, `"sockets":"many"`, "")
+func TestReadErrors(t *testing.T) {
+	_, err := readConfig(t, `"sockets":"many"`, "")
 	assert.Error(t, err)
-	_, err = read(t, "", `"max_streams":{}`)
+	_, err = readConfig(t, "", `"max_streams":{}`)
 	assert.Error(t, err)
 	_, err = Read(filepath.Join(t.TempDir(), "none.json"))
 	assert.Error(t, err)
 }
 
-// The shares of the descriptors leave some for the board, the listener and the runtime, whatever the limit.
-func TestSharesOfTheDescriptors(t *testing.T) {
+// The shares of the descriptors leave some for discovery, the listeners and the runtime, whatever the limit.
+func TestSocketSharesLeaveAReserve(t *testing.T) {
 	for _, sockets := range []int{48, 256, 576, 1024} {
-		c := &Config{}
-		c.Limits.Sockets = sockets
-		_, all := c.MaxWorkerConns()
-		assert.LessOrEqual(t, c.MaxClientConns()+all, sockets*3/4+1)
-		assert.Positive(t, all)
+		c := &Config{Limits: Limits{Sockets: sockets}}
+		_, workerConns := c.MaxWorkerConns()
+		assert.LessOrEqual(t, c.MaxClientConns()+workerConns, sockets*3/4+1)
+		assert.Positive(t, workerConns)
 	}
-	// The first connection of each worker is always allowed. In the smallest of the platform's limits, with the largest of
-	// its fleets, idle clients that take all they can still leave some for the board, the listener and the runtime.
-	c := &Config{}
-	c.Limits.Sockets = 256
-	_, all := c.MaxWorkerConns()
-	assert.LessOrEqual(t, c.MaxClientConns()+max(all, 120)+16, 256)
+}
+
+// The first connection to each worker is always allowed. In the smallest of the platform's limits, with the largest of its
+// fleets, clients that hold all the connections they may still leave a reserve.
+func TestSocketSharesInTheSmallestDeployment(t *testing.T) {
+	const sockets, workers, reserve = 256, 120, 16
+	c := &Config{Limits: Limits{Sockets: sockets}}
+	_, workerConns := c.MaxWorkerConns()
+	assert.LessOrEqual(t, c.MaxClientConns()+max(workerConns, workers)+reserve, sockets)
 }
--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -1,5 +1,6 @@
 //go:build failpoint
 
+// Package failpoint names points of the program at which a test may kill the whole process.
 package failpoint
 
 import (
@@ -10,24 +11,28 @@
 	"syscall"
 )
 
+// environment names the variable that chooses the point.
+const environment = "KITEFALL_FAILPOINT"
+
 var (
-	name string
-	left atomic.Int64
+	chosenPoint   string       // set once, before main
+	remainingHits atomic.Int64 // hits of the chosen point until the process is killed
 )
 
 func init() {
-	point, count, some := strings.Cut(os.Getenv("KITEFALL_FAILPOINT"), ":")
-	name = point
-	left.Store(1)
-	if n, err := strconv.ParseInt(count, 10, 64); some && err == nil {
-		left.Store(n)
+	point, countText, hasCount := strings.Cut(os.Getenv(environment), ":")
+	chosenPoint = point
+	remainingHits.Store(1)
+	if count, err := strconv.ParseInt(countText, 10, 64); hasCount && err == nil {
+		remainingHits.Store(count)
 	}
 }
 
-// Hit ends the process, without any last word, where its point is the one that the environment names.
+// Hit kills the process if point is the one chosen by the environment and its count is reached. It is safe for concurrent
+// use.
 func Hit(point string) {
-	if point == name && left.Add(-1) == 0 {
+	if point == chosenPoint && remainingHits.Add(-1) == 0 {
 		syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {} // the signal is on its way: nothing after this point may happen
+		select {} // until the signal arrives: nothing after this point may happen
 	}
 }
--- a/internal/logthrottle/logthrottle.go
+++ b/internal/logthrottle/logthrottle.go
@@ -1,4 +1,5 @@
-// Package quiet keeps lines that others can cause at will from filling the log.
+// Package logthrottle limits how often one kind of log line is written. It is for lines that clients or workers can cause
+// at any rate, which could otherwise fill the log.
 package logthrottle
 
 import (
@@ -10,22 +11,33 @@
 	"golang.org/x/time/rate"
 )
 
-// Line is one kind of log line: the first few are written, then one every few seconds, with the number left out.
+const (
+	// firstLines is how many lines are written without a limit.
+	firstLines = 5
+	// interval is the shortest time between two lines after that.
+	interval = 5 * time.Second
+	// skippedKey is the key of the number of lines that were left out.
+	skippedKey = "more"
+)
+
+// Logger writes one kind of log line to the default slog.Logger. It is safe for concurrent use.
 type Logger struct {
-	some    rate.Sometimes
-	skipped atomic.Int64
+	sometimes rate.Sometimes
+	skipped   atomic.Int64 // lines left out since the last one written
 }
 
-// NewLine returns a kind of line that has not been written yet.
-func New() *Logger { return &Logger{some: rate.Sometimes{First: 5, Interval: 5 * time.Second}} }
+// New returns a Logger for one kind of line.
+func New() *Logger {
+	return &Logger{sometimes: rate.Sometimes{First: firstLines, Interval: interval}}
+}
 
-// Log writes the line with its keys and values, or counts it.
-func (l *Logger) Log(level slog.Level, text string, args ...any) {
-	l.skipped.Add(1)
-	l.some.Do(func() {
-		if n := l.skipped.Swap(0) - 1; n > 0 {
-			args = append(args[:len(args):len(args)], "more", n)
+// Log writes the line with its keys and values, and with the number of those left out before; or it leaves this one out.
+func (l *Logger) Log(level slog.Level, message string, args ...any) {
+	l.skipped.Add(1) // this line, until it is written
+	l.sometimes.Do(func() {
+		if skipped := l.skipped.Swap(0) - 1; skipped > 0 {
+			args = append(args[:len(args):len(args)], skippedKey, skipped)
 		}
-		slog.Log(context.Background(), level, text, args...)
+		slog.Log(context.Background(), level, message, args...)
 	})
 }
--- a/internal/logthrottle/logthrottle_test.go
+++ b/internal/logthrottle/logthrottle_test.go
@@ -12,14 +12,14 @@
 )
 
 // A flood of one kind of line must not fill the log.
-func TestRepeatedLinesAreLeftOut(t *testing.T) {
+func TestLogLeavesOutRepeatedLines(t *testing.T) {
 	var out bytes.Buffer
-	before := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&out, nil)))
-	defer slog.SetDefault(before)
-	l := logthrottle.New()
+	defer slog.SetDefault(previous)
+	logger := logthrottle.New()
 	for range 10_000 {
-		l.Log(slog.LevelWarn, "closed", "addr", "a")
+		logger.Log(slog.LevelWarn, "closed", "addr", "a")
 	}
 	assert.Less(t, strings.Count(out.String(), "\n"), 10)
 	assert.Contains(t, out.String(), "msg=closed addr=a")
