--- a/cmd/dispatcher/commands_test.go
+++ b/cmd/dispatcher/commands_test.go
@@ -17,118 +17,186 @@
 	"kitefall/internal/invocation/store"
 )
 
-// shell runs command lines of the program.
-type shell struct {
-	t    *testing.T
-	file string
+// commandLine runs command lines of the program with an operator's file.
+type commandLine struct {
+	t          *testing.T
+	invokeFile string
 }
 
-func (s shell) run(code int, args ...string) string {
-	s.t.Helper()
-	var out, errs bytes.Buffer
-	got := execute(append(args, "--invoke", s.file), &out, &errs)
-	require.Equal(s.t, code, got, "%v: %s%s", args, out.String(), errs.String())
-	return out.String() + errs.String()
+// run requires the exit code, and returns what the command wrote to its two outputs.
+func (c commandLine) run(exitCode int, args ...string) string {
+	c.t.Helper()
+	var stdout, stderr bytes.Buffer
+	got := execute(append(args, "--invoke", c.invokeFile), &stdout, &stderr)
+	require.Equal(c.t, exitCode, got, "%v: %s%s", args, stdout.String(), stderr.String())
+	return stdout.String() + stderr.String()
 }
 
-// operated makes a store with an open ticket, one that was served, and two dead letters: one that may have run.
-func operated(t *testing.T) (file, path string) {
+// newStore makes a store with an open invocation, one that was served, and two dead letters: ran, which may have run, and
+// refused, which has not. It returns the path of an operator's file for the store, and the store's own.
+func newStore(t *testing.T) (invokeFile, storePath string) {
+	t.Helper()
 	dir := t.TempDir()
-	file, path = filepath.Join(dir, "invoke.toml"), filepath.Join(dir, "tickets.db")
-	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "listen = '127.0.0.1:1'\nworkload_api = 'x'\nstore = %q\n", path), 0o600))
-	s, err := store.Open(path, store.Options{Retention: time.Hour, MaxInvocations: 100})
-	require.NoError(t, err)
+	invokeFile = filepath.Join(dir, "invoke.toml")
+	storePath = filepath.Join(dir, "tickets.db")
+	text := fmt.Appendf(nil, "listen = '127.0.0.1:1'\nworkload_api = 'x'\nstore = %q\n", storePath)
+	require.NoError(t, os.WriteFile(invokeFile, text, 0o600))
+	s := openSmallStore(t, storePath)
 	defer s.Close()
 	now := time.Now()
-	for id, facts := range map[string][]invocation.Event{"open": nil, "served": {invocation.EventSubmit, invocation.EventStart, invocation.EventServed},
-		"ran": {invocation.EventSubmit, invocation.EventStart, invocation.EventFailed}, "refused": {invocation.EventSubmit, invocation.EventRejected}} {
-		o := invocation.Request{Tenant: "a", Function: "book", Class: "reserva", Deferred: true, Expires: now.Add(time.Hour)}
-		_, err := s.Create(invocation.New(id, o, now), nil, now)
+	for id, events := range map[string][]invocation.Event{
+		"open":    nil,
+		"served":  {invocation.EventSubmit, invocation.EventStart, invocation.EventServed},
+		"ran":     {invocation.EventSubmit, invocation.EventStart, invocation.EventFailed},
+		"refused": {invocation.EventSubmit, invocation.EventRejected},
+	} {
+		request := invocation.Request{
+			Tenant:   "a",
+			Function: "book",
+			Class:    "reserva",
+			Deferred: true,
+			Expires:  now.Add(time.Hour),
+		}
+		_, err := s.Create(invocation.New(id, request, now), nil, now)
 		require.NoError(t, err)
-		for _, f := range facts {
-			_, _, err := s.Apply(id, invocation.Input{Event: f}, nil, now)
+		for _, event := range events {
+			_, _, err := s.Apply(id, invocation.Input{Event: event}, nil, now)
 			require.NoError(t, err)
 		}
 	}
-	return file, path
+	return invokeFile, storePath
 }
 
-// Every command on the file, and the same by the control socket of a program that has it.
-func TestTicketsCommands(t *testing.T) {
-	for _, running := range []bool{false, true} {
-		file, path := operated(t)
-		sh := shell{t, file}
-		held := func() func() {
-			if !running {
-				return func() {}
-			}
-			s, err := store.Open(path, store.Options{Retention: time.Hour, MaxInvocations: 100})
-			require.NoError(t, err)
-			socket, err := control.Listen(path+".sock", control.ForStore(s, nil))
-			require.NoError(t, err)
-			info, err := os.Stat(path + ".sock")
-			require.NoError(t, err)
-			assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "its owner's alone")
-			_, err = control.Listen(path+".sock", control.ForStore(s, nil))
-			require.Error(t, err, "somebody answers on it")
-			return func() { socket.Close(); s.Close() }
-		}
-		done := held()
-		assert.Contains(t, sh.run(0, "tickets", "list"), "served")
-		var found []control.Invocation
-		require.NoError(t, json.Unmarshal([]byte(sh.run(0, "tickets", "list", "--dead", "--json")), &found))
-		assert.Len(t, found, 2)
-		assert.Contains(t, sh.run(0, "tickets", "show", "ran"), "may have run, dead")
-		sh.run(exitNotFound, "tickets", "show", "none")
-		sh.run(exitUsage, "tickets", "show")
-		sh.run(exitUsage, "tickets", "list", "--all-of-them")
-		sh.run(exitRejected, "tickets", "redrive", "open")
-		sh.run(exitRejected, "tickets", "redrive", "ran", "--reason", "it looks fine")
-		sh.run(exitUsage, "tickets", "redrive", "ran", "--checked")
-		assert.Contains(t, sh.run(0, "tickets", "redrive", "ran", "--checked", "--reason", "no such booking"), "origin    ran")
-		assert.Contains(t, sh.run(0, "tickets", "show", "ran"), "no such booking")
-		sh.run(0, "tickets", "redrive", "refused")
-		sh.run(exitUsage, "tickets", "purge")
-		assert.Contains(t, sh.run(0, "tickets", "purge", "--all", "--older", "1h"), "0 purged")
-		assert.Contains(t, sh.run(0, "tickets", "purge", "refused"), "1 purged")
-		sh.run(exitNotFound, "tickets", "show", "refused")
-		assert.Contains(t, sh.run(0, "tickets", "verify"), "5 tickets, all sound")
-		sh.run(0, "tickets", "compact")
-		copied := filepath.Join(t.TempDir(), "copy.db")
-		sh.run(0, "tickets", "snapshot", copied)
-		sh.run(exitStorage, "tickets", "snapshot", copied)
-		done()
-		sh.run(exitStorage, "tickets", "restore", copied)
-		require.NoError(t, os.RemoveAll(path))
-		require.NoError(t, os.RemoveAll(path+".log"))
-		sh.run(exitStorage, "tickets", "list")
-		sh.run(0, "tickets", "restore", copied)
-		assert.Contains(t, sh.run(0, "tickets", "verify"), "5 tickets, all sound")
+// openSmallStore opens a store that takes up to 100 invocations.
+func openSmallStore(t *testing.T, path string) *store.Store {
+	t.Helper()
+	s, err := store.Open(path, store.Options{Retention: time.Hour, MaxInvocations: 100})
+	require.NoError(t, err)
+	return s
+}
+
+// openControlSocket opens a store and a control socket for it, as a running dispatcher does, until the returned function
+// is called.
+func openControlSocket(t *testing.T, storePath string) (closeAll func()) {
+	t.Helper()
+	socketPath := storePath + ".sock"
+	s := openSmallStore(t, storePath)
+	server, err := control.Listen(socketPath, control.ForStore(s, nil))
+	require.NoError(t, err)
+	info, err := os.Stat(socketPath)
+	require.NoError(t, err)
+	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "the owner's alone")
+	_, err = control.Listen(socketPath, control.ForStore(s, nil))
+	require.Error(t, err, "another server listens on it")
+	return func() {
+		server.Close()
+		s.Close()
 	}
 }
 
-// A store that another process holds, and that has no socket, is said to be held.
-func TestHeldStore(t *testing.T) {
-	file, path := operated(t)
-	s, err := store.Open(path, store.Options{})
+func TestTicketsCommands(t *testing.T) {
+	t.Run("on the file", func(t *testing.T) {
+		invokeFile, storePath := newStore(t)
+		testTicketsCommands(t, invokeFile, storePath, func() {})
+	})
+	t.Run("over the control socket", func(t *testing.T) {
+		invokeFile, storePath := newStore(t)
+		testTicketsCommands(t, invokeFile, storePath, openControlSocket(t, storePath))
+	})
+}
+
+// testTicketsCommands runs every command. Before the store is restored it calls closeAll.
+func testTicketsCommands(t *testing.T, invokeFile, storePath string, closeAll func()) {
+	c := commandLine{t, invokeFile}
+	assert.Contains(t, c.run(exitOK, "tickets", "list"), "served")
+	var found []control.Invocation
+	require.NoError(t, json.Unmarshal([]byte(c.run(exitOK, "tickets", "list", "--dead", "--json")), &found))
+	assert.Len(t, found, 2)
+	assert.Contains(t, c.run(exitOK, "tickets", "show", "ran"), "may have run, dead")
+	c.run(exitNotFound, "tickets", "show", "none")
+	c.run(exitUsage, "tickets", "show")
+	c.run(exitUsage, "tickets", "list", "--all-of-them")
+
+	c.run(exitRejected, "tickets", "redrive", "open")
+	c.run(exitRejected, "tickets", "redrive", "ran", "--reason", "it looks fine")
+	c.run(exitUsage, "tickets", "redrive", "ran", "--checked")
+	redriven := c.run(exitOK, "tickets", "redrive", "ran", "--checked", "--reason", "no such booking")
+	assert.Contains(t, redriven, "origin    ran")
+	assert.Contains(t, c.run(exitOK, "tickets", "show", "ran"), "no such booking")
+	c.run(exitOK, "tickets", "redrive", "refused")
+
+	c.run(exitUsage, "tickets", "purge")
+	assert.Contains(t, c.run(exitOK, "tickets", "purge", "--all", "--older", "1h"), "0 purged")
+	assert.Contains(t, c.run(exitOK, "tickets", "purge", "refused"), "1 purged")
+	c.run(exitNotFound, "tickets", "show", "refused")
+
+	assert.Contains(t, c.run(exitOK, "tickets", "verify"), "5 tickets, all sound")
+	c.run(exitOK, "tickets", "compact")
+	snapshot := filepath.Join(t.TempDir(), "copy.db")
+	c.run(exitOK, "tickets", "snapshot", snapshot)
+	c.run(exitStorage, "tickets", "snapshot", snapshot)
+
+	closeAll()
+	c.run(exitStorage, "tickets", "restore", snapshot)
+	require.NoError(t, os.RemoveAll(storePath))
+	require.NoError(t, os.RemoveAll(storePath+".log"))
+	c.run(exitStorage, "tickets", "list")
+	c.run(exitOK, "tickets", "restore", snapshot)
+	assert.Contains(t, c.run(exitOK, "tickets", "verify"), "5 tickets, all sound")
+}
+
+func TestTicketsResultsInJSON(t *testing.T) {
+	invokeFile, storePath := newStore(t)
+	c := commandLine{t, invokeFile}
+	assert.Equal(t, "{\n  \"purged\": 1\n}\n", c.run(exitOK, "tickets", "purge", "refused", "--json"))
+	assert.Equal(t, "{\n  \"tickets\": 3\n}\n", c.run(exitOK, "tickets", "verify", "--json"))
+	assert.Regexp(t, `^{\n  "after": \d+,\n  "before": \d+\n}\n$`, c.run(exitOK, "tickets", "compact", "--json"))
+	snapshot := filepath.Join(t.TempDir(), "copy.db")
+	assert.JSONEq(t, fmt.Sprintf(`{"snapshot": %q}`, snapshot), c.run(exitOK, "tickets", "snapshot", snapshot, "--json"))
+	require.NoError(t, os.RemoveAll(storePath))
+	require.NoError(t, os.RemoveAll(storePath+".log"))
+	assert.JSONEq(t, fmt.Sprintf(`{"store": %q}`, storePath), c.run(exitOK, "tickets", "restore", snapshot, "--json"))
+}
+
+// The store is locked by a process that has no control socket.
+func TestTicketsOfALockedStore(t *testing.T) {
+	invokeFile, storePath := newStore(t)
+	s, err := store.Open(storePath, store.Options{})
 	require.NoError(t, err)
 	defer s.Close()
-	assert.Contains(t, shell{t, file}.run(exitStorage, "tickets", "list"), "another process holds the file")
+	assert.Contains(t, commandLine{t, invokeFile}.run(exitStorage, "tickets", "list"), "another process holds the file")
+}
+
+func TestConfigCheckExplainsTheFile(t *testing.T) {
+	var stdout, stderr bytes.Buffer
+	assert.Equal(t, exitOK, execute([]string{"config", "check", "../../deploy/invoke.toml", "--relay-config", ""}, &stdout, &stderr))
+	assert.Contains(t, stdout.String(), "function free-slots: consulta")
 }
 
-func TestConfigCheck(t *testing.T) {
-	var out, errs bytes.Buffer
-	assert.Equal(t, exitOK, execute([]string{"config", "check", "../../deploy/invoke.toml", "--relay-config", ""}, &out, &errs))
-	assert.Contains(t, out.String(), "function free-slots: consulta")
-	file := filepath.Join(t.TempDir(), "invoke.toml")
-	require.NoError(t, os.WriteFile(file, []byte("listen = ':1'\nretention = '0s'\n[functions.f]\nclass = 'c'\nkey = 'short'\n"), 0o600))
-	errs.Reset()
-	assert.Equal(t, exitFailed, execute([]string{"config", "check", file, "--relay-config", ""}, &out, &errs))
-	for _, line := range []string{":2: retention: has to be above 0", ":5: functions.f.key: ", ":3: functions.f.deadline: ", "store: is missing"} {
-		assert.Contains(t, errs.String(), line)
+func TestConfigCheckListsAllErrors(t *testing.T) {
+	invokeFile := filepath.Join(t.TempDir(), "invoke.toml")
+	text := "listen = ':1'\nretention = '0s'\n[functions.f]\nclass = 'c'\nkey = 'short'\n"
+	require.NoError(t, os.WriteFile(invokeFile, []byte(text), 0o600))
+	var stdout, stderr bytes.Buffer
+	assert.Equal(t, exitFailed, execute([]string{"config", "check", invokeFile, "--relay-config", ""}, &stdout, &stderr))
+	for _, line := range []string{
+		":2: retention: has to be above 0",
+		":5: functions.f.key: ",
+		":3: functions.f.deadline: ",
+		"store: is missing",
+	} {
+		assert.Contains(t, stderr.String(), line)
 	}
-	assert.Equal(t, exitUsage, execute([]string{"config", "check"}, &out, &errs))
-	assert.Equal(t, exitUsage, execute([]string{"brew"}, &out, &errs))
-	assert.Equal(t, exitUsage, execute([]string{"serve", "--log", "xml"}, &out, &errs))
+}
+
+func TestUsageErrors(t *testing.T) {
+	var stdout, stderr bytes.Buffer
+	assert.Equal(t, exitUsage, execute([]string{"config", "check"}, &stdout, &stderr))
+	assert.Equal(t, exitUsage, execute([]string{"brew"}, &stdout, &stderr))
+	assert.Equal(t, exitUsage, execute([]string{"serve", "--log", "xml"}, &stdout, &stderr))
+}
+
+func TestExpandLegacyFlags(t *testing.T) {
 	assert.Equal(t, []string{"--invoke", "f", "--invoke=g"}, expandLegacyFlags([]string{"-invoke", "f", "-invoke=g"}))
+	assert.Equal(t, []string{"-invoke="}, expandLegacyFlags([]string{"-invoke="}))
 }
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -22,195 +22,286 @@
 	"kitefall/internal/fakes"
 )
 
-// points are the moments at which the process is killed: before and after each commit of the store, and before and
+// failpoints are the points at which the process is killed: before and after each commit of the store, and before and
 // after the first byte to a worker.
-var points = []string{"log-before-write", "log-before-sync", "log-after-sync", "created", "marked", "frame-before-write",
-	"frame-after-write", "run-ended", "before-end", "after-end", "move-before", "move-after"}
-
-// worldOfKills is what outlives the process: the worker, the devices and what they know.
-type worldOfKills struct {
-	t       *testing.T
-	mu      sync.Mutex
-	ran     map[string]int // calls by body that the worker took and did not turn away
-	answers map[string]map[string]bool
-	tickets map[string]string // by body: where to ask
-}
-
-// serve answers calls: most are served, some turned away, some never answered or cut off.
-func (w *worldOfKills) serve(worker *fakes.Worker) {
-	r := rand.New(rand.NewPCG(5, 5))
-	for k := range worker.Calls {
-		n := r.IntN(20)
-		if n < 3 {
-			k.Answer(67, "", "")
-			continue
-		}
-		w.mu.Lock()
-		w.ran[k.Body]++
-		w.mu.Unlock()
-		switch {
-		case n == 3:
-			k.ResetConn()
-		case n > 4: // else it is never answered
-			k.OK(strconv.Quote("done " + strings.Trim(k.Body, `"`)))
-		}
+var failpoints = []string{
+	"log-before-write", "log-before-sync", "log-after-sync",
+	"created", "marked",
+	"frame-before-write", "frame-after-write",
+	"run-ended", "before-end", "after-end",
+	"move-before", "move-after",
+}
+
+const (
+	// defaultKills is how often the process is killed in CI.
+	defaultKills = 24
+	// failpointTimeout is how long the process may take to reach its failpoint before it is killed wherever it is.
+	failpointTimeout = 1500 * time.Millisecond
+	// clientRetryInterval paces the repeats of a client while the program is not up.
+	clientRetryInterval = 2 * time.Millisecond
+	// statusRejected is the code of a worker's frame that rejects a call.
+	statusRejected = 67
+)
+
+// killTest is a program that is killed and started again, with what outlives the process: its worker, its clients and what
+// they have seen. A request's body identifies it.
+type killTest struct {
+	t          *testing.T
+	program    string
+	configPath string
+	invokeFile string
+	url        string
+	client     *http.Client
+	random     *rand.Rand
+
+	kills     map[string]int // by failpoint
+	submitted int            // requests
+
+	mu        sync.Mutex
+	runs      map[string]int             // how often the worker has run a request
+	answers   map[string]map[string]bool // the different final answers to a request
+	locations map[string]string          // where the invocation of a request is polled
+}
+
+// The real process is killed at every step of an invocation, and started again on its store. No invocation that is not
+// idempotent runs twice, each that was accepted has exactly one final answer, and none is lost.
+//
+// KITEFALL_KILLS sets the number of kills; the figures are logged. The long run is outside CI.
+func TestKilledAtEveryStep(t *testing.T) {
+	kills := defaultKills
+	if text := os.Getenv("KITEFALL_KILLS"); text != "" {
+		var err error
+		kills, err = strconv.Atoi(text)
+		require.NoError(t, err)
 	}
+	k := newKillTest(t, rand.New(rand.NewPCG(uint64(kills), 9)))
+	timeout := time.Duration(kills)*3*time.Second + time.Minute
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
+	defer cancel()
+	var clients sync.WaitGroup
+	for i := range kills {
+		k.startAndKill(failpoints[i%len(failpoints)], func() { k.submitRequests(ctx, &clients) })
+	}
+	process, ended := k.start("")
+	clients.Wait()
+	require.NoError(t, ctx.Err(), "all requests were accepted")
+
+	final, served := k.awaitFinalAnswers(ctx)
+	twice := k.checkRuns()
+	for body, answers := range k.answers {
+		assert.Len(t, answers, 1, "%s has two final answers", body)
+	}
+	t.Logf("%d kills (%v), %d requests, %d invocations with a final answer (%d served), %d ran twice", kills, k.kills,
+		k.submitted, final, served, twice)
+	assert.Equal(t, k.submitted, final)
+	require.NoError(t, process.Process.Signal(os.Interrupt))
+	assert.NoError(t, <-ended)
 }
 
-func (w *worldOfKills) heard(body, answer string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.answers[body] == nil {
-		w.answers[body] = map[string]bool{}
+func newKillTest(t *testing.T, random *rand.Rand) *killTest {
+	t.Helper()
+	authority, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
+	k := &killTest{
+		t:          t,
+		program:    buildProgram(t, "failpoint"),
+		configPath: filepath.Join(t.TempDir(), "config.json"),
+		random:     random,
+		kills:      map[string]int{},
+		runs:       map[string]int{},
+		answers:    map[string]map[string]bool{},
+		locations:  map[string]string{},
 	}
-	w.answers[body][answer] = true
+	go k.serveWorker(worker)
+	writeConfig(t, k.configPath, freeAddress(t), noDiscovery, worker)
+	k.invokeFile, k.url = writeInvokeFile(t, authority)
+	addLookFunction(t, k.invokeFile)
+	k.retryQuickly()
+	k.client = authority.Client(fakes.Domain + clientIdentity)
+	k.client.Transport.(*http.Transport).DisableKeepAlives = true
+	return k
 }
 
-// device files one order, again and again under its key until the program has it on record.
-func (w *worldOfKills) device(ctx context.Context, c *http.Client, url, function, body string, async bool) {
-	for ctx.Err() == nil {
-		q, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/functions/"+function+"/invocations", strings.NewReader(body))
-		q.Header.Set("Content-Type", "application/json")
-		q.Header.Set("Idempotency-Key", body)
-		if async {
-			q.Header.Set("Prefer", "respond-async")
-		}
-		a, err := c.Do(q)
-		if err != nil {
-			time.Sleep(2 * time.Millisecond) // not up again yet: this only paces the repeats
+// retryQuickly makes the program retry deferred invocations often and soon.
+func (k *killTest) retryQuickly() {
+	text, err := os.ReadFile(k.invokeFile)
+	require.NoError(k.t, err)
+	deferred := "[deferred]\nbackoff = \"10ms\"\nmost_backoff = \"100ms\"\nretry_per_second = 200.0\nmost_runs = 100\n"
+	require.NoError(k.t, os.WriteFile(k.invokeFile, append(text, deferred...), 0o600))
+}
+
+// serveWorker answers calls: most are served, some are rejected, some are cut off or never answered.
+func (k *killTest) serveWorker(worker *fakes.Worker) {
+	random := rand.New(rand.NewPCG(5, 5))
+	for call := range worker.Calls {
+		choice := random.IntN(20)
+		if choice < 3 {
+			call.Answer(statusRejected, "", "")
 			continue
 		}
-		text, err := io.ReadAll(a.Body)
-		a.Body.Close()
-		where := a.Header.Get("Location")
-		if where == "" {
-			where = a.Header.Get("Content-Location")
-		}
+		k.mu.Lock()
+		k.runs[call.Body]++
+		k.mu.Unlock()
 		switch {
-		case err != nil, a.StatusCode == 503: // trying again does no harm
-			time.Sleep(2 * time.Millisecond)
-			continue
-		case a.StatusCode == 202, a.StatusCode == 200, where != "":
-			w.mu.Lock()
-			w.tickets[body] = where
-			w.mu.Unlock()
+		case choice == 3:
+			call.ResetConn()
+		case choice == 4: // never answered
+		default:
+			call.OK(strconv.Quote("done " + strings.Trim(call.Body, `"`)))
 		}
-		if a.StatusCode != 202 {
-			w.heard(body, fmt.Sprint(a.StatusCode, " ", string(text)))
-		}
-		return
 	}
 }
 
-// The real process is killed at every step of a ticket's life, and started again on its store. No reserva runs twice,
-// every order that was promised has exactly one final answer, and none is forgotten.
-//
-// KITEFALL_KILLS sets how often; the figures are printed. The long run is outside CI.
-func TestKilledAtEveryStep(t *testing.T) {
-	kills := 24
-	if text := os.Getenv("KITEFALL_KILLS"); text != "" {
-		var err error
-		kills, err = strconv.Atoi(text)
-		require.NoError(t, err)
+// start starts the program with a failpoint, NAME:N, or with none. The channel receives the result of its end.
+func (k *killTest) start(failpoint string) (*exec.Cmd, <-chan error) {
+	process := programCommand(k.program, k.configPath, k.invokeFile, "KITEFALL_FAILPOINT="+failpoint)
+	if path := os.Getenv("KITEFALL_KILL_LOG"); path != "" {
+		log, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+		require.NoError(k.t, err)
+		defer log.Close()
+		process.Stderr = log
 	}
-	dir := t.TempDir()
-	program := filepath.Join(dir, "kitefall")
-	out, err := exec.Command("go", "build", "-tags", "failpoint", "-o", program, ".").CombinedOutput()
-	require.NoError(t, err, string(out))
-	ca, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
-	w := &worldOfKills{t: t, ran: map[string]int{}, answers: map[string]map[string]bool{}, tickets: map[string]string{}}
-	go w.serve(worker)
-	addr, path := free(t), filepath.Join(dir, "config.json")
-	configure(t, path, addr, "127.0.0.1:1", worker)
-	invokeFile, url := edge(t, ca)
-	book, err := os.ReadFile(invokeFile)
-	require.NoError(t, err)
-	look := strings.Replace(string(book[strings.Index(string(book), "[functions.book]"):]), "functions.book", "functions.look", 1)
-	look = strings.NewReplacer("reserva", "consulta", "7f3a9c21e0b4d655", "0000007c55d20a01").Replace(look)
-	more := "[deferred]\nbackoff = \"10ms\"\nmost_backoff = \"100ms\"\nretry_per_second = 200.0\nmost_runs = 100\n"
-	require.NoError(t, os.WriteFile(invokeFile, []byte(string(book)+look+more), 0o600))
-	client := ca.Client(fakes.Domain + "/desk/a")
-	client.Transport.(*http.Transport).DisableKeepAlives = true
-
-	r, filed, byPoint := rand.New(rand.NewPCG(uint64(kills), 9)), 0, map[string]int{}
-	start := func(point string) (*exec.Cmd, chan error) {
-		p := exec.Command(program, "-invoke", invokeFile)
-		p.Env = append(os.Environ(), "RELAY_CONFIG="+path, "KITEFALL_FAILPOINT="+point)
-		if log := os.Getenv("KITEFALL_KILL_LOG"); log != "" {
-			f, err := os.OpenFile(log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
-			require.NoError(t, err)
-			defer f.Close()
-			p.Stderr = f
-		}
-		require.NoError(t, p.Start())
-		ended := make(chan error, 1)
-		go func() { ended <- p.Wait() }()
-		return p, ended
+	require.NoError(k.t, process.Start())
+	ended := make(chan error, 1)
+	go func() { ended <- process.Wait() }()
+	return process, ended
+}
+
+// startAndKill starts the program, makes load on it, and waits until it is killed at the failpoint; where it does not reach
+// that in time, it is killed at whatever it does.
+func (k *killTest) startAndKill(failpoint string, makeLoad func()) {
+	process, ended := k.start(fmt.Sprintf("%s:%d", failpoint, 1+k.random.IntN(6)))
+	makeLoad()
+	select {
+	case <-ended:
+		status := process.ProcessState.Sys().(syscall.WaitStatus)
+		require.True(k.t, status.Signaled(), "it ended by itself: %v", process.ProcessState)
+		k.kills[failpoint]++
+	case <-time.After(failpointTimeout):
+		require.NoError(k.t, process.Process.Kill())
+		<-ended
+		k.kills["anywhere"]++
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Duration(kills)*3*time.Second+time.Minute))
-	defer cancel()
-	var devices sync.WaitGroup
-	for n := range kills {
-		point := points[n%len(points)]
-		p, ended := start(fmt.Sprintf("%s:%d", point, 1+r.IntN(6)))
-		for range 2 + r.IntN(4) {
-			filed++
-			function, body, async := "book", fmt.Sprintf(`"b%d"`, filed), r.IntN(3) > 0
-			if r.IntN(3) == 0 {
-				function, body = "look", fmt.Sprintf(`"l%d"`, filed)
-			}
-			devices.Go(func() { w.device(ctx, client, url, function, body, async) })
-		}
-		select {
-		case <-ended: // the kill at its point
-			require.True(t, p.ProcessState.Sys().(syscall.WaitStatus).Signaled(), "it ended by itself: %v", p.ProcessState)
-			byPoint[point]++
-		case <-time.After(1500 * time.Millisecond):
-			require.NoError(t, p.Process.Kill()) // not reached: killed wherever it is
-			<-ended
-			byPoint["anywhere"]++
+}
+
+// submitRequests starts some clients, each with one request, to either function.
+func (k *killTest) submitRequests(ctx context.Context, clients *sync.WaitGroup) {
+	for range 2 + k.random.IntN(4) {
+		k.submitted++
+		function, body := "book", fmt.Sprintf(`"b%d"`, k.submitted)
+		async := k.random.IntN(3) > 0
+		if k.random.IntN(3) == 0 {
+			function, body = "look", fmt.Sprintf(`"l%d"`, k.submitted)
 		}
+		clients.Go(func() { k.submit(ctx, function, body, async) })
+	}
+}
+
+// submit sends a request again and again under its idempotency key until the program has it on record.
+func (k *killTest) submit(ctx context.Context, function, body string, async bool) {
+	for ctx.Err() == nil && !k.submitOnce(ctx, function, body, async) {
+		time.Sleep(clientRetryInterval)
+	}
+}
+
+// submitOnce reports whether the request is on record. Until then it does no harm to repeat it.
+func (k *killTest) submitOnce(ctx context.Context, function, body string, async bool) bool {
+	request, err := newInvocationRequest(k.url, function, body)
+	if !assert.NoError(k.t, err) {
+		return true
+	}
+	request.Header.Set("Idempotency-Key", body)
+	if async {
+		request.Header.Set("Prefer", "respond-async")
+	}
+	resp, err := k.client.Do(request.WithContext(ctx))
+	if err != nil {
+		return false
+	}
+	text, err := io.ReadAll(resp.Body)
+	resp.Body.Close()
+	if err != nil || resp.StatusCode == http.StatusServiceUnavailable {
+		return false
+	}
+	k.recordLocation(body, resp)
+	if resp.StatusCode != http.StatusAccepted {
+		k.recordAnswer(body, resp.StatusCode, text)
+	}
+	return true
+}
+
+// recordLocation keeps where the invocation of a request is polled, if the response says that there is one.
+func (k *killTest) recordLocation(body string, resp *http.Response) {
+	location := resp.Header.Get("Location")
+	if location == "" {
+		location = resp.Header.Get("Content-Location")
+	}
+	accepted := resp.StatusCode == http.StatusAccepted || resp.StatusCode == http.StatusOK
+	if !accepted && location == "" {
+		return
 	}
-	p, ended := start("")
-	devices.Wait()
-	require.NoError(t, ctx.Err(), "all orders were taken")
-	final, twice, served := 0, 0, 0
-	for body, where := range w.tickets {
-		require.NotEmpty(t, where, body)
-		require.Eventually(t, func() bool {
-			q, _ := http.NewRequestWithContext(ctx, http.MethodGet, url+where, nil)
-			q.Header.Set("Prefer", "wait=5")
-			a, err := client.Do(q)
-			if err != nil {
-				return false
-			}
-			text, err := io.ReadAll(a.Body)
-			a.Body.Close()
-			require.NotEqual(t, 404, a.StatusCode, "%s is forgotten", body)
-			if err != nil || a.StatusCode == 202 {
-				return false
-			}
-			w.heard(body, fmt.Sprint(a.StatusCode, " ", string(text)))
-			if a.StatusCode == 200 {
-				served++
-				assert.Contains(t, string(text), strings.Trim(body, `"`), "no answer that no worker made")
-			}
-			return true
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.locations[body] = location
+}
+
+func (k *killTest) recordAnswer(body string, status int, text []byte) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.answers[body] == nil {
+		k.answers[body] = map[string]bool{}
+	}
+	k.answers[body][fmt.Sprint(status, " ", string(text))] = true
+}
+
+// awaitFinalAnswers polls all invocations until each has its final answer. It returns the number of invocations, and how
+// many of them were served.
+func (k *killTest) awaitFinalAnswers(ctx context.Context) (final, served int) {
+	for body, location := range k.locations {
+		require.NotEmpty(k.t, location, body)
+		status := 0
+		require.Eventually(k.t, func() bool {
+			status = k.poll(ctx, body, location)
+			return status != 0
 		}, 30*time.Second, time.Millisecond, body)
 		final++
+		if status == http.StatusOK {
+			served++
+		}
 	}
-	for body, n := range w.ran {
-		if strings.HasPrefix(body, `"b`) && n > 1 {
+	return final, served
+}
+
+// poll asks for the final answer to a request and returns its status, or 0 if there is none yet.
+func (k *killTest) poll(ctx context.Context, body, location string) int {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, k.url+location, nil)
+	require.NoError(k.t, err)
+	request.Header.Set("Prefer", "wait=5")
+	resp, err := k.client.Do(request)
+	if err != nil {
+		return 0
+	}
+	text, err := io.ReadAll(resp.Body)
+	resp.Body.Close()
+	require.NotEqual(k.t, http.StatusNotFound, resp.StatusCode, "%s is lost", body)
+	if err != nil || resp.StatusCode == http.StatusAccepted {
+		return 0
+	}
+	k.recordAnswer(body, resp.StatusCode, text)
+	if resp.StatusCode == http.StatusOK {
+		assert.Contains(k.t, string(text), strings.Trim(body, `"`), "no answer that no worker made")
+	}
+	return resp.StatusCode
+}
+
+// checkRuns reports requests to book, which is not idempotent, that have run more than once, and returns their number.
+func (k *killTest) checkRuns() (twice int) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for body, runs := range k.runs {
+		if strings.HasPrefix(body, `"b`) && runs > 1 {
 			twice++
-			t.Errorf("reserva %s ran %d times", body, n)
+			k.t.Errorf("reserva %s ran %d times", body, runs)
 		}
 	}
-	for body, told := range w.answers {
-		assert.Len(t, told, 1, "%s has two final answers", body)
-	}
-	t.Logf("%d kills (%v), %d orders, %d tickets with one final answer each (%d served), %d ran twice", kills, byPoint,
-		filed, final, served, twice)
-	assert.Equal(t, filed, final)
-	require.NoError(t, p.Process.Signal(os.Interrupt))
-	assert.NoError(t, <-ended)
+	return twice
 }
