--- a/cmd/dispatcher/commands_test.go
+++ b/cmd/dispatcher/commands_test.go
@@ -169,7 +169,8 @@
 
 func TestConfigCheckExplainsTheFile(t *testing.T) {
 	var stdout, stderr bytes.Buffer
-	assert.Equal(t, exitOK, execute([]string{"config", "check", "../../deploy/invoke.toml", "--relay-config", ""}, &stdout, &stderr))
+	args := []string{"config", "check", "../../deploy/invoke.toml", "--relay-config", ""}
+	assert.Equal(t, exitOK, execute(args, &stdout, &stderr))
 	assert.Contains(t, stdout.String(), "function free-slots: consulta")
 }
 
--- a/cmd/dispatcher/invoke.go
+++ b/cmd/dispatcher/invoke.go
@@ -111,7 +111,8 @@
 		return nil, time.Time{}, err
 	}
 	if lead := time.Until(latest); lead > maxClockLead {
-		slog.Warn("tickets: the last run's clock was ahead of this one's; times go on from there", "ahead", lead.Round(time.Second))
+		slog.Warn("tickets: the last run's clock was ahead of this one's; times go on from there",
+			"ahead", lead.Round(time.Second))
 	}
 	return invocations, latest, nil
 }
--- a/cmd/dispatcher/reload.go
+++ b/cmd/dispatcher/reload.go
@@ -30,12 +30,12 @@
 	}
 	conf, err := config.Read(s.configPath)
 	if err != nil {
-		slog.Error("reload: the settings stay as they were", "err", err)
+		slog.Error("reload: invalid configuration, nothing has changed", "err", err)
 		return
 	}
 	if !conf.EqualExceptReloadable(s.config) {
-		slog.Warn("reload: other settings than the board have changed: they count from the next start on")
+		slog.Warn("reload: settings other than the discovery address have changed, they take effect at the next start")
 	}
 	s.watcher.SetAddress(conf.DiscoveryAddr)
-	slog.Info("reload: the board has moved", "addr", conf.DiscoveryAddr)
+	slog.Info("reload: following the configured discovery address", "addr", conf.DiscoveryAddr)
 }
--- a/internal/citest/citest_test.go
+++ b/internal/citest/citest_test.go
@@ -56,61 +56,63 @@
 	return "package " + packageName + "\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { " + body + " }\n"
 }
 
+var verdictCases = map[string]struct {
+	fixture
+	passes bool
+	prints string
+}{
+	"red and not known": {
+		fixture: fixture{aBroken: true},
+		prints:  "--- FAIL: TestRed",
+	},
+	"red and known": {
+		fixture: fixture{knownRed: redKnown, aBroken: true},
+		passes:  true,
+		prints:  "known red: m/a TestRed: it is broken",
+	},
+	"known, but passes": {
+		fixture: fixture{knownRed: redKnown},
+		prints:  "TestRed passes",
+	},
+	"another test red": {
+		fixture: fixture{knownRed: fineKnown, aBroken: true},
+		prints:  "--- FAIL: TestRed",
+	},
+	"no cause": {
+		fixture: fixture{knownRed: withoutCause, aBroken: true},
+		prints:  "not 'PACKAGE TEST",
+	},
+	"no issue": {
+		fixture: fixture{knownRed: withoutIssue, aBroken: true},
+		prints:  "not 'PACKAGE TEST",
+	},
+	"no such test": {
+		fixture: fixture{knownRed: missingKnown, aBroken: true},
+		prints:  "is no test of m/a",
+	},
+	"four lines": {
+		fixture: fixture{knownRed: strings.Repeat(redKnown, 4), aBroken: true},
+		prints:  "more than three lines",
+	},
+	"empty file": {
+		fixture: fixture{knownRed: "\n"},
+		prints:  "names no test",
+	},
+	"red and known in the other package": {
+		fixture: fixture{knownRed: redOfBKnown, bBroken: true},
+		passes:  true,
+		prints:  "known red: m/b TestRed: it is broken",
+	},
+	"red in both packages, known in one": {
+		fixture: fixture{knownRed: redOfBKnown, aBroken: true, bBroken: true},
+		prints:  "--- FAIL: TestRed",
+	},
+}
+
 func TestVerdict(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	require.NoError(t, err)
-	for name, test := range map[string]struct {
-		fixture
-		passes bool
-		prints string
-	}{
-		"red and not known": {
-			fixture: fixture{aBroken: true},
-			prints:  "--- FAIL: TestRed",
-		},
-		"red and known": {
-			fixture: fixture{knownRed: redKnown, aBroken: true},
-			passes:  true,
-			prints:  "known red: m/a TestRed: it is broken",
-		},
-		"known, but passes": {
-			fixture: fixture{knownRed: redKnown},
-			prints:  "TestRed passes",
-		},
-		"another test red": {
-			fixture: fixture{knownRed: fineKnown, aBroken: true},
-			prints:  "--- FAIL: TestRed",
-		},
-		"no cause": {
-			fixture: fixture{knownRed: withoutCause, aBroken: true},
-			prints:  "not 'PACKAGE TEST",
-		},
-		"no issue": {
-			fixture: fixture{knownRed: withoutIssue, aBroken: true},
-			prints:  "not 'PACKAGE TEST",
-		},
-		"no such test": {
-			fixture: fixture{knownRed: missingKnown, aBroken: true},
-			prints:  "is no test of m/a",
-		},
-		"four lines": {
-			fixture: fixture{knownRed: strings.Repeat(redKnown, 4), aBroken: true},
-			prints:  "more than three lines",
-		},
-		"empty file": {
-			fixture: fixture{knownRed: "\n"},
-			prints:  "names no test",
-		},
-		"red and known in the other package": {
-			fixture: fixture{knownRed: redOfBKnown, bBroken: true},
-			passes:  true,
-			prints:  "known red: m/b TestRed: it is broken",
-		},
-		"red in both packages, known in one": {
-			fixture: fixture{knownRed: redOfBKnown, aBroken: true, bBroken: true},
-			prints:  "--- FAIL: TestRed",
-		},
-	} {
+	for name, test := range verdictCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			out, err := exec.Command(script, test.write(t)).CombinedOutput()
