--- a/docs/measure/lives.sh
+++ b/docs/measure/lives.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Ticket lives a second in the store alone, 64 at once: an earlier version of the store beside the present one, turn
+# Lives of invocations a second in the store alone, 64 at once: an earlier version of the store beside the present one, turn
 # by turn in one run. The earlier one is f200270, the last with three transactions of bbolt a life.
 #
 #   docs/measure/lives.sh [TURNS]
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"kitefall/internal/invocation"
+	"kitefall/internal/ticket"
 )
 
 func BenchmarkLives(b *testing.B) {
@@ -58,7 +58,7 @@
 }
 GO
 (cd "$tmp/before" && go test -c -o "$tmp/before.test" ./internal/ticket)
-go test -c -o "$tmp/now.test" ./internal/ticket/store
+go test -c -o "$tmp/now.test" ./internal/invocation/store
 cd "$tmp"
 for turn in $(seq "$turns"); do
 	printf 'turn %s, before: ' "$turn"
