--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -26,6 +26,9 @@
 
 // warmth is the part of its capacity that a worker has for certain.
 func (b *Balancer) warmth(w *worker) float64 {
+	if !w.slowStart.active { // the usual case, looked at for every worker in each sweep
+		return 1
+	}
 	return w.slowStart.warmth(b.now, b.settings.SlowStartFloor, b.settings.SlowStartDuration)
 }
 
