--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -54,7 +54,7 @@
 	return r.weight / r.function.meanAnswer
 }
 
-// tooLate tells that no new attempt could end in time.
+// tooLate reports whether no new attempt could end in time.
 func (b *Balancer) tooLate(r *request) bool { return b.now+2*sweepInterval >= r.deadline }
 
 // decideAtHalfTime ends the wait of a request that no worker has seen by half of its time: a later rejection
@@ -69,8 +69,8 @@
 	}
 }
 
-// unknownFunction tells that requests and loads of a function met errors only. Any client can name one that
-// nobody knows; to try it again and again would use up the load budget.
+// unknownFunction reports whether requests and loads of a function met errors only. Any client can name one
+// that no worker knows; retries of it would use up the load budget.
 func (b *Balancer) unknownFunction(f *function) bool {
 	return !f.known && f.errors >= maxUnknownErrors && b.now-f.lastErrorAt < unknownFunctionPause
 }
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -7,7 +7,7 @@
 	maxRetryBudget = 20.0 // ... and as many at once
 )
 
-// attemptsLeft tells that a request may have another attempt at all.
+// attemptsLeft reports whether a request may have another attempt at all.
 func (b *Balancer) attemptsLeft(r *request) bool {
 	return !r.closed && len(r.attempts) < b.settings.MaxAttempts && !b.tooLate(r)
 }
@@ -50,10 +50,10 @@
 	b.emit(Send{ID: r.ID, Worker: w.ID, Timeout: timeout, StartWithin: startWithin})
 }
 
-// mustNotRepeat tells that another attempt could run the request twice where it must not.
+// mustNotRepeat reports whether another attempt could run the request twice where it must not.
 func (r *request) mustNotRepeat() bool { return r.class.Idempotency == NotIdempotent && r.mayHaveRun() }
 
-// retryIsHarmless tells that a retry of the client cannot run the request twice where it must not.
+// retryIsHarmless reports whether a retry of the client cannot run the request twice where it must not.
 func (r *request) retryIsHarmless() bool {
 	deduplicated := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet
 	return deduplicated || r.class.Idempotency == Idempotent || !r.mayHaveRun()
@@ -80,7 +80,7 @@
 	}
 }
 
-// mayHedge tells that an attempt is the only one pending, and overdue at a worker that is unavailable.
+// mayHedge reports whether an attempt is the only one pending, and overdue at a worker that is unavailable.
 func (b *Balancer) mayHedge(r *request, a *attempt) bool {
 	onlyPending := r.outstanding == 1 && a.pending
 	if r.streaming || r.cancelledForRetry || !onlyPending {
--- a/internal/balancer/dedup.go
+++ b/internal/balancer/dedup.go
@@ -21,7 +21,7 @@
 	return left, limited
 }
 
-// dedupScopeHolds tells that a worker would drop a repeat of each attempt that may have run.
+// dedupScopeHolds reports whether a worker would drop a repeat of each attempt that may have run.
 func (r *request) dedupScopeHolds(w *worker) bool {
 	for _, a := range r.attempts {
 		if a.mayRun() && !sameDedupScope(r.class.DedupScope, a.worker, w) {
@@ -31,7 +31,7 @@
 	return true
 }
 
-// sameDedupScope tells that two workers share the keys that they have seen.
+// sameDedupScope reports whether two workers share the keys that they have seen.
 func sameDedupScope(scope DedupScope, v, w *worker) bool {
 	switch scope {
 	case DedupFleet:
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// unansweredTime is how far an attempt without an answer for so long tells that its zone is unreachable.
+// unansweredTime is how far an attempt without an answer for so long counts towards its zone being unreachable.
 func (b *Balancer) unansweredTime(z *zone, wait time.Duration) time.Duration {
 	return max(0, min(wait, b.now-z.lastContact, seconds(maxZoneAttemptFactor*b.stats.meanAnswer)))
 }
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -97,7 +97,7 @@
 	QueueDepth int // requests for the same function at the worker when this one came, where reported
 }
 
-// StreamStartedEvent tells that a stream has begun; the attempt is now the client's.
+// StreamStartedEvent means that a stream has begun; the client receives this attempt.
 type StreamStartedEvent struct {
 	ID      RequestID
 	Attempt int
@@ -105,7 +105,7 @@
 	Elapsed time.Duration
 }
 
-// ClientGoneEvent tells that the client has left; it needs no answer any more.
+// ClientGoneEvent means that the client has left and needs no answer any more.
 type ClientGoneEvent struct{ ID RequestID }
 
 // LoadEndedEvent ends a Load.
@@ -117,7 +117,7 @@
 	Copies   int // copies loaded there now
 }
 
-// TimerEvent tells that the timer of a SetTimer expired.
+// TimerEvent means that the timer of a SetTimer expired.
 type TimerEvent struct{ TimerID int64 }
 
 func (EndpointsEvent) event()     {}
--- a/internal/balancer/function.go
+++ b/internal/balancer/function.go
@@ -65,7 +65,7 @@
 	return f
 }
 
-// countError notes an error, and tells whether the function is known, so that the error says something of the worker
+// countError notes an error, and reports whether the function is known, so that the error says something of the worker
 // or the store.
 func (f *function) countError(now time.Duration) (known bool) {
 	if !f.known {
--- a/internal/balancer/hotset.go
+++ b/internal/balancer/hotset.go
@@ -79,7 +79,7 @@
 	return best
 }
 
-// lowTraffic tells that own calls are too few to judge single workers by, and only a small part of all.
+// lowTraffic reports whether own calls are too few to judge single workers by, and only a small part of all.
 func (b *Balancer) lowTraffic() bool {
 	return b.hotSet.callsPerWorker < minOwnCalls && b.settings.Dispatchers >= manyDispatchers
 }
--- a/internal/balancer/loadbudget.go
+++ b/internal/balancer/loadbudget.go
@@ -32,5 +32,5 @@
 	return min(2*b.settings.DialTimeout, b.settings.LoadWindow/2)
 }
 
-// loadsOnOrderOnly tells that workers load a function when they are ordered to, and not on a miss.
+// loadsOnOrderOnly reports whether workers load a function when they are ordered to, and not on a miss.
 func (b *Balancer) loadsOnOrderOnly() bool { return b.settings.LoadOrders && !b.settings.LoadOnMiss }
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -13,7 +13,7 @@
 	maxCopies          = 16  // of one function at one worker
 )
 
-// needsLoadOrder tells that a copy not believed to be loaded is ordered before a request goes there.
+// needsLoadOrder reports whether a copy not believed to be loaded is ordered before a request goes there.
 func (b *Balancer) needsLoadOrder(p *placement) bool {
 	return b.loadsOnOrderOnly() && (b.settings.LoadWindow == 0 || p.missed)
 }
@@ -85,7 +85,7 @@
 	}
 }
 
-// applyLoad takes in how a load ended; slow tells that it took long or failed, as from a crowded store.
+// applyLoad takes in how a load ended; slow reports whether it took long or failed, as from a crowded store.
 func (b *Balancer) applyLoad(f *function, p *placement, e LoadEndedEvent) (slow bool) {
 	elapsed := e.Elapsed.Seconds()
 	usual := f.loadTime
@@ -111,15 +111,15 @@
 	return true
 }
 
-// loadWaitOver tells that a request has waited long enough for its load order, or in vain.
+// loadWaitOver reports whether a request has waited long enough for its load order, or in vain.
 func (b *Balancer) loadWaitOver(r *request) bool {
 	p := r.waitingFor
 	workerLost := p.worker.State != Ready || p.worker.unavailable()
 	return !p.ordered || b.now > r.waitUntil || workerLost
 }
 
-// lastAttempt tells that a request's next attempt is its last. Misses within a few ms would end it at once,
-// so that it is kept for a worker where a copy is loaded or has been ordered.
+// lastAttempt reports whether a request's next attempt is its last. Misses within a few ms would end it at
+// once, so it is kept for a worker where a copy is loaded or has been ordered.
 func (b *Balancer) lastAttempt(r *request) bool {
 	attempts := len(r.attempts)
 	last := attempts > 0 && attempts+1 >= b.settings.MaxAttempts
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -38,8 +38,8 @@
 	return !w.unavailable() || b.failOpen || b.mayProbe(r, w)
 }
 
-// mayProbe tells that a request may find out whether an unavailable worker is healthy again: one idempotent
-// request at a time that has an attempt left after it.
+// mayProbe reports whether a request may probe an unavailable worker: one idempotent request at a time that
+// has an attempt left after it.
 func (b *Balancer) mayProbe(r *request, w *worker) bool {
 	due := b.now >= max(w.ejection.probeAt, w.zone.ejection.probeAt)
 	repeatable := r.class.Idempotency == Idempotent && len(r.attempts)+1 < b.settings.MaxAttempts
@@ -99,7 +99,7 @@
 	class.ejectedUntil = b.now + min(minClassEjection<<doublings, maxProbeBackoff/4)
 }
 
-// onReset notes that a connection broke, and tells whether that is news: one break ends all attempts there.
+// onReset notes that a connection broke, and reports whether that is news: one break ends all attempts there.
 // One says little, any peer may cause it; a worker is ejected that breaks again before it has answered.
 func (b *Balancer) onReset(w *worker) bool {
 	if b.now-w.lastReset < sweepInterval && w.lastReset > 0 {
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -22,12 +22,12 @@
 	return order[(f.groupStart+i)%len(order)]
 }
 
-// isLoaded tells that a copy is believed to be loaded, by this dispatcher's own attempts.
+// isLoaded reports whether a copy is believed to be loaded, by this dispatcher's own attempts.
 func (b *Balancer) isLoaded(p *placement) bool {
 	return p.copies > 0 && (b.now < p.loadedUntil || p.inFlight > 0)
 }
 
-// loadedByPeers tells that the calls of all dispatchers must keep a copy loaded at each worker of the group.
+// loadedByPeers reports whether the calls of all dispatchers must keep a copy loaded at each group member.
 func (b *Balancer) loadedByPeers(f *function) bool {
 	ownCalls := math.Max(f.calls.value-1, smoothing) * b.settings.IdleTTL.Seconds() / callDecay.Seconds()
 	calls := ownCalls / float64(f.groupSize) * float64(b.settings.Dispatchers)
@@ -60,7 +60,7 @@
 	}
 }
 
-// pickWorker chooses a worker, of the group in turn or onward in rendezvous order. ready tells that the
+// pickWorker chooses a worker, of the group in turn or onward in rendezvous order. ready reports whether the
 // request may go now; otherwise the worker is where a copy should be ordered first.
 func (b *Balancer) pickWorker(r *request, loadedOnly bool) (w *worker, ready bool) {
 	f := r.function
@@ -136,7 +136,7 @@
 	}
 }
 
-// copyReady tells that a request needs no load order of its own at a worker.
+// copyReady reports whether a request needs no load order of its own at a worker.
 func (b *Balancer) copyReady(r *request, p *placement, loadedByPeers bool) bool {
 	if b.isLoaded(p) || !b.needsLoadOrder(p) && !b.lastAttempt(r) {
 		return true
@@ -144,7 +144,7 @@
 	return loadedByPeers && !p.worker.slowStart.active && b.now >= p.missingUntil
 }
 
-// overloaded tells that a worker is full, slow, or holds many requests for its capacity.
+// overloaded reports whether a worker is full, slow, or holds many requests for its capacity.
 func (b *Balancer) overloaded(w *worker) bool {
 	if !w.hasRoom(b.now) || b.latencyRatio(w) > latencyOutlierRatio {
 		return true
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -135,12 +135,12 @@
 	return nil
 }
 
-// mayRun tells that the attempt may run or may have run.
+// mayRun reports whether the attempt may run or may have run.
 func (a *attempt) mayRun() bool { return a.pending || a.mayHaveRun }
 
 func (r *request) mayHaveRun() bool { return slices.ContainsFunc(r.attempts, (*attempt).mayRun) }
 
-// reachedWorker tells that an attempt has reached a worker, or may have.
+// reachedWorker reports whether an attempt has reached a worker, or may have.
 func (r *request) reachedWorker() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.notWritten })
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -5,15 +5,15 @@
 // slowStartMargin is how many standard deviations of chance are kept clear of the overload limit.
 const slowStartMargin = 3.0
 
-// skippedInSlowStart tells that a worker that is warming up is passed over: where there are many dispatchers,
-// the lot of slowStartAllows counts only the first choice of a hot function's first attempt.
+// skippedInSlowStart reports whether a worker that is warming up is passed over: with many dispatchers, the
+// lot of slowStartAllows counts only the first choice of a hot function's first attempt.
 func (b *Balancer) skippedInSlowStart(r *request, w *worker, i int) bool {
 	firstChoice := r.function.groupSize > 1 && i+len(r.attempts) == 0
 	return w.slowStart.active && b.settings.Dispatchers >= manyDispatchers && !firstChoice
 }
 
-// slowStartAllows tells that a worker that is warming up may be sent a request: a dispatcher's share of the
-// overload multiple of its present capacity, less a margin for chance. A share below one is dealt by lot
+// slowStartAllows reports whether a worker that is warming up may be sent a request: a dispatcher's share of
+// the overload multiple of its present capacity, less a margin for chance. A share below one is dealt by lot
 // among all requests that all dispatchers are likely to send there.
 func (b *Balancer) slowStartAllows(r *request, w *worker) bool {
 	warmth := b.warmth(w)
--- a/internal/balancer/worker.go
+++ b/internal/balancer/worker.go
@@ -61,10 +61,10 @@
 	w.State = state
 }
 
-// hasRoom tells that a worker has not just rejected for lack of room, and its window is not full.
+// hasRoom reports whether a worker has not just rejected for lack of room, and its window is not full.
 func (w *worker) hasRoom(now time.Duration) bool {
 	return now >= w.fullUntil && !w.window.full(len(w.outstanding))
 }
 
-// unavailable tells that a worker is out of placement: it is ejected, or its zone is unreachable.
+// unavailable reports whether a worker is out of placement: it is ejected, or its zone is unreachable.
 func (w *worker) unavailable() bool { return w.ejection.active || w.zone.ejection.active }
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -22,7 +22,7 @@
 		call   *call.Call
 		handle *Handle
 	}
-	// callCancelled tells that the client of a call no longer waits.
+	// callCancelled means that the client of a call no longer waits.
 	callCancelled struct{ handle *Handle }
 	// attemptPrepared ends the BeforeFirstAttempt that an attempt waited for; err is what that returned.
 	attemptPrepared struct {
@@ -45,13 +45,13 @@
 
 // Events that come from timers.
 type (
-	// answerOverdue tells that the balancer has left a request without an answer past its deadline.
+	// answerOverdue means that the balancer has left a request without an answer past its deadline.
 	answerOverdue struct{ request *request }
-	// attemptTimedOut tells that the time of an attempt is over.
+	// attemptTimedOut means that the time of an attempt is over.
 	attemptTimedOut struct{ attempt *attempt }
-	// loadTimedOut tells that the time of a load order is over.
+	// loadTimedOut means that the time of a load order is over.
 	loadTimedOut struct{ order *loadOrder }
-	// balancerTimerFired tells that a timer set by the balancer fired.
+	// balancerTimerFired means that a timer set by the balancer fired.
 	balancerTimerFired struct{ id int64 }
 )
 
