--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -98,7 +98,7 @@
 		b.onLoadEnded(e)
 	case TimerEvent:
 		if e.TimerID == b.timer.id {
-			b.timer.at = 0
+			b.timer.dueAt = 0
 			b.sweep()
 		}
 	}
@@ -114,8 +114,8 @@
 	if len(b.unanswered) > 0 {
 		after = sweepInterval
 	}
-	if b.timer.at == 0 || b.timer.at > b.now+after {
-		b.timer.at = b.now + after
+	if b.timer.dueAt == 0 || b.timer.dueAt > b.now+after {
+		b.timer.dueAt = b.now + after
 		b.timer.id++
 		b.emit(SetTimer{After: after, TimerID: b.timer.id})
 	}
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -52,7 +52,7 @@
 }
 
 // earnLoads counts a request for the load budget, at its arrival, once a worker has taken it for a request.
-// Clients send by hundreds what they take back at once, or what no worker knows: these earn no orders.
+// Clients can send many that they cancel at once, or that name unknown functions: these earn no orders.
 func (b *Balancer) earnLoads(r *request) {
 	if r.earnedLoads || b.settings.LoadWindow == 0 {
 		return
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -10,8 +10,8 @@
 
 // timer is the one timer that is armed.
 type timer struct {
-	at time.Duration // 0: none
-	id int64
+	dueAt time.Duration // 0: none
+	id    int64
 }
 
 // polling is the subscription to the endpoint list.
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -10,7 +10,7 @@
 	case OK, Rejected, Miss:
 		b.earnLoads(a.request)
 		b.markHealthy(w)
-	case Failed: // it is there, whatever it answers
+	case Failed: // an error, but a sign of life
 		b.markReachable(w)
 	case ConnectFailed:
 		w.zone.lostTime += b.unansweredTime(w.zone, e.Elapsed)
