--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -23,5 +23,9 @@
 // types (slowStart, concurrencyWindow, ejection, tokenBucket, loadBudget, latencyHistory, failureTest) keep one
 // quantity each; the files above say when they change.
 //
+// Source: the rules that it keeps (drains, retries by class, slow start, the load budget, one final answer in time) and
+// their figures come from the deployment's settings and the platform's protocol; placement follows the design note on
+// hot and rare functions.
+//
 // Times are durations on the clock of the now that Handle gets; numbers of seconds are float64.
 package balancer
