--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -53,7 +53,7 @@
 	}
 	assert.Empty(t, c.endpoints)
 
-	timersBefore := c.timers.len()
+	timersBefore := len(c.timers.heap)
 	for range 100 {
 		answered := false
 		submitted := &call.Call{Class: "consulta", Function: testFunction, Deadline: time.Now().Add(time.Hour),
@@ -64,7 +64,7 @@
 		require.True(t, answered)
 	}
 	assert.Empty(t, c.requests)
-	assert.LessOrEqual(t, c.timers.len(), timersBefore+1, "the balancer's own timer")
+	assert.LessOrEqual(t, len(c.timers.heap), timersBefore+1, "the balancer's own timer")
 }
 
 // That a pool has no room does not come from the worker. Reported as a failed connection, it got the worker ejected.
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -41,5 +41,5 @@
 	require.Len(t, answers, 1)
 	assert.Equal(t, call.Answer{Outcome: call.Failed, DeadlineExceeded: true}, answers[0])
 	assert.Equal(t, balancer.ClientGoneEvent{ID: 1}, silent.events[len(silent.events)-1])
-	assert.Zero(t, c.timers.len())
+	assert.Zero(t, len(c.timers.heap))
 }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -35,9 +35,6 @@
 	}
 }
 
-// len returns the number of timers.
-func (q *timerQueue) len() int { return len(q.heap) }
-
 // next returns the timer that is due first, or nil where there is none. It stays queued.
 func (q *timerQueue) next() *timer {
 	if len(q.heap) == 0 {
--- a/internal/dispatch/timers_test.go
+++ b/internal/dispatch/timers_test.go
@@ -29,5 +29,5 @@
 	}
 	assert.Equal(t, []event{balancerTimerFired{id: 1}, balancerTimerFired{id: 3}}, fired)
 	q.remove(first) // it has fired, so this does nothing
-	assert.Equal(t, 1, q.len(), "one is not due yet")
+	assert.Equal(t, 1, len(q.heap), "one is not due yet")
 }
--- a/internal/invocation/transitions.go
+++ b/internal/invocation/transitions.go
@@ -15,15 +15,6 @@
 	err     error  // the event is rejected with this error, and nothing changes
 }
 
-// Name describes the transition by its state, event and guard. It is unique in the table.
-func (t *Transition) Name() string {
-	name := t.From.String() + ", " + t.Event.String()
-	if t.guard.name != "" {
-		name += ", " + t.guard.name
-	}
-	return name
-}
-
 // Combinations of effects and updates that several transitions share.
 var (
 	completed             = effects(EffectPersist, EffectNotify)
--- a/internal/invocation/transitions_test.go
+++ b/internal/invocation/transitions_test.go
@@ -9,6 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
+// name describes the transition by its state, event and guard. It is unique in the table.
+func (t *Transition) name() string {
+	name := t.From.String() + ", " + t.Event.String()
+	if t.guard.name != "" {
+		name += ", " + t.guard.name
+	}
+	return name
+}
+
 var noon = time.Date(2026, 3, 2, 12, 0, 0, 0, time.UTC)
 
 // scenario is a combination of everything that the guards look at.
@@ -99,8 +108,8 @@
 				require.NotNil(t, transition, "%v, %v", state, event)
 				taken[transition]++
 				if err != nil {
-					require.Equal(t, before, *inv, transition.Name())
-					require.Zero(t, effects, transition.Name())
+					require.Equal(t, before, *inv, transition.name())
+					require.Zero(t, effects, transition.name())
 					continue
 				}
 				requireInvariants(t, s, transition, &before, inv, effects, now)
@@ -108,7 +117,7 @@
 		}
 	}
 	for i := range Transitions {
-		assert.NotZero(t, taken[&Transitions[i]], "no test takes the transition: %s", Transitions[i].Name())
+		assert.NotZero(t, taken[&Transitions[i]], "no test takes the transition: %s", Transitions[i].name())
 	}
 }
 
@@ -117,7 +126,7 @@
 	t *testing.T, s scenario, transition *Transition, before, after *Invocation, effects Effects, now time.Time,
 ) {
 	t.Helper()
-	name := transition.Name()
+	name := transition.name()
 	completes := before.State != StateCompleted && after.State == StateCompleted
 	starts := before.State != StateRunning && after.State == StateRunning
 
