--- a/internal/permit/attempt.go
+++ b/internal/permit/attempt.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Worker says whether a worker takes anything new.
+// Worker is the state of a worker, which decides whether it accepts new calls and load orders.
 type Worker int
 
-// The states of a worker.
+// The states of a worker. Only a ready worker accepts new calls and load orders.
 const (
 	WorkerReady Worker = iota
 	WorkerIsDraining
@@ -17,15 +17,15 @@
 // String returns the name of the state in logs and metrics.
 func (w Worker) String() string { return workerNames[w] }
 
-// Start holds the facts on whether anything may be begun at a worker.
+// Start holds the facts that decide whether an attempt or a load order may start at a worker.
 type Start struct {
 	Worker     Worker
-	ClientGone bool          // with a load order: false
-	TimeLeft   time.Duration // in which it may be begun; it may not once this is negative
-	LeaseLeft  time.Duration // of the worker's lease; it may not be begun once this is negative
+	ClientGone bool          // the client no longer waits for an answer; always false for a load order
+	TimeLeft   time.Duration // until the latest permitted start; if negative, the start is refused
+	LeaseLeft  time.Duration // until the worker's lease ends; if negative, the start is refused
 }
 
-// Check returns Allowed, or why it may not be begun.
+// Check returns Allowed, or the reason why the start is refused.
 func (s Start) Check() Reason {
 	switch {
 	case s.Worker == WorkerIsRemoved:
@@ -42,21 +42,21 @@
 	return Allowed
 }
 
-// Repeat holds the facts on whether a request may have another attempt. The first one counts as a repeat of
-// none.
+// Repeat holds the facts that decide whether a request may have another attempt. They also apply to the first
+// attempt, for which Attempts is 0.
 type Repeat struct {
-	Attempts    int  // begun before
-	MaxAttempts int  // allowed in all
-	Pending     bool // one of them is pending
-	MayHaveRun  bool // one of them may have run, or may run still
+	Attempts    int  // attempts of the request that were started before
+	MaxAttempts int  // attempts that the request may have in total
+	Pending     bool // an earlier attempt is pending
+	MayHaveRun  bool // an earlier attempt may have run, or may still run
 	Repeatable  bool // the request may run more than once
-	Hedging     bool // two attempts may be pending at a time
+	Hedging     bool // two attempts may be pending at the same time
 }
 
-// Forbidden reports whether another attempt could run the request twice where it must not.
+// Forbidden reports whether another attempt could run a request twice that must run at most once.
 func (r Repeat) Forbidden() bool { return r.MayHaveRun && !r.Repeatable }
 
-// Check returns Allowed, or why there may not be another attempt.
+// Check returns Allowed, or the reason why another attempt is refused.
 func (r Repeat) Check() Reason {
 	switch {
 	case r.Forbidden():
@@ -69,16 +69,17 @@
 	return Allowed
 }
 
-// Connection holds the facts on whether a connection may be closed while its peer behaves.
+// Connection holds the facts that decide whether a connection may be closed while its peer follows the
+// protocol.
 type Connection struct {
 	Open       int  // requests without an answer
 	Unwritten  int  // messages that are queued or being written
-	Unhandled  int  // requests that were read and not looked at yet
-	Incomplete bool // a request has come in part
-	Unread     bool // the peer has sent something that was not read
+	Unhandled  int  // requests that were read and not processed yet
+	Incomplete bool // only a part of a request was received
+	Unread     bool // the peer has sent data that was not read
 }
 
-// Check returns Allowed, or why the connection may not be closed.
+// Check returns Allowed, or the reason why the connection may not be closed.
 func (c Connection) Check() Reason {
 	if c.Open > 0 || c.Unwritten > 0 || c.Unhandled > 0 || c.Incomplete || c.Unread {
 		return InUse
--- a/internal/permit/lease.go
+++ b/internal/permit/lease.go
@@ -2,221 +2,237 @@
 
 import "time"
 
-// MaxNotificationDelay is when a change of the endpoint list counts as told, whether its event has arrived
-// or not (source: client protocol, figures).
+// MaxNotificationDelay is the time from a change of the endpoint list after which a dispatcher counts as
+// notified, even if it has not received the event (source: client protocol, figures).
 const MaxNotificationDelay = 7 * time.Second
 
 const (
-	// listDelay is how long a change may be on its way from the list to the answer of a poll: an answer
-	// without it says nothing of what has changed in this time before the poll was sent.
+	// listDelay is the longest time from a change of the endpoint list until answers of polls include it.
+	// An answer may miss changes made up to this long before its poll was sent.
 	listDelay = 400 * time.Millisecond
 
-	// leaseMargin is how long the first byte may take from the last check to the worker, on a busy
-	// machine.
-	leaseMargin = 200 * time.Millisecond
+	// deliveryMargin is the time allowed from the last lease check until the first byte reaches the
+	// worker, on a busy machine.
+	deliveryMargin = 200 * time.Millisecond
 
-	// contestTime is for how long polls that are answered with nothing new do not renew the lease of a
-	// worker that rejects. It outlasts an outage: a worker that drains would reject the call after it.
-	contestTime = 30 * time.Second
+	// contestDuration is how long after a rejected call syncs do not renew the lease of the worker that
+	// rejected it. It is longer than an outage of discovery: a draining worker would reject the next call
+	// after the outage.
+	contestDuration = 30 * time.Second
 )
 
-// A worker that begins to drain accepts calls for so long after the event, or for the grace and drainTail
-// where that is longer.
+// A worker that starts to drain still accepts calls for minDrainAcceptance, or for the drain grace plus
+// extraDrainAcceptance if that is longer. Both run from the drain event.
 const (
-	minDrainAcceptance = 2 * time.Second
-	drainTail          = time.Second
+	minDrainAcceptance   = 2 * time.Second
+	extraDrainAcceptance = time.Second
 )
 
-// LeaseTerms is how long a lease lasts.
+// LeaseTerms holds how long each kind of evidence that a worker is ready keeps its lease valid.
 type LeaseTerms struct {
-	Synced   time.Duration // from when the poll of a sync was sent: one whose answer leaves nothing out
+	Synced   time.Duration // from when the poll of a sync was sent; the answer of a sync is complete
 	Accepted time.Duration // from when a call was written that the worker accepted
-	Loaded   time.Duration // from when a load began that the worker was ordered
+	Loaded   time.Duration // from when a load started that the worker was ordered to do
 }
 
-// NewLeaseTerms returns the terms where nothing may be begun at a worker once it has drained for a grace. A
-// sync tells what was so when its poll was sent; an accepted call only what was so a while before it was
-// written. A worker that drains begins no load.
+// NewLeaseTerms returns the terms for a drain grace. The protocol forbids new calls and load orders at a
+// worker once the dispatcher counts as notified of the worker's drain and the drain grace has passed. The
+// three terms differ as follows: a sync shows the state when its poll was sent, except for changes within
+// listDelay; an accepted call does not show that the worker was ready when the call was written, as a
+// draining worker still accepts calls for a while; a draining worker starts no load.
 func NewLeaseTerms(drainGrace time.Duration) LeaseTerms {
-	binds := MaxNotificationDelay + drainGrace - leaseMargin
+	latestStart := MaxNotificationDelay + drainGrace - deliveryMargin
 	return LeaseTerms{
-		Synced:   binds - listDelay,
-		Accepted: binds - max(minDrainAcceptance, drainGrace+drainTail),
-		Loaded:   binds - listDelay,
+		Synced:   latestStart - listDelay,
+		Accepted: latestStart - max(minDrainAcceptance, drainGrace+extraDrainAcceptance),
+		Loaded:   latestStart - listDelay,
 	}
 }
 
-// returnTold is when the start of a process counts as told that there is a connection to.
-const returnTold = MaxNotificationDelay + leaseMargin
+// restartNotificationDelay is the time from the first connection to a process after which the dispatcher
+// counts as notified of the start of this process.
+const restartNotificationDelay = MaxNotificationDelay + deliveryMargin
 
-// Lease is the right to begin something at a worker that is believed to be ready. It ends by itself: what
-// the endpoint list has to tell counts as told after MaxNotificationDelay, also where discovery cannot be
-// reached or is wrong. A sync with discovery renews it, and calls that the worker accepts.
+// Lease is the right to start calls and load orders at a worker that is believed to be ready. It expires
+// unless it is renewed: a dispatcher counts as notified of a change of the endpoint list after
+// MaxNotificationDelay, even if discovery is unreachable or wrong. A lease is renewed by syncs with
+// discovery, by calls that the worker accepts and by load orders that it carries out.
 //
-// A worker that is reached anew may have drained, ended and been started again since it was last heard of:
-// its drain counts as told before its return does. Calls that it accepts renew the lease from when its
-// return must count as told, too. Until then the lease may be over, and live again later.
+// A worker that is connected again after a gap may have drained, ended and been restarted in the gap. The
+// dispatcher counts as notified of the drain before it counts as notified of the restart. Evidence from
+// the new connection therefore renews the lease only from the time at which the dispatcher counts as
+// notified of the restart. The lease may expire before that time and become valid again at it.
 //
-// The zero value has ended. Times are those of a clock that is never set, and zero is never. It is not
-// safe for concurrent use.
+// The zero value is an expired lease. Times are those of a monotonic clock; zero means never. A Lease is
+// not safe for concurrent use.
 type Lease struct {
-	listed         time.Duration // as of when the list last named the worker as ready
-	assumed        bool          // that list may be old
-	proven         evidence      // that it was ready
-	reached        reached       // the same after it was reached anew
-	rejected       time.Duration // when the last call was written that it has rejected
-	contestedUntil time.Duration // polls sent before this do not renew the lease
+	listedAt       time.Duration   // as of when the endpoint list last named the worker as ready
+	listMayBeStale bool            // the list that named the worker may be old
+	established    evidence        // evidence that counts at once
+	pending        pendingEvidence // evidence from a new connection, which counts later
+	rejectedAt     time.Duration   // when the last call was written that the worker rejected
+	contestedUntil time.Duration   // syncs whose poll was sent before this time do not renew the lease
 }
 
-// evidence is when a worker has last done what one does not do that has drained for long; zero is never.
+// evidence holds when a worker last did things that a worker does not do after a long drain. Zero means
+// never.
 type evidence struct {
-	accepted time.Duration // the last call was written that it accepted
-	loaded   time.Duration // the last load began that it was ordered
+	acceptedAt time.Duration // when the last call was written that the worker accepted
+	loadedAt   time.Duration // when the last load started that the worker was ordered to do
 }
 
-// last returns when the latest evidence was given; 0: there is none.
-func (e evidence) last() time.Duration { return max(e.accepted, e.loaded) }
+// latest returns the time of the latest evidence, or 0 if there is none.
+func (e evidence) latest() time.Duration { return max(e.acceptedAt, e.loadedAt) }
 
-// end returns until when the worker is known to be ready by it; 0: it is not.
+// end returns until when the evidence shows that the worker is ready, or 0 if there is no evidence.
 func (e evidence) end(terms LeaseTerms) (end time.Duration) {
-	if e.accepted > 0 {
-		end = e.accepted + terms.Accepted
+	if e.acceptedAt > 0 {
+		end = e.acceptedAt + terms.Accepted
 	}
-	if e.loaded > 0 {
-		end = max(end, e.loaded+terms.Loaded)
+	if e.loadedAt > 0 {
+		end = max(end, e.loadedAt+terms.Loaded)
 	}
 	return end
 }
 
-// with returns the later parts of both.
-func (e evidence) with(other evidence) evidence {
-	return evidence{accepted: max(e.accepted, other.accepted), loaded: max(e.loaded, other.loaded)}
+// merge returns the later time of each kind from two sets of evidence.
+func (e evidence) merge(other evidence) evidence {
+	return evidence{acceptedAt: max(e.acceptedAt, other.acceptedAt), loadedAt: max(e.loadedAt, other.loadedAt)}
 }
 
-// reached is evidence by a process of which nothing had been heard before.
-type reached struct {
+// pendingEvidence is evidence from a process that may have been started since the worker was last known to be
+// ready. It counts only from validFrom on.
+type pendingEvidence struct {
 	evidence
-	since time.Duration // since when there has been a connection to the process without a gap
+	connectedSince time.Duration // since when there has always been a connection to the process
 }
 
-// countsFrom returns when a return of the worker counts as told, so that the evidence is a proof.
-func (r reached) countsFrom() time.Duration { return r.since + returnTold }
+// validFrom returns the time from which the dispatcher counts as notified of a restart of the worker. The
+// evidence renews the lease from then on.
+func (r pendingEvidence) validFrom() time.Duration {
+	return r.connectedSince + restartNotificationDelay
+}
 
-// end returns until when the worker is known to be ready, from countsFrom on; 0: it is over by then.
-func (r reached) end(terms LeaseTerms) time.Duration {
-	if end := r.evidence.end(terms); end > r.countsFrom() {
+// end returns until when the evidence shows that the worker is ready, or 0 if it expires by validFrom.
+func (r pendingEvidence) end(terms LeaseTerms) time.Duration {
+	if end := r.evidence.end(terms); end > r.validFrom() {
 		return end
 	}
 	return 0
 }
 
-// Assumed notes that a list names the worker as ready that may be old, as that of the start of a dispatcher.
-// It counts as one of that time, until the worker rejects a call without having accepted one shortly before.
+// Assumed records that an endpoint list names the worker as ready, where the list may be old, as the one
+// that a dispatcher uses at its start. The list counts as current as of the given time until the worker
+// rejects a call without having accepted one shortly before.
 func (l *Lease) Assumed(asOf time.Duration) {
 	l.Listed(asOf)
-	l.assumed = true
+	l.listMayBeStale = true
 }
 
-// Listed notes that the list names the worker as ready, as of a time.
+// Listed records that the endpoint list names the worker as ready, as of a time.
 func (l *Lease) Listed(asOf time.Duration) {
-	l.assumed = false
-	l.listed = max(l.listed, asOf)
-	l.settle(asOf)
+	l.listMayBeStale = false
+	l.listedAt = max(l.listedAt, asOf)
+	l.endContest(asOf)
 }
 
-// Accepted notes that the worker has accepted a call that was written at a time: it has served it, failed at
-// it, or looked for its function. There has been a connection to its process without a gap since
-// connectedSince.
+// Accepted records that the worker accepted a call that was written at writtenAt: the worker served the
+// call, failed to serve it, or reported that its function is not loaded. Since connectedSince there has
+// always been a connection to the worker's process. The poll of the last sync was sent at syncedAt.
 func (l *Lease) Accepted(writtenAt, connectedSince, syncedAt time.Duration) {
-	l.prove(reached{evidence{accepted: writtenAt}, connectedSince}, syncedAt)
+	l.addEvidence(pendingEvidence{evidence{acceptedAt: writtenAt}, connectedSince}, syncedAt)
 }
 
-// Loaded notes that the worker has carried out a load order, by a load that began no sooner than beganAt. The
-// rest is as for Accepted.
-func (l *Lease) Loaded(beganAt, connectedSince, syncedAt time.Duration) {
-	l.prove(reached{evidence{loaded: beganAt}, connectedSince}, syncedAt)
+// Loaded records that the worker carried out a load order, with a load that started at startedAt or
+// later. The other parameters are those of Accepted.
+func (l *Lease) Loaded(startedAt, connectedSince, syncedAt time.Duration) {
+	l.addEvidence(pendingEvidence{evidence{loadedAt: startedAt}, connectedSince}, syncedAt)
 }
 
-// prove takes in evidence by the process that is connected now.
-func (l *Lease) prove(r reached, syncedAt time.Duration) {
-	l.settle(r.last())
-	sameProcess := r.since <= max(l.proven.last(), l.told(syncedAt))
+// addEvidence records evidence from the process that is connected now.
+func (l *Lease) addEvidence(r pendingEvidence, syncedAt time.Duration) {
+	l.endContest(r.latest())
+	sameProcess := r.connectedSince <= max(l.established.latest(), l.confirmedAt(syncedAt))
 	switch {
-	case sameProcess || r.last() >= r.countsFrom():
-		l.proven = l.proven.with(r.evidence)
-	case l.reached.since != r.since:
-		l.reached = r
+	case sameProcess || r.latest() >= r.validFrom():
+		l.established = l.established.merge(r.evidence)
+	case l.pending.connectedSince != r.connectedSince:
+		l.pending = r
 	default:
-		l.reached.evidence = l.reached.with(r.evidence)
+		l.pending.evidence = l.pending.merge(r.evidence)
 	}
 }
 
-// Rejected notes that the worker has rejected a call that was written at a time. It may be full, or it may
-// drain and discovery not tell: until it accepts a call or the list names it, answers with nothing new are
-// no proof of it.
+// Rejected records that the worker rejected a call that was written at writtenAt. The worker may be full,
+// or it may be draining while discovery does not report the drain. So syncs do not renew its lease for
+// contestDuration, unless the worker accepts a call, carries out a load order or is named by the list
+// before that.
 func (l *Lease) Rejected(writtenAt time.Duration) {
-	if writtenAt <= max(l.proven.last(), l.listed) {
+	if writtenAt <= max(l.established.latest(), l.listedAt) {
 		return
 	}
-	l.rejected = max(l.rejected, writtenAt)
-	l.contestedUntil = l.rejected + contestTime
+	l.rejectedAt = max(l.rejectedAt, writtenAt)
+	l.contestedUntil = l.rejectedAt + contestDuration
 }
 
-// settle ends a contest by evidence that is newer than the rejection.
-func (l *Lease) settle(at time.Duration) {
-	if at > l.rejected {
+// endContest lets syncs renew the lease again if the worker was shown to be ready after the last rejection.
+func (l *Lease) endContest(at time.Duration) {
+	if at > l.rejectedAt {
 		l.contestedUntil = 0
 	}
 }
 
-// Contested reports whether a sync at a time does not renew the lease.
+// Contested reports whether a sync whose poll was sent at a time does not renew the lease, because of a
+// rejection.
 func (l *Lease) Contested(syncedAt time.Duration) bool { return syncedAt < l.contestedUntil }
 
-// told returns as of when discovery last told that the worker is ready.
-func (l *Lease) told(syncedAt time.Duration) time.Duration {
+// confirmedAt returns the latest time as of which discovery reported the worker as ready, or 0 if there
+// is none that counts.
+func (l *Lease) confirmedAt(syncedAt time.Duration) time.Duration {
 	switch {
-	case l.Contested(syncedAt) && l.assumed:
+	case l.Contested(syncedAt) && l.listMayBeStale:
 		return 0
 	case l.Contested(syncedAt):
-		return l.listed
+		return l.listedAt
 	default:
-		return max(l.listed, syncedAt)
+		return max(l.listedAt, syncedAt)
 	}
 }
 
-// Left returns how much of the lease is left at now, negative where it is over, where the poll of the last
-// sync was sent at syncedAt.
+// Left returns the time from now until the lease expires, negative if it has expired. The poll of the
+// last sync was sent at syncedAt.
 func (l *Lease) Left(terms LeaseTerms, syncedAt, now time.Duration) time.Duration {
 	var end time.Duration
-	switch told := l.told(syncedAt); {
-	case told > 0:
-		end = told + terms.Synced
-	case l.assumed: // the worker rejects: the old list counts for as long as what it has accepted speaks for it
-		end = min(l.listed+terms.Synced, l.reached.evidence.end(terms))
+	switch confirmed := l.confirmedAt(syncedAt); {
+	case confirmed > 0:
+		end = confirmed + terms.Synced
+	case l.listMayBeStale: // after a rejection, the old list counts only while evidence supports it
+		end = min(l.listedAt+terms.Synced, l.pending.evidence.end(terms))
 	}
-	end = max(end, l.proven.end(terms))
-	if now >= l.reached.countsFrom() {
-		end = max(end, l.reached.end(terms))
+	end = max(end, l.established.end(terms))
+	if now >= l.pending.validFrom() {
+		end = max(end, l.pending.end(terms))
 	}
 	return end - now
 }
 
-// EvidenceLeft returns for how long what the worker has done will still speak for it, whatever the list says.
-// It is no right to begin anything, since it also counts what the worker did right after it was reached anew.
+// EvidenceLeft returns how long from now the worker's own actions still show that it is ready, whatever
+// the list says. The result does not permit starting anything, since it includes evidence from a new
+// connection that does not count yet.
 func (l *Lease) EvidenceLeft(terms LeaseTerms, now time.Duration) time.Duration {
-	return l.proven.with(l.reached.evidence).end(terms) - now
+	return l.established.merge(l.pending.evidence).end(terms) - now
 }
 
-// ProvenUntil returns when the lease ends for good without further evidence. It may be over in between, see
-// ResumesAt.
+// ProvenUntil returns the time after which the lease stays expired without further evidence. The lease may be
+// expired for a while before that time, see ResumesAt.
 func (l *Lease) ProvenUntil(terms LeaseTerms, syncedAt time.Duration) time.Duration {
-	return max(l.Left(terms, syncedAt, 0), l.reached.end(terms))
+	return max(l.Left(terms, syncedAt, 0), l.pending.end(terms))
 }
 
-// ResumesAt returns when a lease that is over is live again without further evidence; 0: it is not.
+// ResumesAt returns when an expired lease becomes valid again without further evidence, or 0 if it does not.
 func (l *Lease) ResumesAt(terms LeaseTerms, now time.Duration) time.Duration {
-	at := l.reached.countsFrom()
-	if now >= at || l.reached.end(terms) == 0 {
+	at := l.pending.validFrom()
+	if now >= at || l.pending.end(terms) == 0 {
 		return 0
 	}
 	return at
--- a/internal/permit/loadbudget.go
+++ b/internal/permit/loadbudget.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// LoadBudget bounds load orders: of any window, the orders number at most Burst plus Ratio times the requests
-// that were taken in it. It is not safe for concurrent use.
+// LoadBudget limits load orders: in any window of length Window, there are at most Burst orders plus
+// Ratio times the number of requests received in this window. It is not safe for concurrent use.
 type LoadBudget struct {
 	Burst  float64
 	Ratio  float64
-	Window time.Duration // 0: orders are not bounded
-	// Margin is how long an order may be on its way. The budget is judged by arrivals, so that an order which
-	// was given this long before the window may fall into it, and a request of its first part may have left it.
+	Window time.Duration // 0: orders are not limited
+	// Margin is the longest time from giving an order to its arrival at the worker. The limit applies to
+	// arrivals: an order that was given up to Margin before a window may arrive in it. So orders count
+	// for Margin longer than Window, and requests for Margin less.
 	Margin time.Duration
 
-	orders   []time.Duration // recent ones, sorted
-	requests []time.Duration // recent ones that earn orders, sorted
+	orders   []time.Duration // when the recent orders were given, sorted
+	requests []time.Duration // when the recent requests were received, sorted
 }
 
-// Earn counts a request that was taken at a time, which may lie before earlier ones.
+// Earn counts a request received at a time, which may be earlier than that of requests counted before.
 func (b *LoadBudget) Earn(at time.Duration) {
 	if b.Window == 0 {
 		return
@@ -30,7 +31,8 @@
 	b.requests = After(b.requests, at-b.Window)
 }
 
-// Take takes one order from the budget and returns Allowed, or BudgetSpent. Times must not go back.
+// Take uses one order of the budget and returns Allowed, or returns BudgetSpent if none is left.
+// Successive calls must not pass earlier times.
 func (b *LoadBudget) Take(now time.Duration) Reason {
 	if b.Window == 0 {
 		return Allowed
@@ -45,8 +47,8 @@
 	return Allowed
 }
 
-// LeftAt returns how many orders could be given at a later time if there were none until then, and no more
-// requests; fewer than one: none.
+// LeftAt returns how many orders the budget has at a time, if no orders or requests are added until then.
+// A result below 1 means that no order may be given.
 func (b *LoadBudget) LeftAt(at time.Duration) float64 {
 	if b.Window == 0 {
 		return math.Inf(1)
@@ -56,7 +58,8 @@
 	return b.Burst + b.Ratio*float64(len(requests)) - float64(len(orders))
 }
 
-// After returns the times later than a bound, of times that are sorted. The result shares their memory.
+// After returns the part of a sorted list of times that is later than a bound. The result shares the list's
+// memory.
 func After(times []time.Duration, bound time.Duration) []time.Duration {
 	i, _ := slices.BinarySearch(times, bound+1)
 	return times[i:]
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -22,7 +22,7 @@
 		{Start{Worker: WorkerIsDraining, LeaseLeft: -1}, WorkerDraining},
 	} {
 		assert.Equal(t, test.want, test.start.Check(), "%+v", test.start)
-		assert.False(t, test.want.IsViolation(), "it may come between the choice and the start")
+		assert.False(t, test.want.IsViolation(), "the reason may arise between the choice and the start")
 	}
 }
 
@@ -59,7 +59,7 @@
 	assert.Equal(t, times, After(times, 0))
 }
 
-// takeAll takes orders at a time until the budget is spent, and returns how many it gave.
+// takeAll takes orders at a time until the budget is spent, and returns their number.
 func takeAll(b *LoadBudget, now time.Duration) int {
 	taken := 0
 	for b.Take(now) == Allowed {
@@ -76,15 +76,15 @@
 	}
 	assert.Equal(t, 2, takeAll(b, time.Minute+time.Second), "four requests earn two")
 	assert.Zero(t, takeAll(b, time.Minute+10*time.Second-1), "the first orders still count")
-	assert.Equal(t, 0, takeAll(b, time.Minute+10*time.Second), "but the requests have left the window too")
+	assert.Equal(t, 0, takeAll(b, time.Minute+10*time.Second), "the orders have left the window, and the requests too")
 	assert.Equal(t, 2, takeAll(b, time.Minute+11*time.Second))
 	unbounded := &LoadBudget{}
 	unbounded.Earn(1)
-	assert.Equal(t, Allowed, unbounded.Take(0), "no window: no bound")
-	assert.Empty(t, unbounded.requests, "and nothing is kept")
+	assert.Equal(t, Allowed, unbounded.Take(0), "no window: no limit")
+	assert.Empty(t, unbounded.requests, "no window: requests are not recorded")
 }
 
-// Requests are taken in no order, and those that have left the window are forgotten.
+// Requests may be counted out of order, and those that have left the window are removed.
 func TestLoadBudgetForgets(t *testing.T) {
 	b := &LoadBudget{Ratio: 1, Window: 10 * time.Second}
 	for _, at := range []time.Duration{20 * time.Second, 15 * time.Second, 31 * time.Second, 22 * time.Second} {
@@ -93,7 +93,7 @@
 	assert.Equal(t, []time.Duration{22 * time.Second, 31 * time.Second}, b.requests)
 }
 
-// Orders are on their way for up to the margin: they count for longer, and requests for less long.
+// Orders take up to the margin to arrive, so they count for the margin longer than the window, and requests for the margin less.
 func TestLoadBudgetKeepsAMargin(t *testing.T) {
 	b := &LoadBudget{Burst: 1, Ratio: 1, Window: 10 * time.Second, Margin: time.Second}
 	b.Earn(time.Minute)
@@ -102,7 +102,7 @@
 	assert.Equal(t, 1, takeAll(b, time.Minute+11*time.Second))
 }
 
-// What is left at a later time is what could be given then if nothing came until then.
+// LeftAt returns the orders that could be given at a later time without any orders or requests until then.
 func TestLoadBudgetLeftLater(t *testing.T) {
 	b := &LoadBudget{Burst: 2, Ratio: 1, Window: 10 * time.Second, Margin: time.Second}
 	b.Earn(time.Minute)
@@ -110,5 +110,5 @@
 	assert.Equal(t, 0.0, b.LeftAt(time.Minute+9*time.Second-1))
 	assert.Equal(t, -1.0, b.LeftAt(time.Minute+9*time.Second), "the request has left the window, the orders have not")
 	assert.Equal(t, 2.0, b.LeftAt(time.Minute+11*time.Second))
-	assert.True(t, math.IsInf((&LoadBudget{}).LeftAt(0), 1), "no window: no bound")
+	assert.True(t, math.IsInf((&LoadBudget{}).LeftAt(0), 1), "no window: no limit")
 }
--- a/internal/permit/reason.go
+++ b/internal/permit/reason.go
@@ -1,27 +1,28 @@
-// Package permit decides whether something may begin now: an attempt, a repeat of one, a load order, or the
-// close of a connection. It is the one place for these rules. The balancer asks it when it chooses, and
-// whoever carries out a choice asks again at the last moment, with the facts as they are then.
+// Package permit decides whether an operation may start now: an attempt, a retry, a load order, or the
+// close of a connection. These rules are implemented only here. The balancer checks them when it chooses
+// an operation, and the code that carries out the operation checks them again right before it starts,
+// with current facts.
 //
-// The package is pure: it has no clock, does no I/O and starts no goroutine. Times are spans of real time, or
-// are measured from an origin of the caller's by a clock that is never set.
+// The package is pure: it has no clock, does no I/O and starts no goroutine. Durations are spans of real
+// time. Points in time are measured from an origin that the caller chooses, by a monotonic clock.
 package permit
 
-// Reason says why something may not begin.
+// Reason says why an operation may not start, or that it is allowed.
 type Reason int
 
-// The reasons.
+// The reasons. Allowed is the zero value.
 const (
 	Allowed           Reason = iota
-	ClientGone               // nobody waits for its answer any more: it is answered, cancelled or closed
-	TooLate                  // its time is over
-	WorkerDraining           // its worker takes nothing new
-	WorkerRemoved            // its worker is gone, and another one may listen at its address
-	LeaseEnded               // what is known of its worker is too old to be relied on
-	RepeatForbidden          // it may have run, and must not run twice
-	AttemptPending           // another attempt is pending, and only one may be
-	AttemptsExhausted        // it has had all its attempts
-	BudgetSpent              // there were too many of its kind for now
-	InUse                    // requests are open on the connection, or answers not written
+	ClientGone               // the request was answered or cancelled, or its client closed the connection
+	TooLate                  // the time for the start is over
+	WorkerDraining           // the worker accepts no new calls or load orders
+	WorkerRemoved            // the worker left the list, and another may listen at its address
+	LeaseEnded               // the last evidence that the worker is ready is too old
+	RepeatForbidden          // the request may have run, and must not run twice
+	AttemptPending           // another attempt is pending, and the request may have only one at a time
+	AttemptsExhausted        // the request has had the maximum number of attempts
+	BudgetSpent              // the load budget has no order left at this time
+	InUse                    // the connection has open requests, or unwritten or unread data
 )
 
 var reasonNames = [...]string{
@@ -41,8 +42,9 @@
 // String returns the name of the reason in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// IsViolation reports whether the reason is a fault of whoever chose, rather than a change that came after
-// the choice: clients leave, workers drain and time passes between the two.
+// IsViolation reports whether the reason shows a fault in the code that chose the operation. The other
+// reasons can also arise after a correct choice: clients leave, workers drain and time passes before it
+// is carried out.
 func (r Reason) IsViolation() bool {
 	return r == RepeatForbidden || r == AttemptPending || r == AttemptsExhausted || r == BudgetSpent
 }
