--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// worker returns the record of a worker, a new one if it is not known.
+// worker returns the record of a worker, and creates it if there is none.
 func (b *Balancer) worker(id WorkerID) *worker {
 	w := b.workers[id]
 	if w == nil {
@@ -15,7 +15,7 @@
 	return w
 }
 
-// unloadAll notes that a worker holds no copies.
+// unloadAll records that a worker has no copies of functions loaded.
 func (b *Balancer) unloadAll(w *worker) {
 	for _, f := range b.functions {
 		if p := f.placements[w.ID]; p != nil {
@@ -24,7 +24,8 @@
 	}
 }
 
-// updateReady brings the list of ready workers, sorted by ID, up to date with workers that may have changed.
+// updateReady updates b.ready, which is sorted by ID, for workers whose state, lease or weight may have
+// changed.
 func (b *Balancer) updateReady(workers []*worker) {
 	for _, w := range workers {
 		ready := b.available(w)
@@ -39,20 +40,20 @@
 	}
 }
 
-// setListed adds a worker to the ready ones, or takes it out.
+// setListed adds a worker to b.ready or removes it.
 func (b *Balancer) setListed(w *worker, ready bool) {
 	w.listed = ready
-	place, _ := slices.BinarySearchFunc(b.ready, w, compareIDs)
+	index, _ := slices.BinarySearchFunc(b.ready, w, compareIDs)
 	if ready {
-		b.ready = slices.Insert(b.ready, place, w)
+		b.ready = slices.Insert(b.ready, index, w)
 	} else {
-		b.ready = slices.Delete(b.ready, place, place+1)
+		b.ready = slices.Delete(b.ready, index, index+1)
 	}
 }
 
 func compareIDs(v, w *worker) int { return cmp.Compare(v.ID, w.ID) }
 
-// zone returns the record of a zone.
+// zone returns the record of a zone, and creates it if there is none.
 func (b *Balancer) zone(name string) *zone {
 	z := b.zones[name]
 	if z == nil {
@@ -62,7 +63,7 @@
 	return z
 }
 
-// forget drops a removed worker, unless a load order to it is still pending.
+// forget deletes the records of a removed worker, unless a load order to the worker is still pending.
 func (b *Balancer) forget(id WorkerID) {
 	for _, f := range b.functions {
 		if p := f.placements[id]; p != nil && p.ordered {
@@ -76,20 +77,20 @@
 	delete(b.workers, id)
 }
 
-// markReachable notes a sign of life of a worker, and with it of its zone.
+// markReachable records that a worker was reached, and thus its zone. This ends an ejection of the zone.
 func (b *Balancer) markReachable(w *worker) {
 	w.lastContact = b.now
 	*w.zone = zone{lastContact: b.now}
 }
 
-// markHealthy notes that a worker answers as it should, which ends its ejection.
+// markHealthy records that a worker answers correctly, which ends its ejection.
 func (b *Balancer) markHealthy(w *worker) {
 	b.markReachable(w)
 	w.ejection.end()
 }
 
-// forgetRemoved drops workers that left so long ago that on their return they would be warm, or have a new
-// start.
+// forgetRemoved deletes workers that were removed so long ago that their records are not needed if they
+// return: by then they are warm, or report a new start.
 func (b *Balancer) forgetRemoved() {
 	memory := b.settings.SlowStartDuration + b.settings.OverloadWindow
 	for id, w := range b.workers {
@@ -99,7 +100,7 @@
 	}
 }
 
-// onEndpoints takes in an update of the endpoint list.
+// onEndpoints handles an update of the endpoint list.
 func (b *Balancer) onEndpoints(e EndpointsEvent) {
 	if e.Scope == ScopeFailed {
 		b.polling = polling{active: false, changedAt: b.now}
@@ -128,8 +129,8 @@
 	b.updateReady(changed)
 }
 
-// updateWorker takes in one entry and returns its worker. After a fresh start the worker is warming up and
-// holds no copies.
+// updateWorker updates the record of a worker by its entry in the endpoint list, and returns the record.
+// If the entry reports a new start, the worker is in slow start and has no copies loaded.
 func (b *Balancer) updateWorker(entry Worker) *worker {
 	w := b.worker(entry.ID)
 	if entry.Weight <= 0 {
--- a/internal/balancer/keepalive.go
+++ b/internal/balancer/keepalive.go
@@ -8,27 +8,37 @@
 )
 
 const (
-	renewWithin       = 4 * time.Second        // a proof is renewed by calls so long before its end
-	keepaliveInterval = 100 * time.Millisecond // how often leases that are about to end are looked for
-	keepaliveAhead    = time.Second            // a lease is renewed so long before its end ...
-	lastLeaseAhead    = 5 * time.Second / 2    // ... and so long where no other lease lasts longer
-	keepalivePatience = 500 * time.Millisecond // a keepalive that takes longer counts as lost
-	keepaliveRetry    = 5 * time.Second        // a worker without success is left alone for so long
-	// maxKeptWorkers is how many workers keepalives are for; with so many proven by calls there are none.
-	maxKeptWorkers   = 3
-	maxKeepaliveAsks = 4 // of one keepalive
-	// keepaliveReserve is how many orders calls leave for keepalives while discovery is silent.
-	keepaliveReserve = 1
-	// minKeptFunctions is how many functions are remembered although nobody calls them: a keepalive needs one.
+	// evidenceRenewalWindow is how long before the evidence of a worker expires calls are directed to the
+	// worker to renew it.
+	evidenceRenewalWindow = 4 * time.Second
+	keepaliveInterval     = 100 * time.Millisecond // how often expiring leases are searched for
+	renewalLead           = time.Second            // a lease is renewed this long before it expires ...
+	lastLeaseLead         = 5 * time.Second / 2    // ... and this long if no other lease lasts longer
+	keepaliveTimeout      = 500 * time.Millisecond // a keepalive is expected to succeed only for this long
+	keepaliveRetryDelay   = 5 * time.Second        // pause at a worker after a keepalive that failed
+	// maxKeepaliveWorkers is the number of workers whose leases keepalives renew. If calls keep the
+	// leases of this many workers valid, there are no keepalives.
+	maxKeepaliveWorkers = 3
+	maxKeepaliveQueries = 4 // queries in one keepalive
+	// keepaliveOrderReserve is the number of load orders that calls leave in the load budget for
+	// keepalives while discovery is silent.
+	keepaliveOrderReserve = 1
+	// minKeptFunctions is the number of functions that are kept in memory even if no client calls them,
+	// since a keepalive needs a function.
 	minKeptFunctions = 8
 )
 
-// preferred returns the better one of two workers that suit a request alike; best may be nil. A worker that
-// was proven to be ready by what it did goes before one of which only the list tells, so that a dispatcher
-// keeps as many workers proven as its calls can: an answer of discovery with nothing new cannot be told from
-// an outage. Of two proven ones, and of all while discovery is silent, it is the one whose lease ends first,
-// if that is soon, and else the first. Where calls are many enough to prove all workers, it is the first: one
-// that is new has to get calls, too.
+// preferred chooses between two workers that suit a request equally well. best may be nil.
+//
+// Without many calls, a worker with current evidence (accepted calls or loads) goes before one that is
+// ready only by the list. Thereby the dispatcher's calls keep evidence of as many workers as they can.
+// This matters because an answer of discovery without changes cannot be distinguished from an outage
+// behind discovery. Of two workers with evidence, other is chosen if its evidence expires within
+// evidenceRenewalWindow and before that of best, and best otherwise. While discovery is silent, the time
+// left of the leases is compared instead of that of the evidence.
+//
+// With enough calls to renew the evidence of all workers, best is chosen while discovery is heard, since new
+// workers have to get calls, too.
 func (b *Balancer) preferred(best, other *worker) *worker {
 	if best == nil {
 		return other
@@ -43,17 +53,17 @@
 	switch {
 	case left <= 0:
 		return best
-	case bestLeft <= 0 || left < renewWithin && left < bestLeft:
+	case bestLeft <= 0 || left < evidenceRenewalWindow && left < bestLeft:
 		return other
 	default:
 		return best
 	}
 }
 
-// fewCalls reports whether own calls are too few to prove each worker again and again.
+// fewCalls reports whether this dispatcher's calls are too few to keep current evidence of every worker.
 func (b *Balancer) fewCalls() bool { return b.hotSet.callsPerWorker < minOwnCalls }
 
-// evidenceLeft is for how long what a worker has done will still speak for it.
+// evidenceLeft returns how long from now a worker's own actions still show that it is ready.
 func (b *Balancer) evidenceLeft(w *worker) time.Duration {
 	if !b.settings.EndpointLeases {
 		return 0
@@ -61,130 +71,136 @@
 	return w.lease.EvidenceLeft(b.settings.leaseTerms, b.now)
 }
 
-// keepaliveStep is how far a keepalive with a function at a worker has come.
+// keepaliveStep is the current step of the keepalive that uses a function at a worker.
 type keepaliveStep int
 
 const (
-	keepaliveNone    keepaliveStep = iota
-	keepaliveAsked                 // how many copies stand there
-	keepaliveOrdered               // a copy, where none stood
+	keepaliveNone    keepaliveStep = iota // no keepalive is in progress
+	keepaliveQueried                      // the worker was asked how many copies of the function are loaded
+	keepaliveOrdered                      // a copy was ordered, as none was loaded
 )
 
-// keepalives is the state of the keepalives of all workers.
+// keepalives is the state that the keepalives of all workers share.
 type keepalives struct {
-	nextAt time.Duration   // when leases that are about to end are looked for next
-	orders []time.Duration // recent ones, sorted
+	nextAt time.Duration   // time of the next search for leases that are about to expire
+	orders []time.Duration // when the recent load orders of keepalives were given, sorted
 }
 
-// keepLeases renews leases of a few workers while discovery is silent and calls are too rare to renew them:
-// otherwise nobody would be left who may be called until discovery is heard again. A worker that drains
-// rejects a load order, unless a copy stands there; one that carries it out takes what is new. So a keepalive
-// asks how many copies of a function stand, and orders one where none does.
+// renewLeases renews the leases of a few workers by keepalives while discovery is silent and calls are
+// too rare to renew them. Without keepalives, all leases could expire, and no worker could be called
+// until the next sync.
+//
+// A draining worker rejects a load order unless a copy of the function is loaded already. A worker that
+// loads a copy for an order is therefore not draining. So a keepalive first asks how many copies of a
+// function are loaded, and orders a copy if there is none.
 //
-// Orders count for the load budget, which without calls lasts for two or three workers. So the last lease is
-// renewed early, and further ones only where the budget will still serve its next renewal.
-func (b *Balancer) keepLeases() {
+// These orders count in the load budget, which without calls suffices for two or three workers. So the
+// lease that expires last is renewed early, and the leases of further workers only if the budget still
+// suffices for the next renewal of that one.
+func (b *Balancer) renewLeases() {
 	if !b.outOfSync() || !b.settings.LoadOrders || b.now < b.keepalives.nextAt {
 		return
 	}
 	b.keepalives.nextAt = b.now + keepaliveInterval
-	b.keepLastLease()
-	kept := b.keptLeases(keepaliveAhead)
-	for kept.count > 0 && kept.count < maxKeptWorkers && b.mayKeepFurther(kept) {
-		if !b.keepNext(kept, keepaliveAhead) {
+	b.renewLastLease()
+	lasting := b.lastingLeases(renewalLead)
+	for lasting.count > 0 && lasting.count < maxKeepaliveWorkers && b.mayRenewAnother(lasting) {
+		if !b.startNextKeepalive(lasting, renewalLead) {
 			return
 		}
-		kept = b.keptLeases(keepaliveAhead)
+		lasting = b.lastingLeases(renewalLead)
 	}
 }
 
-// mayKeepFurther reports whether the budget lasts for a further worker besides those that are kept, and still
-// for the next renewal of the last lease. What the budget has by requests may be gone by then.
-func (b *Balancer) mayKeepFurther(kept keptLeases) bool {
+// mayRenewAnother reports whether the load budget suffices to renew the lease of another worker, and
+// still for the next renewal of the lease that expires last. The first check counts only Burst, since the
+// orders that requests have earned may be used up by then.
+func (b *Balancer) mayRenewAnother(lasting lastingLeases) bool {
 	budget := &b.loads.budget
 	b.keepalives.orders = permit.After(b.keepalives.orders, b.now-budget.Window-budget.Margin)
-	if float64(len(b.keepalives.orders)+1+keepaliveReserve) > budget.Burst {
+	if float64(len(b.keepalives.orders)+1+keepaliveOrderReserve) > budget.Burst {
 		return false
 	}
-	return budget.LeftAt(kept.longest-lastLeaseAhead) > float64(kept.count)
+	return budget.LeftAt(lasting.longest-lastLeaseLead) > float64(lasting.count)
 }
 
-// reservedOrders is how many load orders are left for keepalives: none where discovery is heard, or calls
-// prove enough workers.
+// reservedOrders returns how many load orders calls must leave in the budget for keepalives: none while
+// discovery is heard, or if enough workers have leases that last.
 func (b *Balancer) reservedOrders() float64 {
-	if !b.outOfSync() || b.keptLeases(keepaliveAhead).count >= maxKeptWorkers {
+	if !b.outOfSync() || b.lastingLeases(renewalLead).count >= maxKeepaliveWorkers {
 		return 0
 	}
-	return keepaliveReserve
+	return keepaliveOrderReserve
 }
 
-// keepLastLease renews a lease where none lasts for lastLeaseAhead. Where the budget would be spent by then,
-// as after a burst of calls, it does so before that.
-func (b *Balancer) keepLastLease() {
-	kept := b.keptLeases(lastLeaseAhead)
-	if kept.count == 0 {
-		b.keepNext(kept, lastLeaseAhead)
+// renewLastLease renews a lease if no lease lasts longer than lastLeaseLead. It renews one earlier
+// if the load budget would be spent when the renewal is due, as after a burst of calls.
+func (b *Balancer) renewLastLease() {
+	lasting := b.lastingLeases(lastLeaseLead)
+	if lasting.count == 0 {
+		b.startNextKeepalive(lasting, lastLeaseLead)
 		return
 	}
-	left := kept.longest - b.now
-	spentThen := b.loads.budget.LeftAt(kept.longest-lastLeaseAhead) < 1
-	spentSoon := b.loads.budget.LeftAt(b.now+keepaliveAhead) < 1
-	if spentThen && spentSoon && !kept.pending && left < b.settings.leaseTerms.Loaded-lastLeaseAhead {
-		b.keepNext(keptLeases{}, left)
+	left := lasting.longest - b.now
+	spentThen := b.loads.budget.LeftAt(lasting.longest-lastLeaseLead) < 1
+	spentSoon := b.loads.budget.LeftAt(b.now+renewalLead) < 1
+	if spentThen && spentSoon && !lasting.pending && left < b.settings.leaseTerms.Loaded-lastLeaseLead {
+		b.startNextKeepalive(lastingLeases{}, left)
 	}
 }
 
-// keptLeases is the workers that need no keepalive now.
-type keptLeases struct {
-	count   int
-	longest time.Duration // when the last of their leases ends
-	pending bool          // a keepalive is under way
-	zones   map[*zone]int
+// lastingLeases summarizes the workers that need no keepalive now.
+type lastingLeases struct {
+	count   int           // workers that need no keepalive, counted up to maxKeepaliveWorkers
+	longest time.Duration // when the lease that expires last does so
+	pending bool          // a keepalive is in progress
+	zones   map[*zone]int // workers counted by zone
 }
 
-// keptLeases returns the workers whose leases last for longer than a time, or have a keepalive under way.
-func (b *Balancer) keptLeases(ahead time.Duration) keptLeases {
-	kept := keptLeases{zones: map[*zone]int{}}
+// lastingLeases counts the workers whose lease lasts longer than ahead, or that have a keepalive in progress.
+func (b *Balancer) lastingLeases(ahead time.Duration) lastingLeases {
+	lasting := lastingLeases{zones: map[*zone]int{}}
 	for _, w := range b.ready {
-		end := b.provenUntil(w)
-		if w.keepaliveAt > 0 && b.now-w.keepaliveAt < keepalivePatience {
+		end := b.leaseEndsAt(w)
+		if w.keepaliveStartedAt > 0 && b.now-w.keepaliveStartedAt < keepaliveTimeout {
 			end = b.now + b.settings.leaseTerms.Loaded
-			kept.pending = true
+			lasting.pending = true
 		}
 		if end-b.now <= ahead {
 			continue
 		}
-		kept.count++
-		kept.longest = max(kept.longest, end)
-		kept.zones[w.zone]++
-		if kept.count >= maxKeptWorkers {
+		lasting.count++
+		lasting.longest = max(lasting.longest, end)
+		lasting.zones[w.zone]++
+		if lasting.count >= maxKeepaliveWorkers {
 			break
 		}
 	}
-	return kept
+	return lasting
 }
 
-// provenUntil returns when the lease of a worker ends for good without further evidence.
-func (b *Balancer) provenUntil(w *worker) time.Duration {
+// leaseEndsAt returns the time after which a worker's lease stays expired without further evidence.
+func (b *Balancer) leaseEndsAt(w *worker) time.Duration {
 	return w.lease.ProvenUntil(b.settings.leaseTerms, b.leases.syncedAt)
 }
 
-// keepNext begins a keepalive with the next worker whose lease ends within a time, and reports whether there
-// is one: of a zone with the fewest that are kept, and first in an order of this dispatcher's own, so that
-// others of a fleet keep others.
-func (b *Balancer) keepNext(kept keptLeases, ahead time.Duration) bool {
+// startNextKeepalive starts a keepalive with a worker whose lease expires within ahead, and reports
+// whether it started one. It chooses a worker of the zone with the fewest lasting leases. Within a zone,
+// the order of workers depends on the dispatcher's seed, so that the dispatchers of a fleet choose
+// different workers.
+func (b *Balancer) startNextKeepalive(lasting lastingLeases, ahead time.Duration) bool {
 	if b.loads.budget.LeftAt(b.now) < 1 {
 		return false
 	}
 	var next *worker
 	var nextKey float64
 	for _, w := range b.ready {
-		if !b.mayKeep(w) || b.provenUntil(w)-b.now > ahead {
+		if !b.mayStartKeepalive(w) || b.leaseEndsAt(w)-b.now > ahead {
 			continue
 		}
 		key := rendezvousKey(mix(b.seed), w.hash, w.fullWeight)
 		if next != nil {
-			byZone := cmp.Compare(kept.zones[w.zone], kept.zones[next.zone])
+			byZone := cmp.Compare(lasting.zones[w.zone], lasting.zones[next.zone])
 			if cmp.Or(byZone, cmp.Compare(key, nextKey)) >= 0 {
 				continue
 			}
@@ -192,18 +208,18 @@
 		next = w
 		nextKey = key
 	}
-	return next != nil && b.askKeepalive(next)
+	return next != nil && b.startKeepaliveQuery(next)
 }
 
-// mayKeep reports whether a keepalive with a worker may begin.
-func (b *Balancer) mayKeep(w *worker) bool {
-	return w.keepaliveAt == 0 && b.now >= w.noKeepaliveUntil && !w.unavailable() && b.leaseLeft(w) >= 0
+// mayStartKeepalive reports whether a keepalive with a worker may start.
+func (b *Balancer) mayStartKeepalive(w *worker) bool {
+	return w.keepaliveStartedAt == 0 && b.now >= w.noKeepaliveUntil && !w.unavailable() && b.leaseLeft(w) >= 0
 }
 
-// askKeepalive begins a keepalive with a worker: it asks for the function that is called most of those that
-// are not believed to be loaded there, or else for the one that is called least. It reports whether there is
-// one.
-func (b *Balancer) askKeepalive(w *worker) bool {
+// startKeepaliveQuery starts a keepalive query at a worker, and reports whether there was a function for
+// it. The query is for the most called function that is not believed to be loaded there, or, if there is
+// none, for the least called of the others.
+func (b *Balancer) startKeepaliveQuery(w *worker) bool {
 	var absent, loaded *function
 	for _, f := range b.functions {
 		p := b.look(f, w)
@@ -220,11 +236,12 @@
 	if f == nil {
 		return false
 	}
-	w.keepaliveAt = b.now
-	b.ask(f, f.placement(w))
+	w.keepaliveStartedAt = b.now
+	b.queryCopies(f, f.placement(w))
 	return true
 }
 
+// mostCalled returns the more often called of two functions. f may be nil.
 func mostCalled(f, other *function) *function {
 	if f == nil || other.compareCalls(f) > 0 {
 		return other
@@ -232,64 +249,66 @@
 	return f
 }
 
-// ask asks how many copies of a function stand at a worker.
-func (b *Balancer) ask(f *function, p *placement) {
-	p.worker.keepaliveAsks++
-	p.keepalive = keepaliveAsked
+// queryCopies asks a worker how many copies of a function are loaded there, by a load order for no copies.
+func (b *Balancer) queryCopies(f *function, p *placement) {
+	p.worker.keepaliveQueries++
+	p.keepalive = keepaliveQueried
 	b.emitLoad(f, p, Load{})
 }
 
-// compareCalls orders functions by how often they are called.
+// compareCalls orders functions by how often they are called, rarely called ones first. Ties go by ID, in
+// descending order.
 func (f *function) compareCalls(other *function) int {
 	return cmp.Or(cmp.Compare(f.calls.value, other.calls.value), cmp.Compare(other.id, f.id))
 }
 
-// endKeepalive takes in the end of a keepalive's ask or order, and reports whether it only asked.
-func (b *Balancer) endKeepalive(f *function, p *placement, e LoadEndedEvent) (asked bool) {
+// endKeepalive handles the result of a keepalive's query or order, and reports whether it was that of a
+// query.
+func (b *Balancer) endKeepalive(f *function, p *placement, e LoadEndedEvent) (queried bool) {
 	step := p.keepalive
 	p.keepalive = keepaliveNone
 	switch {
 	case step == keepaliveNone:
 		return false
 	case e.Status != OK:
-		p.worker.noKeepaliveUntil = b.now + keepaliveRetry
+		p.worker.noKeepaliveUntil = b.now + keepaliveRetryDelay
 	case step == keepaliveOrdered && e.WrittenAt > 0:
 		p.worker.lease.Loaded(e.WrittenAt-f.proofAge(), e.ConnectedSince, b.leases.syncedAt)
-		b.leaseChanged(p.worker)
-	case step == keepaliveAsked && e.Copies == 0:
-		if b.orderKeepalive(f, p) {
+		b.onLeaseChanged(p.worker)
+	case step == keepaliveQueried && e.Copies == 0:
+		if b.orderKeepaliveCopy(f, p) {
 			return true
 		}
-	case step == keepaliveAsked:
-		if b.askAgain(f, p, e.Copies) {
+	case step == keepaliveQueried:
+		if b.queryAgain(f, p, e.Copies) {
 			return true
 		}
 	}
-	p.worker.keepaliveAt = 0
-	p.worker.keepaliveAsks = 0
-	return step == keepaliveAsked
+	p.worker.keepaliveStartedAt = 0
+	p.worker.keepaliveQueries = 0
+	return step == keepaliveQueried
 }
 
-// askAgain goes on with a keepalive where copies of its function stand: with another function, and after a
-// few with the same, whose idle copies are unloaded first.
-func (b *Balancer) askAgain(f *function, p *placement, copies int) bool {
-	if p.worker.keepaliveAsks >= maxKeepaliveAsks {
+// queryAgain continues a keepalive after a query that found copies of its function loaded. It queries another
+// function. The last query is for the same function again, after an order to unload its idle copies.
+func (b *Balancer) queryAgain(f *function, p *placement, copies int) bool {
+	if p.worker.keepaliveQueries >= maxKeepaliveQueries {
 		return false
 	}
 	p.copies = copies
 	p.noOrderUntil = b.now + seconds(f.loadTime)
-	if p.worker.keepaliveAsks < maxKeepaliveAsks-1 {
-		return b.askKeepalive(p.worker)
+	if p.worker.keepaliveQueries < maxKeepaliveQueries-1 {
+		return b.startKeepaliveQuery(p.worker)
 	}
 	b.emit(Unload{Worker: p.worker.ID, Function: f.id})
 	p.setUnloaded()
 	p.noOrderUntil = 0
-	b.ask(f, p)
+	b.queryCopies(f, p)
 	return true
 }
 
-// orderKeepalive orders the copy of a keepalive, where none stands.
-func (b *Balancer) orderKeepalive(f *function, p *placement) bool {
+// orderKeepaliveCopy orders a copy for a keepalive whose query found none loaded, and reports whether it did.
+func (b *Balancer) orderKeepaliveCopy(f *function, p *placement) bool {
 	if !b.mayOrderLoad(f, p) || b.loads.budget.Take(b.now) != permit.Allowed {
 		return false
 	}
@@ -299,6 +318,7 @@
 	return true
 }
 
-// proofAge is how long before a keepalive's order was written the load may have begun: the ask counts copies
-// that stand, not those that another dispatcher has being loaded.
+// proofAge returns how long before a keepalive's order was written the load may have started at the
+// earliest. It may have started before the order, since a query counts loaded copies and not those that
+// the worker is loading for another dispatcher.
 func (f *function) proofAge() time.Duration { return max(time.Millisecond, seconds(f.loadTime)) }
--- a/internal/balancer/keepalive_test.go
+++ b/internal/balancer/keepalive_test.go
@@ -84,7 +84,7 @@
 	for _, w := range f.b.ready {
 		assert.False(t, f.draining[w.ID], "%s", w.ID)
 	}
-	assert.LessOrEqual(t, len(f.b.ready), maxKeptWorkers)
+	assert.LessOrEqual(t, len(f.b.ready), maxKeepaliveWorkers)
 	f.sync(f.now)
 	assert.Len(t, f.b.ready, 8)
 }
--- a/internal/balancer/leases.go
+++ b/internal/balancer/leases.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// LeaseChoiceMargin is how much of a worker's lease must be left when it is chosen: it is checked again
-// when the choice is carried out.
+// LeaseChoiceMargin is the minimum time until a worker's lease expires for the worker to be chosen. The
+// margin is needed because the lease is checked again when the choice is carried out.
 const LeaseChoiceMargin = 50 * time.Millisecond
 
-// leases is when the leases of the ready workers end, where the settings have them end. A worker without a
-// lease is out of all decisions, like one that drains: of the hot set, of placement and of load orders.
+// leases is the state of the leases of all workers that the endpoint list calls ready. Leases are used
+// only with Settings.EndpointLeases. A worker without a valid lease is excluded like a draining one: from
+// the hot set, from placement and from load orders.
 type leases struct {
-	syncedAt time.Duration // when the poll of the last sync was sent
-	checkAt  time.Duration // no lease of a listed worker ends before
-	lapsed   int           // workers that the list calls ready, without a lease
+	syncedAt    time.Duration // when the poll of the last sync was sent
+	nextCheckAt time.Duration // no lease expires or resumes before this time without an event
+	expired     int           // workers that the list calls ready and whose lease has expired
 
-	contested []*worker // those with a contested lease, and some whose contest is over
+	contested []*worker // workers with a contested lease, and some that are no longer contested
 }
 
-// leaseLeft is how long a worker may still be chosen; negative: it may not.
+// leaseLeft returns how long a worker may still be chosen. If it is negative, the worker may not be chosen.
 func (b *Balancer) leaseLeft(w *worker) time.Duration {
 	if !b.settings.EndpointLeases {
 		return 0
@@ -27,25 +28,27 @@
 	return w.lease.Left(b.settings.leaseTerms, b.leases.syncedAt, b.now) - LeaseChoiceMargin
 }
 
-// outOfSync reports whether discovery has been silent for so long that leases may end by it.
+// outOfSync reports whether the last sync is at least StaleSync old, so that leases may expire for lack
+// of syncs.
 func (b *Balancer) outOfSync() bool {
 	return b.settings.EndpointLeases && b.now-b.leases.syncedAt >= StaleSync
 }
 
-// available reports whether a worker takes part in decisions: the list calls it ready, and that is not too
-// old to be relied on.
+// available reports whether a worker may be chosen: the list calls it ready, and its lease is valid.
 func (b *Balancer) available(w *worker) bool { return w.State == Ready && b.leaseLeft(w) >= 0 }
 
-// onEndpointsSynced notes that everything was told that discovery knew at a time, which renews leases.
+// onEndpointsSynced handles a sync: all changes that discovery knew of at e.AsOf have been received. A
+// sync renews leases.
 func (b *Balancer) onEndpointsSynced(e EndpointsSyncedEvent) {
 	b.leases.syncedAt = max(b.leases.syncedAt, e.AsOf)
-	b.forgetRestarts(e.AsOf)
-	if b.leases.lapsed > 0 {
+	b.clearAssumedRestarts(e.AsOf)
+	if b.leases.expired > 0 {
 		b.reviewLeases()
 	}
 }
 
-// recordLease learns from the end of an attempt whether its worker drains.
+// recordLease updates the lease of a worker by the outcome of an attempt: an accepted call renews the
+// lease, and a rejected one may contest it.
 func (b *Balancer) recordLease(w *worker, e OutcomeEvent) {
 	if !b.settings.EndpointLeases || e.WrittenAt == 0 {
 		return
@@ -54,29 +57,31 @@
 	case OK, Miss, Failed:
 		w.lease.Accepted(e.WrittenAt, e.ConnectedSince, b.leases.syncedAt)
 	case Rejected:
-		b.contest(w, e.WrittenAt)
+		b.contestLease(w, e.WrittenAt)
 	default:
 		return
 	}
-	b.leaseChanged(w)
+	b.onLeaseChanged(w)
 }
 
-// leaseChanged brings decisions up to date with a worker whose lease has changed.
-func (b *Balancer) leaseChanged(w *worker) {
+// onLeaseChanged updates the ready workers, or the time of the next lease check, after a worker's lease
+// has changed.
+func (b *Balancer) onLeaseChanged(w *worker) {
 	if b.available(w) != w.listed {
 		b.reviewLeases()
-	} else { // it may end or resume sooner now
-		b.leases.checkAt = min(b.leases.checkAt, b.nextLeaseChange([]*worker{w}))
+	} else { // the lease may expire or become valid again sooner than before
+		b.leases.nextCheckAt = min(b.leases.nextCheckAt, b.nextLeaseChange([]*worker{w}))
 	}
 }
 
-// contest has syncs say nothing of a worker that has rejected a call, unless so many reject that they are
-// full rather than draining: there have to be others that can take its calls.
-func (b *Balancer) contest(w *worker, writtenAt time.Duration) {
+// contestLease stops syncs from renewing the lease of a worker that has rejected a call. It does nothing
+// if this would make the contested leases more than failOpenShare of all: where so many workers reject,
+// they are full rather than draining, and enough other workers must remain for the calls.
+func (b *Balancer) contestLease(w *worker, writtenAt time.Duration) {
 	b.leases.contested = slices.DeleteFunc(b.leases.contested, func(other *worker) bool {
 		return other == w || other.State != Ready || !other.lease.Contested(b.leases.syncedAt)
 	})
-	limit := failOpenShare * float64(len(b.ready)+b.leases.lapsed)
+	limit := failOpenShare * float64(len(b.ready)+b.leases.expired)
 	if float64(len(b.leases.contested)+1) > limit {
 		return
 	}
@@ -84,14 +89,15 @@
 	b.leases.contested = append(b.leases.contested, w)
 }
 
-// checkLeases takes workers out of all decisions whose leases have ended.
+// checkLeases updates the ready workers once leases may have expired or become valid again.
 func (b *Balancer) checkLeases() {
-	if b.settings.EndpointLeases && b.now >= b.leases.checkAt {
+	if b.settings.EndpointLeases && b.now >= b.leases.nextCheckAt {
 		b.reviewLeases()
 	}
 }
 
-// reviewLeases brings the ready workers up to date with all leases, and tells what has changed.
+// reviewLeases updates the ready workers by the current state of all leases, and reports the changes to the
+// operators.
 func (b *Balancer) reviewLeases() {
 	var ready, changed []*worker
 	change := LeasesChanged{SyncAge: b.now - b.leases.syncedAt}
@@ -102,13 +108,13 @@
 		ready = append(ready, w)
 		if live := b.available(w); live != w.listed {
 			changed = append(changed, w)
-			change.note(w, live, b.leases.syncedAt)
+			change.record(w, live, b.leases.syncedAt)
 		}
 	}
 	slices.SortFunc(changed, compareIDs)
 	b.updateReady(changed)
-	b.leases.lapsed = len(ready) - len(b.ready)
-	b.leases.checkAt = b.nextLeaseChange(ready)
+	b.leases.expired = len(ready) - len(b.ready)
+	b.leases.nextCheckAt = b.nextLeaseChange(ready)
 	if len(changed) > 0 {
 		slices.Sort(change.Workers)
 		change.Live = len(b.ready)
@@ -116,10 +122,11 @@
 	}
 }
 
-// lapsedWarmWeight returns the weight of the warm workers that the list calls ready and that have no lease:
-// they have served a part of the calls counted, and serve those of dispatchers that have one.
+// lapsedWarmWeight returns the total weight of the warm workers that the list calls ready and whose lease
+// has expired. They have served a part of the counted calls, and still serve calls of dispatchers that
+// have a valid lease for them.
 func (b *Balancer) lapsedWarmWeight() float64 {
-	if b.leases.lapsed == 0 {
+	if b.leases.expired == 0 {
 		return 0
 	}
 	weight := 0.0
@@ -131,7 +138,8 @@
 	return weight
 }
 
-// nextLeaseChange returns when the first of the workers' leases ends or is live again by itself.
+// nextLeaseChange returns when the first of the workers' leases expires or becomes valid again without
+// further events, but no later than one sync term from now.
 func (b *Balancer) nextLeaseChange(workers []*worker) time.Duration {
 	next := b.now + b.settings.leaseTerms.Synced
 	for _, w := range workers {
@@ -144,8 +152,8 @@
 	return next
 }
 
-// note counts a worker whose lease has ended or is live again.
-func (c *LeasesChanged) note(w *worker, live bool, syncedAt time.Duration) {
+// record adds a worker whose lease has expired or become valid again.
+func (c *LeasesChanged) record(w *worker, live bool, syncedAt time.Duration) {
 	switch {
 	case live:
 		c.Renewed++
--- a/internal/balancer/restarts.go
+++ b/internal/balancer/restarts.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// StaleSync is the age of the last sync from which on discovery counts as silent: the endpoint list is not
-// relied on to tell of a restart, and operators are told. Two polls in a row have failed by then, or were
-// answered by a server that is behind.
+// StaleSync is the age of the last sync from which discovery counts as silent: the endpoint list is no
+// longer expected to report restarts, and operators are notified. At this age, two polls in a row have
+// failed or were answered by a server that lags behind.
 const StaleSync = 3 * time.Second
 
-// restarts is the workers whose processes seem to have ended since the last sync. While discovery is silent
-// nobody tells that they have started again, and that they are cold; it counts as told all the same.
+// restarts holds the workers whose processes seem to have ended since the last sync. While discovery is
+// silent, there is no report that such a worker has restarted and is cold, yet the dispatcher counts as
+// notified of the restart. So the balancer assumes it.
 type restarts struct {
-	gone []*worker // those with a goneAt
+	gone []*worker // workers whose goneAt is set
 }
 
-// onPeerGone notes that nothing listens at a worker's address, or that its last connection was closed there.
+// onPeerGone handles the event that nothing listens at a worker's address, or that the worker has closed
+// its last connection.
 func (b *Balancer) onPeerGone(e PeerGoneEvent) {
 	w := b.workers[e.Worker]
 	if w == nil || !b.settings.EndpointLeases {
@@ -27,7 +29,8 @@
 	b.assumeRestarts()
 }
 
-// assumeRestarts takes workers that were gone since the last sync for cold, as if they started now.
+// assumeRestarts treats workers whose processes seem to have ended since the last sync as restarted now,
+// and thus as cold. It does nothing while discovery is heard, since the list then reports restarts.
 func (b *Balancer) assumeRestarts() {
 	if !b.outOfSync() {
 		return
@@ -41,8 +44,8 @@
 	}
 }
 
-// noteFirstContact moves the assumed start of a worker to when it was first reached again: it may have
-// started at any time before.
+// noteFirstContact moves the assumed start of a worker to the time of the first attempt that reached the
+// worker again. The worker may have started at any time before this attempt.
 func (b *Balancer) noteFirstContact(a *attempt) {
 	w := a.worker
 	if w.assumedCold && w.slowStart.startedAt <= w.goneAt && a.sentAt > w.goneAt {
@@ -50,13 +53,14 @@
 	}
 }
 
-// forgetRestarts ends what was assumed of workers, since the list tells of restarts again. From now on they
-// are as warm as by the last start that it has told.
-func (b *Balancer) forgetRestarts(syncedAt time.Duration) {
-	var later []*worker
+// clearAssumedRestarts drops the assumed restarts of workers that were gone before a sync, since the list
+// reports restarts again. From now on their warmth follows from the last start that the list has
+// reported.
+func (b *Balancer) clearAssumedRestarts(syncedAt time.Duration) {
+	var goneLater []*worker
 	for _, w := range b.restarts.gone {
 		if w.goneAt >= syncedAt {
-			later = append(later, w)
+			goneLater = append(goneLater, w)
 			continue
 		}
 		if w.assumedCold {
@@ -66,5 +70,5 @@
 		w.goneAt = 0
 		w.assumedCold = false
 	}
-	b.restarts.gone = later
+	b.restarts.gone = goneLater
 }
--- a/internal/balancer/starttimes.go
+++ b/internal/balancer/starttimes.go
@@ -6,52 +6,55 @@
 	"kitefall/internal/permit"
 )
 
-// StartTimes translates the starts of workers, which the endpoint list tells by other clocks, into the
-// balancer's time. It never looks at this machine's wall clock, which may be wrong by hours, at the start of
-// the program or after a step.
+// StartTimes translates the start times of workers from the clock of the endpoint list to the balancer's
+// clock. It never uses this machine's wall clock, which may be wrong by hours when the program starts or
+// after a step.
 //
-// A start that is told has happened. So the list's clock was at least there when the balancer's clock was at
-// the moment of the news, and the largest difference of the two seen so far is the best one known. While the
-// list's clock runs true, a start is thereby never taken for earlier than it was, and a worker never for
-// warmer than it is. It is taken for later by as much as the news of the latest start was late; in the first
-// list, the latest start counts as one of this moment.
+// A start that the list reports has already happened. So when the report arrives, the list's clock shows
+// at least the reported time. The largest difference between a reported time and the balancer's time of
+// the report so far is therefore the best lower bound of the offset between the two clocks. While the
+// list's clock runs correctly, a translated start is never earlier than the real one, and no worker is
+// taken for warmer than it is. The translated start is too late by the delay of the report that
+// determined the offset. In the first list, the latest start is taken to be at the present time.
 //
-// Should the list's clock be wrong, or not be one clock, then the age of a worker that starts while the list
-// is followed is still at most permit.MaxNotificationDelay when the news comes.
+// If the list's clock is wrong, or the list's times come from different clocks, then the age of a worker
+// that starts while the list is followed is still taken to be at most permit.MaxNotificationDelay when
+// the report arrives.
 type StartTimes struct {
-	hasList   bool          // the first list was taken in
-	hasOffset bool          // a start was told
-	offset    time.Duration // of the list's clock against the balancer's, at least
+	hasList   bool          // the first list was translated
+	hasOffset bool          // at least one start was reported
+	offset    time.Duration // lower bound of the list's clock minus the balancer's clock
 	starts    map[WorkerID]translatedStart
 }
 
-// ReportedStart is a start as the endpoint list tells it.
+// ReportedStart is the start of a worker as the endpoint list reports it.
 type ReportedStart struct {
 	ID   WorkerID
-	Time time.Duration // by the list's clock; 0: long ago
+	Time time.Duration // by the list's clock; 0 means long ago
 }
 
-// translatedStart is the last start of a worker.
+// translatedStart is the last start of a worker, by both clocks.
 type translatedStart struct {
-	told    time.Duration // by the list's clock
-	started time.Duration // in the balancer's time
+	reported time.Duration // by the list's clock
+	started  time.Duration // by the balancer's clock
 }
 
-// NewStartTimes returns a translation that knows no list yet.
+// NewStartTimes returns a StartTimes that has not seen a list yet.
 func NewStartTimes() *StartTimes { return &StartTimes{starts: map[WorkerID]translatedStart{}} }
 
-// Translate takes in the starts of an update that comes at now, and returns them in the balancer's time, in
-// the same order; 0: long ago. A start that is told again keeps its time; one that is told with another time
-// is a new start, which is later.
-func (s *StartTimes) Translate(now time.Duration, told []ReportedStart) []time.Duration {
-	for _, t := range told {
+// Translate returns the starts of an update that arrives at now by the balancer's clock, in the same
+// order. 0 means long ago. A start that is reported again with the same time keeps its translation. If
+// another time is reported for a worker, this is a new start, and its translation is later than that of
+// the last one.
+func (s *StartTimes) Translate(now time.Duration, reported []ReportedStart) []time.Duration {
+	for _, t := range reported {
 		if t.Time > 0 && (!s.hasOffset || t.Time-now > s.offset) {
 			s.hasOffset = true
 			s.offset = t.Time - now
 		}
 	}
-	started := make([]time.Duration, 0, len(told))
-	for _, t := range told {
+	started := make([]time.Duration, 0, len(reported))
+	for _, t := range reported {
 		started = append(started, s.translateOne(now, t))
 	}
 	s.hasList = true
@@ -63,7 +66,7 @@
 		return 0
 	}
 	last, known := s.starts[t.ID]
-	if known && last.told == t.Time {
+	if known && last.reported == t.Time {
 		return last.started
 	}
 	started := max(t.Time-s.offset, 1)
@@ -73,9 +76,9 @@
 	if known {
 		started = max(started, last.started+1)
 	}
-	s.starts[t.ID] = translatedStart{told: t.Time, started: started}
+	s.starts[t.ID] = translatedStart{reported: t.Time, started: started}
 	return started
 }
 
-// Forget drops what is known of a worker that is gone.
+// Forget drops the last start of a worker that has left.
 func (s *StartTimes) Forget(id WorkerID) { delete(s.starts, id) }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// tenant is one tenant's use of its quota.
+// tenant holds a tenant's quota and how much of it is used.
 type tenant struct {
-	rateQuota float64 // requests per second over all dispatchers; 0: none
-	calls     decayingCount
+	rateQuota float64       // requests per second over all dispatchers; 0 means no quota
+	calls     decayingCount // recent requests of the tenant at this dispatcher
 }
 
-// timer is the one timer that is armed.
+// timer is the balancer's only timer.
 type timer struct {
-	dueAt time.Duration // 0: none
-	id    int64
+	dueAt time.Duration // when the timer expires; 0 means that it is not set
+	id    int64         // ID of the last timer that was set
 }
 
-// polling is the subscription to the endpoint list.
+// polling is the state of the subscription to the endpoint list.
 type polling struct {
 	active    bool
-	changedAt time.Duration // when it last began or failed
+	changedAt time.Duration // when the subscription last started or failed
 }
 
-// fleetStats are running means over all workers.
+// fleetStats holds statistics over all workers.
 type fleetStats struct {
-	meanAnswer  float64 // answer time, seconds
-	answers     decayingCount
-	meanWork    float64            // work estimate of a request, seconds
-	failureRate map[string]float64 // part of the attempts that fail, by class
+	meanAnswer  float64            // running mean of the answer time, in seconds
+	answers     decayingCount      // recent answers
+	meanWork    float64            // running mean of a request's estimated work, in seconds
+	failureRate map[string]float64 // fraction of the attempts that fail, by class
 }
 
-// loadedTrust is how long after its last use a copy is believed to be loaded.
+// loadedTrust returns how long after its last use a copy of a function is believed to be still loaded.
 func (b *Balancer) loadedTrust() time.Duration {
 	return time.Duration(loadedTrustRatio * float64(b.settings.IdleTTL))
 }
--- a/internal/balancer/status.go
+++ b/internal/balancer/status.go
@@ -1,6 +1,6 @@
 package balancer
 
-// statusNames are the names of statuses in logs and metrics.
+// statusNames holds the names of the statuses in logs and metrics.
 var statusNames = [...]string{
 	Failed:        "failed",
 	OK:            "ok",
--- a/internal/balancer/sweep.go
+++ b/internal/balancer/sweep.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	hotSetInterval = 250 * time.Millisecond // how often the hot set is updated
-	sweepInterval  = 10 * time.Millisecond  // how often waiting requests and silent workers are looked at
-	pollRetryDelay = time.Second            // a failed poll of the endpoint list is repeated after this
+	hotSetInterval = 250 * time.Millisecond // time between two updates of the hot set
+	sweepInterval  = 10 * time.Millisecond  // time between two checks of waiting requests and silent workers
+	pollRetryDelay = time.Second            // time from a failed poll of the endpoint list to the next one
 )
 
-// sweep looks after silent workers, the hot set, waiting requests and hedged requests.
+// sweep does the periodic work: it updates the hot set and leases, checks silent workers, starts hedged
+// attempts, and places or ends waiting requests.
 func (b *Balancer) sweep() {
 	if b.now-b.hotSet.updatedAt >= hotSetInterval {
 		b.updateHotSet()
 	}
 	b.checkLeases()
 	b.assumeRestarts()
-	b.keepLeases()
+	b.renewLeases()
 	b.checkWorkers()
 	var waiting []*request
 	for _, r := range slices.Clone(b.unanswered) {
@@ -41,10 +42,11 @@
 	b.preloadHotSet()
 }
 
-// placeWaiting places requests by value. Those that would miss their objective make room for others.
+// placeWaiting places waiting requests in descending order of their value. Requests that would miss their
+// latency objective are ended, which leaves capacity for others.
 func (b *Balancer) placeWaiting(waiting []*request) {
 	b.backlogged = false
-	slices.Reverse(waiting) // newest first: under overload some are then served well, rather than all late
+	slices.Reverse(waiting) // newest first: under overload, some are served in time rather than all late
 	slices.SortStableFunc(waiting, func(q, r *request) int { return cmp.Compare(b.value(r), b.value(q)) })
 	for _, r := range waiting {
 		if b.now+seconds(r.function.meanAnswer) > r.objective && len(b.ready) > 0 {
@@ -52,12 +54,13 @@
 			continue
 		}
 		b.place(r)
-		held := !r.closed && r.outstanding == 0 && r.waitingFor == nil
-		b.backlogged = b.backlogged || held
+		stillWaiting := !r.closed && r.outstanding == 0 && r.waitingFor == nil
+		b.backlogged = b.backlogged || stillWaiting
 	}
 }
 
-// pollEndpoints subscribes to the endpoint list where that is needed, at once and again after a failure.
+// pollEndpoints subscribes to the endpoint list if there is no subscription: at the first event, and
+// pollRetryDelay after a failure.
 func (b *Balancer) pollEndpoints() {
 	if !b.settings.PollEndpoints || b.polling.active {
 		return
--- a/internal/balancer/worker.go
+++ b/internal/balancer/worker.go
@@ -6,35 +6,35 @@
 	"kitefall/internal/permit"
 )
 
-// worker is what is known of one worker.
+// worker is the balancer's record of one worker.
 type worker struct {
 	Worker
-	zone         *zone   // that of Worker.Zone
-	fullWeight   float64 // Worker.Weight, or the largest seen where weights are live
-	hash         uint64  // of the ID
-	listed       bool    // it is among the ready workers: the list calls it ready, and its lease is live
-	listedWeight float64 // fullWeight when the list last changed it
-	hotCalls     float64 // its part of this dispatcher's calls of hot functions
-	removedAt    time.Duration
-	outstanding  []*attempt // pending attempts, oldest first
+	zone         *zone         // the record of Worker.Zone
+	fullWeight   float64       // Worker.Weight, or its largest value so far with Settings.LiveWeights
+	hash         uint64        // hash of the ID
+	listed       bool          // the list calls the worker ready, and its lease is valid
+	listedWeight float64       // fullWeight when the ready workers last changed by this worker
+	hotCalls     float64       // the worker's share of this dispatcher's calls of hot functions
+	removedAt    time.Duration // when the endpoint list last removed the worker
+	outstanding  []*attempt    // pending attempts, oldest first
 	slowStart    slowStart
-	window       concurrencyWindow // for this dispatcher's attempts in flight
+	window       concurrencyWindow // limits this dispatcher's attempts in flight
 	latency      latencyHistory
-	lastContact  time.Duration // last sign of life
-	lastReset    time.Duration // when a connection to it last broke
+	lastContact  time.Duration // when the worker last showed that it is reachable
+	lastReset    time.Duration // when a connection to the worker last broke
 	ejection     ejection
-	fullUntil    time.Duration           // it rejected for lack of room
+	fullUntil    time.Duration           // the worker counts as full until then, as it rejected an attempt
 	classes      map[string]*classHealth // by class name
 
-	// Last, since sweeps over thousands of workers read the fields above.
+	// The fields below come last because sweeps over thousands of workers read only the fields above.
 
 	lease       permit.Lease
-	goneAt      time.Duration // when its process seemed to end, with no sync since; 0: it did not
-	assumedCold bool          // it is taken for cold since then, though the list has not told of a restart
+	goneAt      time.Duration // when the worker's process seemed to end, if no sync came since; else 0
+	assumedCold bool          // the worker counts as cold since goneAt, without a reported restart
 
-	keepaliveAt      time.Duration // since when a keepalive is under way; 0: none is
-	keepaliveAsks    int           // of that
-	noKeepaliveUntil time.Duration
+	keepaliveStartedAt time.Duration // when the keepalive in progress started; 0 means that there is none
+	keepaliveQueries   int           // number of queries in this keepalive
+	noKeepaliveUntil   time.Duration // no keepalive starts before this time, since the last one failed
 }
 
 func newWorker(id WorkerID, window float64) *worker {
@@ -46,7 +46,7 @@
 	}
 }
 
-// healthOf returns the health of a class, to read.
+// healthOf returns a copy of the worker's health record for a class. It adds no record if there is none.
 func (w *worker) healthOf(name string) classHealth {
 	if health := w.classes[name]; health != nil {
 		return *health
@@ -54,7 +54,7 @@
 	return classHealth{}
 }
 
-// class returns the health record of a class, which is kept.
+// class returns the worker's health record for a class, and adds one if there is none.
 func (w *worker) class(name string) *classHealth {
 	health := w.classes[name]
 	if health == nil {
@@ -64,7 +64,7 @@
 	return health
 }
 
-// restart resets what a fresh start makes obsolete.
+// restart resets the state that no longer applies after a reported restart of the worker.
 func (w *worker) restart(window float64) {
 	w.slowStart = slowStart{startedAt: w.Started, active: true}
 	w.assumedCold = false
@@ -77,7 +77,7 @@
 	}
 }
 
-// setState sets the state of the list and notes the moment of a removal.
+// setState sets the worker's state in the endpoint list, and records the time of a removal.
 func (w *worker) setState(state WorkerState, now time.Duration) {
 	if state == Removed && w.State != Removed {
 		w.removedAt = now
@@ -85,10 +85,12 @@
 	w.State = state
 }
 
-// hasRoom reports whether a worker has not just rejected for lack of room, and its window is not full.
+// hasRoom reports whether the worker's concurrency window is not full, and the worker has not rejected an
+// attempt recently for lack of capacity.
 func (w *worker) hasRoom(now time.Duration) bool {
 	return now >= w.fullUntil && !w.window.full(len(w.outstanding))
 }
 
-// unavailable reports whether a worker is out of placement: it is ejected, or its zone is unreachable.
+// unavailable reports whether the worker is excluded from placement, because it is ejected or its zone is
+// ejected as unreachable.
 func (w *worker) unavailable() bool { return w.ejection.active || w.zone.ejection.active }
--- a/internal/permit/lease.go
+++ b/internal/permit/lease.go
@@ -96,8 +96,8 @@
 }
 
 // merge returns the later time of each kind from two sets of evidence.
-func (e evidence) merge(other evidence) evidence {
-	return evidence{acceptedAt: max(e.acceptedAt, other.acceptedAt), loadedAt: max(e.loadedAt, other.loadedAt)}
+func (e evidence) merge(o evidence) evidence {
+	return evidence{acceptedAt: max(e.acceptedAt, o.acceptedAt), loadedAt: max(e.loadedAt, o.loadedAt)}
 }
 
 // pendingEvidence is evidence from a process that may have been started since the worker was last known to be
@@ -109,13 +109,13 @@
 
 // validFrom returns the time from which the dispatcher counts as notified of a restart of the worker. The
 // evidence renews the lease from then on.
-func (r pendingEvidence) validFrom() time.Duration {
-	return r.connectedSince + restartNotificationDelay
+func (p pendingEvidence) validFrom() time.Duration {
+	return p.connectedSince + restartNotificationDelay
 }
 
 // end returns until when the evidence shows that the worker is ready, or 0 if it expires by validFrom.
-func (r pendingEvidence) end(terms LeaseTerms) time.Duration {
-	if end := r.evidence.end(terms); end > r.validFrom() {
+func (p pendingEvidence) end(terms LeaseTerms) time.Duration {
+	if end := p.evidence.end(terms); end > p.validFrom() {
 		return end
 	}
 	return 0
@@ -150,16 +150,16 @@
 }
 
 // addEvidence records evidence from the process that is connected now.
-func (l *Lease) addEvidence(r pendingEvidence, syncedAt time.Duration) {
-	l.endContest(r.latest())
-	sameProcess := r.connectedSince <= max(l.established.latest(), l.confirmedAt(syncedAt))
+func (l *Lease) addEvidence(p pendingEvidence, syncedAt time.Duration) {
+	l.endContest(p.latest())
+	sameProcess := p.connectedSince <= max(l.established.latest(), l.confirmedAt(syncedAt))
 	switch {
-	case sameProcess || r.latest() >= r.validFrom():
-		l.established = l.established.merge(r.evidence)
-	case l.pending.connectedSince != r.connectedSince:
-		l.pending = r
+	case sameProcess || p.latest() >= p.validFrom():
+		l.established = l.established.merge(p.evidence)
+	case l.pending.connectedSince != p.connectedSince:
+		l.pending = p
 	default:
-		l.pending.evidence = l.pending.merge(r.evidence)
+		l.pending.evidence = l.pending.merge(p.evidence)
 	}
 }
 
