--- a/internal/balancer/decay_test.go
+++ b/internal/balancer/decay_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDecayingCountLosesAllButOneEthInItsTimeConstant(t *testing.T) {
+func TestDecayingCountDecaysToOneEthInItsTimeConstant(t *testing.T) {
 	var count decayingCount
 	count.add(0, 4, time.Second)
 	require.InDelta(t, 4/math.E, count.add(time.Second, 0, time.Second), 1e-9)
@@ -34,9 +34,9 @@
 		wantTokens float64
 	}{
 		{"a whole token", 1, true, 0},
-		{"more", 2.5, true, 1.5},
+		{"more than one", 2.5, true, 1.5},
 		{"less than one", 0.9, false, 0},
-		{"none", 0, false, 0},
+		{"no tokens", 0, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			bucket := tokenBucket{tokens: test.tokens, limit: 3}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -12,7 +12,8 @@
 
 const ms = time.Millisecond
 
-// testSettings has one class of each idempotency and every ordinary permission.
+// testSettings returns settings with one class of each idempotency, and with cancelling, hedging, retries and load orders
+// allowed.
 func testSettings() Settings {
 	class := Class{LateWeight: 0.2, LatencyObjective: 800 * ms, Deadline: 3 * time.Second}
 	safe, keyed, unsafe := class, class, class
@@ -30,14 +31,15 @@
 	}
 }
 
-// testFleet plays the other side for one balancer and checks every action against the rules.
+// testFleet simulates the clients, workers and endpoint list of one balancer, and checks every action of the balancer against the
+// rules.
 type testFleet struct {
 	t        testing.TB
 	b        *Balancer
 	settings Settings
 	now      time.Duration
 	timers   []pendingTimer
-	log      []string // every event and action
+	log      []string // all events and actions so far
 
 	state    map[WorkerID]WorkerState
 	workers  map[WorkerID]Worker
@@ -56,7 +58,7 @@
 	cancelled    int
 }
 
-// testRequest is a request as its client sees it.
+// testRequest is the client's record of a request.
 type testRequest struct {
 	class    Class
 	deadline time.Duration
@@ -64,16 +66,16 @@
 	answered bool
 }
 
-// sentAttempt is an attempt as its worker sees it.
+// sentAttempt is the worker's record of an attempt.
 type sentAttempt struct {
 	worker     WorkerID
 	sentAt     time.Duration
-	due        time.Duration // it times out then
+	due        time.Duration // when the attempt times out
 	pending    bool
 	mayHaveRun bool
 }
 
-// mayRun tells that the attempt may run or may have run.
+// mayRun reports whether the attempt may be running or may have run.
 func (s *sentAttempt) mayRun() bool { return s.pending || s.mayHaveRun }
 
 type pendingTimer struct {
@@ -100,7 +102,7 @@
 	}
 }
 
-// listWorkers tells of n ready workers in two cells and two zones.
+// listWorkers delivers an endpoint list with n ready workers in two cells and two zones.
 func (f *testFleet) listWorkers(n int) {
 	f.t.Helper()
 	var list []Worker
@@ -111,7 +113,7 @@
 	f.update(ScopeFull, list...)
 }
 
-// update changes the endpoint list.
+// update delivers an update of the endpoint list.
 func (f *testFleet) update(scope UpdateScope, list ...Worker) {
 	f.t.Helper()
 	if scope == ScopeFull {
@@ -124,7 +126,7 @@
 	f.event(EndpointsEvent{Scope: scope, Workers: list, AsOf: f.now})
 }
 
-// request sends a new request with some time left.
+// request delivers a new request with the given time left until its deadline.
 func (f *testFleet) request(class, function string, left time.Duration) RequestID {
 	f.t.Helper()
 	f.lastID++
@@ -139,7 +141,7 @@
 	return f.lastID
 }
 
-// event delivers an event and checks what the balancer does.
+// event delivers an event and checks the balancer's actions.
 func (f *testFleet) event(e Event) {
 	f.t.Helper()
 	f.log = append(f.log, fmt.Sprintf("%d %T%+v", f.now, e, e))
@@ -149,7 +151,7 @@
 	}
 }
 
-// endAttempt ends an attempt now.
+// endAttempt ends attempt n of a request now. The first attempt has the number 0.
 func (f *testFleet) endAttempt(id RequestID, n int, status Status) {
 	f.t.Helper()
 	r := f.open[id]
@@ -163,7 +165,8 @@
 		Answered: r.answered, WrittenAt: s.sentAt})
 }
 
-// missEverywhere ends every attempt of a request with a miss, also those that follow: nothing is loaded anywhere.
+// missEverywhere ends the pending attempts of a request with a miss, and also the attempts that the balancer starts in response:
+// the function is loaded at no worker.
 func (f *testFleet) missEverywhere(id RequestID) {
 	f.t.Helper()
 	for index := 0; index < len(f.open[id].sends); index++ {
@@ -184,7 +187,7 @@
 	}
 }
 
-// advance moves the clock step by step, with timers and time-outs.
+// advance moves the clock in steps of MinEventInterval. It delivers timers, and ends attempts that time out.
 func (f *testFleet) advance(now time.Duration) {
 	f.t.Helper()
 	for f.now < now {
@@ -216,6 +219,7 @@
 	return due
 }
 
+// timeOutAttempts ends the attempts of a request that are due.
 func (f *testFleet) timeOutAttempts(id RequestID) {
 	f.t.Helper()
 	for index, s := range f.open[id].sends {
@@ -225,10 +229,11 @@
 	}
 }
 
-// requestIDs are the open requests, sorted.
+// requestIDs returns the IDs of all requests so far, sorted.
 func (f *testFleet) requestIDs() []RequestID { return slices.Sorted(maps.Keys(f.open)) }
 
-// serve sends one request of a function and ends its load orders, so that a copy is believed to be loaded.
+// serve delivers a request for a function, ends its load orders and serves its first attempt, so that a copy is believed to be
+// loaded. It returns the worker of the attempt.
 func (f *testFleet) serve(class, function string) WorkerID {
 	f.t.Helper()
 	id := f.request(class, function, 2*time.Second)
@@ -241,7 +246,7 @@
 	return f.open[id].sends[0].worker
 }
 
-// newLargeFleet returns a fleet for a dispatcher of many that has seen requests answered by all workers, a few each.
+// newLargeFleet returns a fleet for one of 80 dispatchers. Three requests for each worker have been answered.
 func newLargeFleet(t *testing.T, workers int) *testFleet {
 	t.Helper()
 	s := testSettings()
@@ -260,21 +265,21 @@
 	return f
 }
 
-// endLatestAttempt ends the latest attempt of a request after a time.
+// endLatestAttempt ends the latest attempt of a request after the given time.
 func (f *testFleet) endLatestAttempt(id RequestID, s Status, after time.Duration) {
 	f.t.Helper()
 	f.advance(f.now + after)
 	f.endAttempt(id, len(f.open[id].sends)-1, s)
 }
 
-// firstWorker is the worker that the first attempt of a request went to.
+// firstWorker returns the worker of the first attempt of a request.
 func (f *testFleet) firstWorker(id RequestID) WorkerID {
 	f.t.Helper()
-	require.NotEmpty(f.t, f.open[id].sends, "request %d is held", id)
+	require.NotEmpty(f.t, f.open[id].sends, "request %d was not sent", id)
 	return f.open[id].sends[0].worker
 }
 
-// functionAt finds a function that no request has named yet, with a primary worker that suits.
+// functionAt returns the name of a function that had no request yet and whose primary worker suits.
 func (f *testFleet) functionAt(suits func(*worker) bool) string {
 	f.t.Helper()
 	for i := 0; ; i++ {
@@ -286,4 +291,5 @@
 	}
 }
 
+// isWorker returns a condition for functionAt that only the worker with an ID meets.
 func isWorker(id WorkerID) func(*worker) bool { return func(w *worker) bool { return w.ID == id } }
--- a/internal/balancer/fleet_updates_test.go
+++ b/internal/balancer/fleet_updates_test.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Guards rule 3: a drain or removal stops sends and loads at once.
+// Guards rule 3: after a drain or a removal is reported, the worker gets no calls or load orders.
 func TestNothingIsSentToDrainingOrRemovedWorkers(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Removed} {
 		f := newFleet(t, testSettings(), 1)
 		f.listWorkers(2)
 		primary := f.serve("safe", "fn")
 		f.update(ScopeDelta, Worker{ID: primary, State: state, Weight: 1})
-		if now := f.serve("safe", "fn"); now == primary {
+		if sentTo := f.serve("safe", "fn"); sentTo == primary {
 			t.Errorf("state %d: still sent to %s", state, primary)
 		}
 	}
 }
 
-// On a long day workers are replaced by others all the time: removed ones must not stay in memory.
+// Guards against a growth of memory over a long run in which workers are replaced by others again and again: the records of
+// removed workers must be deleted.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(1)
@@ -30,11 +31,11 @@
 		f.update(ScopeDelta, Worker{ID: id, Weight: 1, State: Removed})
 	}
 	f.advance(f.now + f.settings.SlowStartDuration + f.settings.OverloadWindow + time.Second)
-	at := 0
+	placements := 0
 	for _, fn := range f.b.functions {
-		at += len(fn.placements)
+		placements += len(fn.placements)
 	}
-	if len(f.b.workers) != 1 || at > len(f.b.functions) {
-		t.Errorf("%d workers and %d places are kept", len(f.b.workers), at)
+	if len(f.b.workers) != 1 || placements > len(f.b.functions) {
+		t.Errorf("%d workers and %d placements are kept", len(f.b.workers), placements)
 	}
 }
--- a/internal/balancer/leases_test.go
+++ b/internal/balancer/leases_test.go
@@ -10,7 +10,7 @@
 	"kitefall/internal/permit"
 )
 
-// newLeaseFleet returns a fleet whose leases end, with the time at which it was listed.
+// newLeaseFleet returns a fleet with Settings.EndpointLeases, and the time of its endpoint list.
 func newLeaseFleet(t *testing.T, workers int) (f *testFleet, listedAt time.Duration) {
 	t.Helper()
 	s := testSettings()
@@ -21,28 +21,28 @@
 	return f, f.now
 }
 
-// leaseEnd returns when what is known at a time of a worker ends.
-func (f *testFleet) leaseEnd(synced time.Duration) time.Duration {
-	return synced + permit.NewLeaseTerms(f.settings.DrainGrace).Synced
+// leaseEnd returns when a lease expires that was last renewed by a sync at a time.
+func (f *testFleet) leaseEnd(syncedAt time.Duration) time.Duration {
+	return syncedAt + permit.NewLeaseTerms(f.settings.DrainGrace).Synced
 }
 
-// sync tells that discovery knew nothing more at a time.
+// sync delivers a sync: all changes that discovery knew of at a time have been received.
 func (f *testFleet) sync(asOf time.Duration) { f.event(EndpointsSyncedEvent{AsOf: asOf}) }
 
-// A worker counts as ready no longer than what was told of it: nothing is sent or ordered beyond that. A request waits for
-// a sync as long as it has time, and goes on once there is one (incident 3).
+// No call or load order goes to a worker whose lease has expired. A request waits for a sync until its deadline, and is placed
+// after the sync (incident 3).
 func TestNothingIsSentOnceLeasesHaveEnded(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
 	f.advance(f.leaseEnd(listedAt) - 2*LeaseChoiceMargin)
 	f.serve("safe", "before")
-	f.advance(f.now + permit.MaxNotificationDelay) // past the lease by the call that was served, too
+	f.advance(f.now + permit.MaxNotificationDelay) // the lease renewed by the served call has expired, too
 	sent, loads := len(f.sent), len(f.loads)
 	id := f.request("safe", "fn", 2*time.Second)
 	f.advance(f.now + 500*ms)
 	assert.Len(t, f.sent, sent)
 	assert.Len(t, f.loads, loads)
 	assert.Empty(t, f.b.ready)
-	assert.False(t, f.rejected[id], "it waits")
+	assert.False(t, f.rejected[id], "the request waits")
 	f.sync(f.now - 100*ms)
 	f.advance(f.now + 20*ms)
 	assert.Len(t, f.b.ready, 3)
@@ -52,8 +52,8 @@
 	f.endLatestAttempt(id, OK, 10*ms)
 }
 
-// Without a sync a request is rejected, never sent.
-func TestRequestIsRejectedWhereNoLeaseIsLeft(t *testing.T) {
+// If all leases have expired and no sync comes, a request is rejected and not sent.
+func TestRequestIsRejectedWithoutValidLeases(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
 	f.advance(f.leaseEnd(listedAt))
 	id := f.request("unsafe", "fn", 400*ms)
@@ -62,14 +62,14 @@
 	assert.Empty(t, f.sent)
 }
 
-// The fleet serves on with the workers that serve: a call that is served renews the lease of its worker alone.
-func TestServedCallsKeepTheirWorkers(t *testing.T) {
+// Workers that serve calls stay available without syncs. A served call renews only the lease of its own worker.
+func TestServedCallsRenewTheLeaseOfTheirWorker(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 6)
 	lastServed := map[WorkerID]time.Duration{}
 	for f.now < f.leaseEnd(listedAt)+10*time.Second {
 		f.advance(f.now + 2*time.Second)
-		begin := f.now
-		lastServed[f.serve("safe", "fn")] = begin
+		sentAt := f.now
+		lastServed[f.serve("safe", "fn")] = sentAt
 	}
 	require.NotEmpty(t, f.b.ready)
 	assert.Less(t, len(f.b.ready), 6)
@@ -80,8 +80,8 @@
 	assert.Len(t, f.b.ready, 6)
 }
 
-// A worker that drains takes no call: one that it has served, missed or failed at is a proof. A rejection, a reset and a call that
-// was never answered prove nothing.
+// A draining worker rejects calls, so a call that was served, missed or failed shows that its worker was ready, and renews the
+// lease. A rejection, a reset and a call without an answer do not.
 func TestAcceptedCallsRenewTheLease(t *testing.T) {
 	for status, renews := range map[Status]bool{OK: true, Miss: true, Failed: true, Rejected: false, Reset: false, TimedOut: false,
 		ConnectFailed: false, NotSent: false} {
@@ -94,9 +94,9 @@
 	}
 }
 
-// A sync does not renew the lease of a worker that rejects, until it serves or the list names it: discovery may
-// have nothing new since it is cut off itself.
-func TestRejectionsContestTheSync(t *testing.T) {
+// After a worker has rejected a call, syncs do not renew its lease until the worker serves a call or the list names it: discovery
+// may report no changes because it is cut off itself.
+func TestRejectionsStopSyncsFromRenewingTheLease(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 2)
 	w := f.serve("safe", "fn")
 	id := f.request("safe", "fn", 2*time.Second)
@@ -109,12 +109,12 @@
 	require.Len(t, f.b.ready, 1)
 	assert.NotEqual(t, w, f.b.ready[0].ID)
 	f.update(ScopeDelta, Worker{ID: w, Weight: 1, Zone: "z0"})
-	assert.Len(t, f.b.ready, 2, "the list names it")
+	assert.Len(t, f.b.ready, 2, "the list names the worker")
 }
 
-// Guards against calls to workers that drained before the start: the list of the start may be old, and a worker that rejects is
-// left alone until the list names it.
-func TestRejectionEndsALeaseByTheListOfTheStart(t *testing.T) {
+// Guards against calls to workers that drained before the dispatcher started: the list used at the start may be old, so a worker
+// that rejects a call gets no further calls until a new list names it.
+func TestRejectionEndsALeaseByAnOldList(t *testing.T) {
 	s := testSettings()
 	s.EndpointLeases = true
 	f := newFleet(t, s, 1)
@@ -138,25 +138,25 @@
 	assert.Len(t, f.b.ready, 2)
 }
 
-// The operators are told which leases end, and how many are left.
-func TestChangesOfLeasesAreTold(t *testing.T) {
+// Operators get a report of which leases expire or are renewed, and how many workers have a valid lease.
+func TestLeaseChangesAreReported(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 2)
 	f.advance(f.leaseEnd(listedAt) - LeaseChoiceMargin)
-	var told []LeasesChanged
+	var reported []LeasesChanged
 	f.now = f.leaseEnd(listedAt) + 1
 	for _, e := range []Event{TimerEvent{TimerID: f.b.timer.id}, EndpointsSyncedEvent{AsOf: f.now - 2}} {
 		for _, a := range f.b.Handle(f.now, e) {
 			if change, ok := a.(LeasesChanged); ok {
-				told = append(told, change)
+				reported = append(reported, change)
 			}
 		}
 	}
 	ids := []WorkerID{"w00", "w01"}
-	assert.Equal(t, []LeasesChanged{{Workers: ids, Ended: 2, SyncAge: f.now - listedAt}, {Workers: ids, Renewed: 2, Live: 2, SyncAge: 2}}, told)
+	assert.Equal(t, []LeasesChanged{{Workers: ids, Ended: 2, SyncAge: f.now - listedAt}, {Workers: ids, Renewed: 2, Live: 2, SyncAge: 2}}, reported)
 }
 
-// Where the settings do not have leases end, as in the simulator, what the list says stays.
-func TestWithoutLeasesTheListStays(t *testing.T) {
+// Without Settings.EndpointLeases, as in the simulator, listed workers stay available without syncs.
+func TestWorkersStayAvailableWithoutEndpointLeases(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(2)
 	f.advance(time.Minute)
@@ -164,11 +164,11 @@
 	assert.Len(t, f.b.ready, 2)
 }
 
-// While discovery is silent, calls of a function go first to the worker of its group whose lease ends next: only calls that are
-// served renew it.
-func TestCallsRenewTheLeaseThatEndsNext(t *testing.T) {
+// While discovery is silent, calls of a function go first to the worker of its group whose lease expires next, since only served
+// calls renew leases then.
+func TestCallsRenewTheLeaseThatExpiresNext(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
-	for range 12 { // hot: its group is the whole fleet
+	for range 12 { // makes the function hot, with the whole fleet as its group
 		f.serve("safe", "fn")
 	}
 	f.advance(f.leaseEnd(listedAt) - 2*time.Second)
@@ -176,56 +176,58 @@
 		f.advance(f.now + 300*ms)
 		f.serve("safe", "fn")
 	}
-	assert.Len(t, f.b.ready, 3, "none has ended, long after the first ones would have")
+	assert.Len(t, f.b.ready, 3, "no lease has expired, long after the first ones would have")
 }
 
-// Guards against calls to workers that drained unheard while polls were answered with nothing new: calls of a function go to
-// workers of its group that have proven to be ready, as many as they can keep so, before those of which only the list tells.
-func TestCallsGoToProvenWorkersFirst(t *testing.T) {
+// Guards against calls to workers whose drain was not reported, while polls were answered without changes. Calls of a function go
+// to the workers of its group with current evidence that they are ready, as many as the calls can renew, before the workers that
+// are ready only by the list.
+func TestCallsGoToWorkersWithEvidenceFirst(t *testing.T) {
 	f, _ := newLeaseFleet(t, 6)
-	for range 12 { // hot: its group is most of the fleet
+	for range 12 { // makes the function hot, with most of the fleet as its group
 		f.serve("safe", "fn")
 	}
-	for range 10 { // syncs go on, and a call comes every two seconds
+	for range 10 { // a sync and a call every two seconds
 		f.advance(f.now + 2*time.Second)
 		f.sync(f.now)
 		f.serve("safe", "fn")
 	}
-	proven := map[WorkerID]bool{}
+	hasEvidence := map[WorkerID]bool{}
 	for _, w := range f.b.ready {
-		proven[w.ID] = f.b.evidenceLeft(w) > 0
+		hasEvidence[w.ID] = f.b.evidenceLeft(w) > 0
 	}
 	for range 10 {
 		f.advance(f.now + 2*time.Second)
 		f.sync(f.now)
-		assert.True(t, proven[f.serve("safe", "fn")])
+		assert.True(t, hasEvidence[f.serve("safe", "fn")])
 	}
 	assert.Len(t, f.b.ready, 6)
 }
 
-// The same for a rare function: a worker that has a copy and was heard of goes before its home, of which only the list tells. The
-// home is the first again once it was heard of.
-func TestCallsGoToProvenWorkersBeforeAnUnprovenHome(t *testing.T) {
+// Calls of a rarely called function go to a worker with a copy and current evidence before the function's primary worker, if that
+// is ready only by the list. The primary worker comes first again once there is evidence of it.
+func TestCallsGoToWorkersWithEvidenceBeforeAPrimaryWithout(t *testing.T) {
 	f, _ := newLeaseFleet(t, 8)
-	home := f.serve("safe", "fn")
+	primary := f.serve("safe", "fn")
 	f.advance(f.now + 8*time.Second)
 	f.sync(f.now)
 	fn := f.b.functions["fn"]
 	other := f.b.workerAt(fn, 3)
-	require.NotEqual(t, home, other.ID)
+	require.NotEqual(t, primary, other.ID)
 	fn.placement(other).setLoaded(1, f.now+time.Minute)
-	fn.placement(f.b.workers[home]).setLoaded(1, f.now+time.Minute)
-	assert.Equal(t, home, f.serve("safe", "fn"), "nobody was heard of")
-	fn.placement(f.b.workers[home]).setLoaded(1, f.now+time.Minute)
+	fn.placement(f.b.workers[primary]).setLoaded(1, f.now+time.Minute)
+	assert.Equal(t, primary, f.serve("safe", "fn"), "no worker has current evidence")
+	fn.placement(f.b.workers[primary]).setLoaded(1, f.now+time.Minute)
 	f.advance(f.now + 8*time.Second)
 	f.sync(f.now)
 	other.lease.Accepted(f.now, 0, f.now)
 	assert.Equal(t, other.ID, f.serve("safe", "fn"))
-	f.b.workers[home].lease.Accepted(f.now, 0, f.now)
-	assert.Equal(t, home, f.serve("safe", "fn"))
+	f.b.workers[primary].lease.Accepted(f.now, 0, f.now)
+	assert.Equal(t, primary, f.serve("safe", "fn"))
 }
 
-// Load orders need a lease as calls do, also in the moment before the next sweep finds that it has ended.
+// Load orders need a valid lease as calls do, also between the expiry of the lease and the next sweep, which updates the ready
+// workers.
 func TestNothingIsOrderedWithoutALease(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 1)
 	f.serve("safe", "fn")
@@ -236,41 +238,43 @@
 	assert.True(t, f.b.orderLoad(fn, fn.placement(f.b.workers["w00"]), 2, 8))
 }
 
-// A request does not wait for a load at a worker whose lease has ended meanwhile.
-func TestRequestLeavesALoadWithoutALease(t *testing.T) {
+// A request stops waiting for a load at a worker whose lease expires during the load.
+func TestRequestStopsWaitingForALoadWithoutALease(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
 	f.advance(f.leaseEnd(listedAt) - 200*ms)
 	id := f.request("safe", "slow", 3*time.Second)
 	r := f.b.requests[id]
 	require.NotNil(t, r.waitingFor)
-	orderedAt := r.waitingFor.worker
+	loadingAt := r.waitingFor.worker
 	for _, w := range f.b.ready {
-		if w != orderedAt {
+		if w != loadingAt {
 			w.lease.Accepted(f.now, 0, f.b.leases.syncedAt)
 		}
 	}
 	f.advance(f.now + 250*ms)
 	require.NotNil(t, r.waitingFor, "at another worker")
-	assert.NotEqual(t, orderedAt, r.waitingFor.worker)
+	assert.NotEqual(t, loadingAt, r.waitingFor.worker)
 }
 
-// The lease of a worker that was reached anew is live again by itself once its return counts as told.
-func TestLeaseOfAWorkerReachedAnewResumes(t *testing.T) {
+// The expired lease of a worker with evidence from a new connection becomes valid again without further events, once the
+// dispatcher counts as notified of a restart.
+func TestLeaseOfAWorkerWithANewConnectionResumes(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 1)
 	f.advance(listedAt + 3*time.Second)
 	w := f.b.workers["w00"]
-	connected := f.now
+	connectedSince := f.now
 	f.advance(f.now + 3*time.Second)
-	f.b.recordLease(w, OutcomeEvent{Status: OK, WrittenAt: f.now, ConnectedSince: connected})
+	f.b.recordLease(w, OutcomeEvent{Status: OK, WrittenAt: f.now, ConnectedSince: connectedSince})
 	f.advance(f.leaseEnd(listedAt) + 300*ms)
 	assert.Empty(t, f.b.ready)
-	f.advance(connected + permit.MaxNotificationDelay + time.Second)
+	f.advance(connectedSince + permit.MaxNotificationDelay + time.Second)
 	assert.Len(t, f.b.ready, 1)
 }
 
-// A fleet whose workers reject is full rather than draining: with discovery well, contests never take more than half of it.
-func TestContestsLeaveHalfOfTheFleet(t *testing.T) {
-	for workers, most := range map[int]int{1: 0, 2: 1, 5: 2} {
+// Where most workers reject calls, they are full rather than draining. While syncs go on, contested leases exclude at most half
+// of the fleet.
+func TestContestedLeasesExcludeAtMostHalfOfTheFleet(t *testing.T) {
+	for workers, excluded := range map[int]int{1: 0, 2: 1, 5: 2} {
 		f, listedAt := newLeaseFleet(t, workers)
 		for f.now < f.leaseEnd(listedAt)+time.Second {
 			f.advance(f.now + time.Second)
@@ -279,6 +283,6 @@
 		for _, w := range f.b.workers {
 			f.b.recordLease(w, OutcomeEvent{Status: Rejected, WrittenAt: f.now})
 		}
-		assert.Len(t, f.b.ready, workers-most, "%d workers", workers)
+		assert.Len(t, f.b.ready, workers-excluded, "%d workers", workers)
 	}
 }
--- a/internal/balancer/restarts_test.go
+++ b/internal/balancer/restarts_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// goneWorker returns a fleet with a busy worker that was gone for a moment, where the last sync is so old.
-func goneWorker(t *testing.T, syncAge time.Duration) (f *testFleet, w *worker) {
+// newFleetWithGoneWorker returns a fleet with a worker that has served a call and then seems to have ended, syncAge after the
+// last sync.
+func newFleetWithGoneWorker(t *testing.T, syncAge time.Duration) (f *testFleet, w *worker) {
 	t.Helper()
 	f, _ = newLeaseFleet(t, 2)
 	id := f.serve("safe", "fn")
@@ -19,10 +20,11 @@
 	return f, f.b.workers[id]
 }
 
-// A worker that comes back while discovery is silent may be cold, and counts as told of: it is sent a part of what it could do,
-// and holds no copies (incident 3, sweep).
-func TestReturnDuringAnOutageIsTakenForAColdStart(t *testing.T) {
-	f, w := goneWorker(t, StaleSync)
+// A worker that was gone while discovery is silent may have restarted and be cold, and the dispatcher counts as notified of that.
+// So the worker counts as cold: it gets only a part of the calls of a warm worker, and is believed to have no copies loaded
+// (incident 3, sweep).
+func TestReturnDuringAnOutageCountsAsAColdStart(t *testing.T) {
+	f, w := newFleetWithGoneWorker(t, StaleSync)
 	assert.Less(t, f.b.warmth(w), 0.3)
 	assert.Zero(t, f.b.functions["fn"].placements[w.ID].copies)
 	before := f.sentTo[w.ID]
@@ -33,9 +35,9 @@
 	assert.LessOrEqual(t, f.sentTo[w.ID]-before, 1)
 }
 
-// The start is taken for the moment of the first contact.
+// The assumed start is the time of the first attempt that reaches the worker again.
 func TestAssumedStartIsThatOfTheFirstContact(t *testing.T) {
-	f, w := goneWorker(t, StaleSync)
+	f, w := newFleetWithGoneWorker(t, StaleSync)
 	f.advance(f.now + 500*ms)
 	before := f.now
 	f.b.noteFirstContact(&attempt{worker: w, sentAt: before})
@@ -44,28 +46,28 @@
 	assert.Equal(t, before, w.slowStart.startedAt)
 }
 
-// While the list is followed, it tells of restarts: a connection that breaks says nothing.
-func TestBreakIsNoRestartWhileTheListIsFollowed(t *testing.T) {
-	f, w := goneWorker(t, StaleSync-100*ms)
+// While syncs go on, the list reports restarts, so a closed connection alone is not taken for a restart.
+func TestClosedConnectionIsNoRestartWhileSyncsGoOn(t *testing.T) {
+	f, w := newFleetWithGoneWorker(t, StaleSync-100*ms)
 	assert.InDelta(t, 1, f.b.warmth(w), 0)
-	f.advance(f.now + 200*ms) // without a sync it may have been one after all
+	f.advance(f.now + 200*ms) // the last sync is now older than StaleSync, so a restart is assumed
 	assert.Less(t, f.b.warmth(w), 0.3)
 	f.sync(f.now)
-	assert.InDelta(t, 1, f.b.warmth(w), 0, "the list tells of none")
+	assert.InDelta(t, 1, f.b.warmth(w), 0, "the list reports no restart")
 	assert.Empty(t, f.b.restarts.gone)
 }
 
-// A restart that the list tells of stays.
-func TestToldRestartStaysAfterTheNextSync(t *testing.T) {
-	f, w := goneWorker(t, StaleSync)
+// A restart that the list reports still counts after the next sync.
+func TestReportedRestartStaysAfterTheNextSync(t *testing.T) {
+	f, w := newFleetWithGoneWorker(t, StaleSync)
 	f.advance(f.now + time.Second)
 	f.update(ScopeDelta, Worker{ID: w.ID, Weight: 1, Zone: "z0", Started: f.now - 500*ms})
 	f.sync(f.now)
 	assert.Less(t, f.b.warmth(w), 0.4)
 }
 
-// What is assumed during an outage does not end the slow start that the list had told of before.
-func TestAssumedRestartKeepsASlowStartThatWasTold(t *testing.T) {
+// A restart that is assumed during an outage does not end a slow start that the list reported before the outage.
+func TestAssumedRestartKeepsAReportedSlowStart(t *testing.T) {
 	f, _ := newLeaseFleet(t, 2)
 	f.update(ScopeDelta, Worker{ID: "w00", Weight: 1, Zone: "z0", Started: f.now})
 	f.sync(f.now)
@@ -73,5 +75,5 @@
 	f.event(PeerGoneEvent{Worker: "w00"})
 	f.advance(f.now + time.Second)
 	f.sync(f.now)
-	assert.InDelta(t, 0.2+0.8*4/10, f.b.warmth(f.b.workers["w00"]), 0.01, "4 s of 10 s have passed since its start")
+	assert.InDelta(t, 0.2+0.8*4/10, f.b.warmth(f.b.workers["w00"]), 0.01, "4 s of the slow start of 10 s have passed")
 }
--- a/internal/balancer/worker.go
+++ b/internal/balancer/worker.go
@@ -30,7 +30,7 @@
 
 	lease       permit.Lease
 	goneAt      time.Duration // when the worker's process seemed to end, if no sync came since; else 0
-	assumedCold bool          // the worker counts as cold since goneAt, without a reported restart
+	assumedCold bool          // an unreported restart after goneAt is assumed, so the worker counts as cold
 
 	keepaliveStartedAt time.Duration // when the keepalive in progress started; 0 means that there is none
 	keepaliveQueries   int           // number of queries in this keepalive
