--- a/internal/balancer/fleet_updates_test.go
+++ b/internal/balancer/fleet_updates_test.go
@@ -31,11 +31,11 @@
 		f.update(ScopeDelta, Worker{ID: id, Weight: 1, State: Removed})
 	}
 	f.advance(f.now + f.settings.SlowStartDuration + f.settings.OverloadWindow + time.Second)
-	placements := 0
+	placementCount := 0
 	for _, fn := range f.b.functions {
-		placements += len(fn.placements)
+		placementCount += len(fn.placements)
 	}
-	if len(f.b.workers) != 1 || placements > len(f.b.functions) {
-		t.Errorf("%d workers and %d placements are kept", len(f.b.workers), placements)
+	if len(f.b.workers) != 1 || placementCount > len(f.b.functions) {
+		t.Errorf("%d workers and %d placements are kept", len(f.b.workers), placementCount)
 	}
 }
