--- a/internal/balancer/actions.go
+++ b/internal/balancer/actions.go
@@ -2,41 +2,46 @@
 
 import "time"
 
-// Action is something to carry out at once, in the order given.
+// Action is an output of Balancer.Handle. The caller carries out actions at once, in the order returned.
 type Action interface{ action() }
 
-// Send begins an attempt.
+// Send starts an attempt.
 type Send struct {
-	ID          RequestID
-	Worker      WorkerID
-	Timeout     time.Duration // 0: until the client gives up
-	StartWithin time.Duration // it must reach the worker within this, or not at all; 0: while its client waits
+	ID      RequestID
+	Worker  WorkerID
+	Timeout time.Duration // longest time from now that the attempt is waited for; 0: until the deadline
+	// StartWithin is the time from now within which the attempt must reach the worker; after it the
+	// attempt must not be sent. 0: the request's deadline is the only limit.
+	StartWithin time.Duration
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel asks for a pending attempt to be cancelled.
 type Cancel struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Reject is a final answer: a retry does no harm.
+// Reject is a final answer which says that the client may retry.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // 0: no advice
 }
 
-// Fail is a final answer that promises nothing: the request may have run.
+// Fail is a final answer which says that the request may have run, so that a retry may run it twice.
 type Fail struct{ ID RequestID }
 
-// Load asks a worker to hold at least Copies of a function; 0 only asks how many it holds.
+// Load orders a worker to hold at least Copies copies of a function. With 0 it only asks how many copies
+// the worker holds.
 type Load struct {
 	Worker   WorkerID
 	Function FunctionID
 	Copies   int
-	// StartWithin is the time in which it must reach the worker, or not at all; 0: while its answer may come.
+	// StartWithin is the time from now within which the order must reach the worker; after it the order
+	// must not be sent. 0: the order's timeout is the only limit.
 	StartWithin time.Duration
-	// ProofAge is set for an order of a keepalive, where no copy stood before: once it is carried out, its
-	// worker has begun a load no longer than this before the order was written. 0: it proves nothing.
+	// ProofAge is set in the order of a keepalive, which is given where no copy was loaded. Once the
+	// order is carried out, it proves that the worker began a load at most this long before the order was
+	// written. 0: the order proves nothing.
 	ProofAge time.Duration
 }
 
@@ -46,7 +51,7 @@
 	Function FunctionID
 }
 
-// SetTimer asks for a TimerEvent after a time.
+// SetTimer asks for a TimerEvent with the same ID after a time.
 type SetTimer struct {
 	After   time.Duration
 	TimerID int64
@@ -58,17 +63,17 @@
 // Fetch asks for the whole endpoint list once.
 type Fetch struct{}
 
-// LeasesChanged tells that leases of workers have ended or are live again. There is nothing to carry out.
+// LeasesChanged reports that leases of workers have ended or are live again. It needs no action.
 type LeasesChanged struct {
-	Workers   []WorkerID // sorted
-	Ended     int        // since nothing new is known of the worker
-	Contested int        // likewise, since it rejects and discovery does not say why
-	Renewed   int
-	Live      int           // of all workers
-	SyncAge   time.Duration // since the poll of the last sync was sent
+	Workers   []WorkerID    // sorted
+	Ended     int           // leases that ended for lack of news of their worker
+	Contested int           // leases that ended since the worker rejects calls and discovery gives no reason
+	Renewed   int           // leases that are live again
+	Live      int           // live leases of all workers
+	SyncAge   time.Duration // time since the poll of the last sync was sent
 }
 
-// Log tells the operators something.
+// Log is a message for the operators' log.
 type Log struct{ Text string }
 
 func (Send) action()          {}
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	maxUnknownErrors     = 3               // so many errors before any answer: nobody knows the function ...
-	unknownFunctionPause = 5 * time.Second // ... and it is not tried again for this long
+	maxUnknownErrors     = 3               // a function counts as unknown after this many errors and no success
+	unknownFunctionPause = 5 * time.Second // an unknown function is not tried for this long after an error
 )
 
-// onRequest admits a request and looks for a worker at once, unless others of more use wait for room.
+// onRequest admits a request and looks for a worker at once, unless other requests wait for room at
+// workers and this one is already past its latency objective.
 func (b *Balancer) onRequest(e RequestEvent) {
 	if b.requests[e.ID] != nil {
 		return
@@ -19,34 +20,36 @@
 	b.updateHot(f)
 	f.rotation++
 	r := b.addRequest(e, class, f)
-	b.weigh(r)
+	b.adjustWeight(r)
 	b.retries.add(retryRatio)
-	// One that is too late is finished now: the next sweep could come too late for its answer.
+	// A request that is too late for an attempt is finished now: the next sweep may be past its deadline.
 	if !b.backlogged || r.objective > b.now || b.tooLate(r) {
 		b.place(r)
 	}
 }
 
-// weigh lowers the weight of what is beyond its tenant's quota and of retries, whose objective comes earlier.
-func (b *Balancer) weigh(r *request) {
+// adjustWeight lowers the weight of a request that is beyond its tenant's quota, or that is a retry. The
+// latency objective of a retry is brought forward by the time that its earlier tries took.
+func (b *Balancer) adjustWeight(r *request) {
 	if t := b.tenants[r.Tenant]; t != nil && t.rateQuota > 0 {
 		callRate := t.calls.add(b.now, 1, callDecay) / callDecay.Seconds() * float64(b.settings.Dispatchers)
 		if callRate > t.rateQuota {
 			r.weight *= b.settings.OverQuotaWeight
 		}
 	}
-	if r.Retry { // how long the first try waited is unknown; most likely its objective has passed
+	if r.Retry { // how long the first try waited is unknown; its objective has probably passed
 		r.weight *= (1 + r.class.LateWeight) / 2
 	}
 	longest := max(b.longestTimeLeft[r.class.Name], r.TimeLeft)
 	b.longestTimeLeft[r.class.Name] = longest
 	mayBeRetry := r.Retry || !b.settings.ClientsMarkRetries
-	if mayBeRetry && r.TimeLeft < longest*31/32 { // the client's deadline has cut it short
+	// The time left is shorter than usual for the class, so earlier tries have used up a part of it.
+	if mayBeRetry && r.TimeLeft < longest*31/32 {
 		r.objective -= r.class.Deadline - r.TimeLeft
 	}
 }
 
-// value is what an answer would earn for each second of work, if sent now.
+// value returns the weight that an answer would earn for each second of work, if the request were sent now.
 func (b *Balancer) value(r *request) float64 {
 	if b.settings.WeightByWork || r.function.meanAnswer == 0 {
 		return r.weight
@@ -54,11 +57,12 @@
 	return r.weight / r.function.meanAnswer
 }
 
-// tooLate reports whether no new attempt could end in time.
+// tooLate reports whether the deadline is too close for a new attempt to end in time.
 func (b *Balancer) tooLate(r *request) bool { return b.now+2*sweepInterval >= r.deadline }
 
-// decideAtHalfTime ends the wait of a request that no worker has seen by half of its time: a later rejection
-// costs more. It goes where a load that it waits for is under way, and waits there; else it is finished.
+// decideAtHalfTime ends the wait of a request that has reached no worker when half of its time is over: a
+// later rejection costs more. If the load that the request waits for is under way, and its worker may get
+// the request, the request is sent there and waits at the worker; otherwise it is finished.
 func (b *Balancer) decideAtHalfTime(r *request) {
 	p := r.waitingFor
 	loading := p != nil && p.ordered
@@ -69,8 +73,9 @@
 	}
 }
 
-// unknownFunction reports whether requests and loads of a function met errors only. Any client can name one
-// that no worker knows; retries of it would use up the load budget.
+// unknownFunction reports whether requests and loads of a function have only returned errors, the last of
+// them recently. Any client can name a function that no worker knows, and retries would use up the load
+// budget.
 func (b *Balancer) unknownFunction(f *function) bool {
 	return !f.known && f.errors >= maxUnknownErrors && b.now-f.lastErrorAt < unknownFunctionPause
 }
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	retryRatio     = 0.2  // hedged requests and retries, as a part of the requests taken
-	maxRetryBudget = 20.0 // ... and as many at once
+	retryRatio     = 0.2  // retries and hedged attempts that each request adds to the retry budget
+	maxRetryBudget = 20.0 // largest retry budget, which bounds a burst of retries and hedged attempts
 )
 
-// attemptsLeft reports whether a request may have another attempt at all.
+// attemptsLeft reports whether a request is open, has attempts left and has time for another one.
 func (b *Balancer) attemptsLeft(r *request) bool {
 	return !r.closed && len(r.attempts) < b.settings.MaxAttempts && !b.tooLate(r)
 }
 
-// mayAttempt reports whether a request may be sent to a worker: what package permit rules for all, and what
-// only the balancer knows, the scope of keys and the slow start.
+// mayAttempt reports whether a request may be sent to a worker. It applies the rules of package permit,
+// and those that only the balancer can check: deadline, deduplication of keyed requests and slow start.
 func (b *Balancer) mayAttempt(r *request, w *worker) bool {
 	start := permit.Start{Worker: w.State.Permitted(), ClientGone: r.closed, LeaseLeft: b.leaseLeft(w)}
-	if start.Check() != permit.Allowed || b.tooLate(r) || b.repeat(r).Check() != permit.Allowed {
+	if start.Check() != permit.Allowed || b.tooLate(r) || b.repeatFacts(r).Check() != permit.Allowed {
 		return false
 	}
 	left, limited := r.dedupTimeLeft(b.now)
-	if limited && (left <= 0 || !r.dedupScopeHolds(w)) {
+	if limited && (left <= 0 || !r.dedupScopeCovers(w)) {
 		return false
 	}
 	return b.slowStartAllows(r, w)
 }
 
-// send is the one place that emits Send.
+// send sends a request to a worker if that is allowed. No other function emits Send.
 func (b *Balancer) send(r *request, w *worker) {
 	if !b.mayAttempt(r, w) {
 		return
@@ -39,7 +39,8 @@
 	if r.class.Idempotency != NotIdempotent && !b.settings.Hedging && !b.settings.CanCancel {
 		timeout = (r.deadline - b.now) / 2
 	}
-	startWithin, _ := r.dedupTimeLeft(b.now) // it may wait for a connection: by then a repeat would run
+	// The attempt may have to wait for a connection. After this time workers would run a repeat again.
+	startWithin, _ := r.dedupTimeLeft(b.now)
 	if w.unavailable() {
 		b.postponeProbe(w)
 	}
@@ -47,14 +48,14 @@
 		b.ejectClass(class)
 	}
 	if b.warmth(w) < 1 {
-		w.slowStart.sends = append(w.slowStart.sends, b.now)
+		w.slowStart.recentSends = append(w.slowStart.recentSends, b.now)
 	}
 	r.addAttempt(w, b.now, b.expectedAnswer(r))
 	b.emit(Send{ID: r.ID, Worker: w.ID, Timeout: timeout, StartWithin: startWithin})
 }
 
-// repeat returns the facts on another attempt of a request.
-func (b *Balancer) repeat(r *request) permit.Repeat {
+// repeatFacts returns the facts by which package permit allows another attempt of a request.
+func (b *Balancer) repeatFacts(r *request) permit.Repeat {
 	return permit.Repeat{
 		Attempts:    len(r.attempts),
 		MaxAttempts: b.settings.MaxAttempts,
@@ -65,7 +66,7 @@
 	}
 }
 
-// mustNotRepeat reports whether another attempt could run the request twice where it must not.
+// mustNotRepeat reports whether another attempt could run a request twice although its class forbids that.
 func (r *request) mustNotRepeat() bool {
 	return permit.Repeat{MayHaveRun: r.mayHaveRun(), Repeatable: r.repeatable()}.Forbidden()
 }
@@ -73,13 +74,15 @@
 // repeatable reports whether the class of the request lets it run more than once.
 func (r *request) repeatable() bool { return r.class.Idempotency != NotIdempotent }
 
-// retryIsHarmless reports whether a retry of the client cannot run the request twice where it must not.
+// retryIsHarmless reports whether the client may retry a request: the retry is deduplicated, the request
+// may run more than once, or it has not run.
 func (r *request) retryIsHarmless() bool {
 	deduplicated := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet
 	return deduplicated || r.class.Idempotency == Idempotent || !r.mayHaveRun()
 }
 
-// hedge sends another attempt for a request whose worker is unavailable, or cancels the first to make room.
+// hedge sends another attempt for a request whose attempt is overdue at an unavailable worker. Without
+// hedging it cancels that attempt, if it may, so that a retry can follow.
 func (b *Balancer) hedge(r *request) {
 	a := r.attempts[len(r.attempts)-1]
 	if !b.mayHedge(r, a) {
@@ -100,7 +103,9 @@
 	}
 }
 
-// mayHedge reports whether an attempt is the only one pending, and overdue at a worker that is unavailable.
+// mayHedge reports whether a request may be hedged, given its last attempt: the attempt is the only one
+// pending and overdue at an unavailable worker, and the request, its attempts and the retry budget allow
+// another one.
 func (b *Balancer) mayHedge(r *request, a *attempt) bool {
 	onlyPending := r.outstanding == 1 && a.pending
 	if r.streaming || r.cancelledForRetry || !onlyPending {
@@ -113,7 +118,8 @@
 	return overdue && a.worker.unavailable()
 }
 
-// finish is the one place that emits Reject, where a retry does no harm, and Fail; no attempt may be pending.
+// finish gives a request without pending attempts its final answer: Reject if the client may retry,
+// otherwise Fail. No other function emits these actions.
 func (b *Balancer) finish(r *request) {
 	if r.closed || r.outstanding > 0 {
 		return
@@ -126,7 +132,8 @@
 	b.close(r, false)
 }
 
-// retryAfter is the advice of a rejection: by then the copy that was lacking is usually loaded.
+// retryAfter returns the time after which a rejected client should retry: the missing copy is usually
+// loaded by then. It returns 0 if the settings allow no such advice.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if !b.settings.SendRetryAfter {
 		return 0
@@ -134,7 +141,8 @@
 	return min(r.function.loadPatience(), b.settings.MaxRetryAfter)
 }
 
-// close ends a request; attempts still pending are cancelled, unless the client receives their stream.
+// close ends a request. Pending attempts are cancelled if possible, unless the client receives a stream
+// from one.
 func (b *Balancer) close(r *request, streaming bool) {
 	if r == nil {
 		return
--- a/internal/balancer/attempts_test.go
+++ b/internal/balancer/attempts_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards rule 2: what may have run is neither sent again nor rejected where that could make it run twice.
+// Guards rule 2, no forbidden repeats: a request that may have run is neither sent again nor rejected if it could then
+// run twice against the rules of its class.
 func TestNotIdempotentRequestIsNeverRepeated(t *testing.T) {
 	for _, status := range []Status{Failed, TimedOut, Reset, Cancelled, Status(99)} {
 		f := newFleet(t, testSettings(), 1)
@@ -14,7 +15,7 @@
 		id := f.request("unsafe", "fn", 2*time.Second)
 		f.endAttempt(id, 0, status)
 		if len(f.open[id].sends) != 1 || !f.failed[id] {
-			t.Errorf("status %d: sends %d, failed %v", status, len(f.open[id].sends), f.failed[id])
+			t.Errorf("status %d: %d attempts, failed %v; want 1 attempt, failed", status, len(f.open[id].sends), f.failed[id])
 		}
 	}
 	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
@@ -25,7 +26,7 @@
 		f.endAttempt(id, 0, status)
 		f.endLoads(OK)
 		if len(f.open[id].sends) != 2 {
-			t.Errorf("status %d proves that it never ran, yet it was not sent on", status)
+			t.Errorf("status %d proves that the request never ran, but there is no second attempt", status)
 		}
 	}
 }
@@ -37,9 +38,9 @@
 	id := f.request("keyed", "fn", 2*time.Second)
 	f.endAttempt(id, 0, Failed)
 	f.endLoads(OK)
-	s := f.open[id].sends // the fleet asserts the group
+	s := f.open[id].sends // the test fleet checks that the cell is the same
 	if len(s) != 2 {
-		t.Fatalf("%d sends, want a second within the cell", len(s))
+		t.Fatalf("%d attempts, want a second one within the cell", len(s))
 	}
 	late := f.request("keyed", "fn", 2*time.Second)
 	f.open[late].sends[0].due = f.now + 10*time.Second
@@ -49,12 +50,12 @@
 	f.endLoads(OK)
 	f.advance(f.now + 100*ms)
 	if len(f.open[late].sends) != n {
-		t.Error("sent again after the key's window")
+		t.Error("sent again after the dedup window")
 	}
 }
 
-// Guards rule 2 on sockets: a retry that waits for its connection could begin after the dedup window, though it was
-// decided on within it. It carries the end of that window with it.
+// Guards rule 2 for retries that wait for a connection: a retry could begin after the dedup window although it was
+// chosen within the window. Send.StartWithin passes on the end of the window.
 func TestKeyedRetryCarriesEndOfDedupWindow(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(6)
@@ -64,13 +65,13 @@
 	f.advance(f.now + 900*ms)
 	f.endAttempt(id, 0, Failed)
 	f.endLoads(OK)
-	again := f.sent[len(f.sent)-1]
-	if first.ID != id || first.StartWithin != 0 || again.ID != id || again == first || again.StartWithin != 100*ms {
-		t.Errorf("sent %+v, then %+v", first, again)
+	retry := f.sent[len(f.sent)-1]
+	if first.ID != id || first.StartWithin != 0 || retry.ID != id || retry == first || retry.StartWithin != 100*ms {
+		t.Errorf("first attempt %+v, retry %+v; want StartWithin 0, then 100 ms", first, retry)
 	}
 }
 
-// Guards rule 1: requests are answered in time with no worker, and with a silent one.
+// Guards rule 1, one final answer in time: without workers, and with workers that do not answer.
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
@@ -83,11 +84,11 @@
 	}
 	f.advance(2 * time.Second)
 	if len(f.rejected)+len(f.failed) != 6 {
-		t.Errorf("%d answers for 6 requests", len(f.rejected)+len(f.failed))
+		t.Errorf("%d final answers to 6 requests", len(f.rejected)+len(f.failed))
 	}
 }
 
-// The functions that emit Send and Load refuse by themselves what no caller should ask of them.
+// The functions that emit Send and Load check the rules themselves, and emit nothing if a caller breaks one.
 func TestSendAndOrderLoadCheckTheRules(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(2)
@@ -95,14 +96,14 @@
 	id := f.request("unsafe", "fn", 2*time.Second)
 	r := f.b.requests[id]
 	f.b.actions = nil
-	f.b.send(r, f.b.workers["w00"]) // its first attempt is still out
+	f.b.send(r, f.b.workers["w00"]) // its first attempt is still pending
 	f.update(ScopeDelta, Worker{ID: primary, State: Draining, Weight: 1})
-	fresh := &request{RequestEvent: RequestEvent{ID: 77}, class: r.class, function: r.function,
+	unsent := &request{RequestEvent: RequestEvent{ID: 77}, class: r.class, function: r.function,
 		deadline: f.now + time.Second}
 	f.b.actions = nil
-	f.b.send(fresh, f.b.workers[primary])
+	f.b.send(unsent, f.b.workers[primary])
 	f.b.orderLoad(r.function, r.function.placement(f.b.workers[primary]), 1, 99)
 	if len(f.b.actions) > 0 || len(r.attempts) != 1 {
-		t.Errorf("emitted %v, %d attempts", f.b.actions, len(r.attempts))
+		t.Errorf("emitted %v, want none; %d attempts, want 1", f.b.actions, len(r.attempts))
 	}
 }
--- a/internal/balancer/classhealth.go
+++ b/internal/balancer/classhealth.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// classHealth is how a worker treats one class of requests.
+// classHealth holds a worker's record with one class of requests.
 type classHealth struct {
-	lastOK         time.Duration
-	failureScore   float64       // evidence that it fails more than the fleet does
-	rejectedInARow int           // requests rejected since the last answer, which halves it
-	ejectedUntil   time.Duration // no request of the class before this
+	lastAnswerAt   time.Duration // time of the last answer
+	failureScore   float64       // evidence that the worker fails more requests than the fleet does
+	rejectedInARow int           // consecutive rejections; an answer halves the count
+	ejectedUntil   time.Duration // the worker gets no request of the class before this time
 }
 
-// failureTest is a sequential test of whether a worker fails more than the fleet: Page's cumulated sum of log
-// likelihood ratios, of a worker that fails at the high rate against one that fails at the usual rate.
+// failureTest is a sequential test of whether a worker fails more requests than the fleet. It is Page's
+// CUSUM test: a cumulative sum of log-likelihood ratios of a high failure rate against the usual one.
 type failureTest struct {
-	failure float64 // evidence of one failure, above zero
-	success float64 // evidence of one success, below zero
+	failure float64 // log-likelihood ratio of one failure, above zero
+	success float64 // log-likelihood ratio of one success, below zero
 }
 
-// newFailureTest tests for a failure rate above the usual one by an excess, bounded by maxRate.
+// newFailureTest returns the test for a failure rate of usualRate plus excess, or of maxRate if that is
+// lower.
 func newFailureTest(usualRate, excess, maxRate float64) failureTest {
 	highRate := math.Min(usualRate+excess, maxRate)
 	return failureTest{
@@ -29,13 +30,14 @@
 	}
 }
 
-// addFailure adds evidence of a failure, by its severity between 0 and 1. A score above the limit counts as
-// that.
+// addFailure adds the evidence of a failure to the score, multiplied by its severity from 0 to 1. A score
+// above the limit is first lowered to the limit.
 func (c *classHealth) addFailure(test failureTest, limit, severity float64) {
 	c.failureScore = math.Min(c.failureScore, limit) + severity*test.failure
 }
 
-// addResult adds evidence of a result that counts as a failure by its severity, and else as a success.
+// addResult adds the evidence of a result to the score: severity, from 0 to 1, is the part that counts as a
+// failure, and the rest counts as a success. A score above the limit is first lowered to the limit.
 func (c *classHealth) addResult(test failureTest, limit, severity float64) {
 	score := math.Min(c.failureScore, limit) + severity*test.failure + (1-severity)*test.success
 	c.failureScore = math.Max(0, score)
--- a/internal/balancer/classhealth_test.go
+++ b/internal/balancer/classhealth_test.go
@@ -23,12 +23,12 @@
 		severity float64
 		want     float64
 	}{
-		{0, 0}, // never negative
+		{0, 0}, // the score is never negative
 		{1, 1.5},
 		{0, 1.1},
 		{1, 2.6},
-		{1, 3.5}, // counts from the limit
-		{0, 1.6}, // and so does a success
+		{1, 3.5}, // a failure is added to the limit where the score is above it
+		{0, 1.6}, // a success is added to the limit as well
 		{0.5, 2.15},
 	} {
 		health.addResult(test, limit, step.severity)
--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// permutations calls do with each order of the numbers below n.
-func permutations(n int, do func([]int)) {
-	var next func(taken []int)
-	next = func(taken []int) {
-		if len(taken) == n {
-			do(taken)
+// permutations calls visit with each permutation of the numbers from 0 to n-1.
+func permutations(n int, visit func([]int)) {
+	var extend func(prefix []int)
+	extend = func(prefix []int) {
+		if len(prefix) == n {
+			visit(prefix)
 			return
 		}
 		for i := range n {
 			used := false
-			for _, j := range taken {
+			for _, j := range prefix {
 				used = used || i == j
 			}
 			if !used {
-				next(append(taken[:len(taken):len(taken)], i))
+				extend(append(prefix[:len(prefix):len(prefix)], i))
 			}
 		}
 	}
-	next(nil)
+	extend(nil)
 }
 
-// What may cross within one request.
+// The events that may happen in any order while the first attempt of a request is in flight.
 const (
 	attemptEnds = iota
 	workerDrains
@@ -35,23 +35,23 @@
 	loadsEnd
 	clientLeaves
 	timerExpires
-	crossingEvents // how many there are
+	concurrentEvents // the number of events above
 )
 
-// crossing is one request, and the events that cross while its first attempt is in flight.
-type crossing struct {
+// raceScenario is one request whose first attempt is in flight while other events happen.
+type raceScenario struct {
 	*testFleet
 	id         RequestID
-	worker     Worker // of the first attempt
+	worker     Worker // the worker of the first attempt
 	status     Status // how the first attempt ends
 	clientLeft bool
 }
 
-// newCrossing sends a request to a worker that holds its function.
-func newCrossing(t *testing.T, budgeted bool, class string, status Status) *crossing {
+// newRaceScenario sends a request to a worker that has its function loaded.
+func newRaceScenario(t *testing.T, budgeted bool, class string, status Status) *raceScenario {
 	t.Helper()
 	s := testSettings()
-	s.MinEventInterval = sweepInterval // the module looks no oftener
+	s.MinEventInterval = sweepInterval // the balancer sweeps no more often
 	if budgeted {
 		s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 2, 0.15
 	}
@@ -63,12 +63,13 @@
 		f.endLoads(OK)
 	}
 	if len(f.open[id].sends) == 0 {
-		t.Fatalf("%s is held", class)
+		t.Fatalf("request of class %s is not sent", class)
 	}
-	return &crossing{testFleet: f, id: id, worker: f.workers[f.open[id].sends[0].worker], status: status}
+	return &raceScenario{testFleet: f, id: id, worker: f.workers[f.open[id].sends[0].worker], status: status}
 }
 
-func (c *crossing) play(event int) {
+// apply delivers one of the events to the balancer.
+func (c *raceScenario) apply(event int) {
 	c.t.Helper()
 	switch event {
 	case attemptEnds:
@@ -95,34 +96,36 @@
 	}
 }
 
-// Crossing events in every order. The fleet holds every action against the rules: nothing to a worker that drains, no
-// further run of what may have run, one final answer, none and no attempt for a client that has left.
-func TestEveryOrderOfCrossingEvents(t *testing.T) {
+// Delivers concurrent events in every order. The test fleet checks each action against the rules: nothing is sent to a
+// draining worker, a request that may have run is not run again where its class forbids that, each request gets one
+// final answer, and a request whose client has left gets neither an answer nor an attempt.
+func TestEveryOrderOfConcurrentEvents(t *testing.T) {
 	for _, budgeted := range []bool{false, true} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			for _, status := range []Status{OK, Failed, Rejected, Miss, Reset, TimedOut, ConnectFailed, NotSent} {
-				if budgeted && status != Miss && status != Rejected { // else it orders nothing
+				if budgeted && status != Miss && status != Rejected { // other statuses cause no load order
 					continue
 				}
-				permutations(crossingEvents, func(order []int) {
-					checkCrossing(t, newCrossing(t, budgeted, class, status), class, order)
+				permutations(concurrentEvents, func(order []int) {
+					checkRaceScenario(t, newRaceScenario(t, budgeted, class, status), class, order)
 				})
 			}
 		}
 	}
 }
 
-func checkCrossing(t *testing.T, c *crossing, class string, order []int) {
+// checkRaceScenario applies the events in an order and checks that the request ends in time.
+func checkRaceScenario(t *testing.T, c *raceScenario, class string, order []int) {
 	t.Helper()
 	for _, event := range order {
 		c.log = append(c.log, fmt.Sprint("event ", event, " of ", order))
-		c.play(event)
+		c.apply(event)
 	}
 	if r := c.b.requests[c.id]; c.clientLeft && r != nil && !r.closed {
-		t.Fatalf("%s, %v, %v: open after its client has left", class, c.status, order)
+		t.Fatalf("%s, %v, %v: request still open after its client has left", class, c.status, order)
 	}
 	c.advance(c.now + 350*ms)
 	if !c.open[c.id].answered {
-		t.Fatalf("%s, %v, %v: never answered", class, c.status, order)
+		t.Fatalf("%s, %v, %v: request never answered", class, c.status, order)
 	}
 }
--- a/internal/balancer/dedup.go
+++ b/internal/balancer/dedup.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// dedupTimeLeft is how long workers still drop repeats of the attempts that may have run; limited is false
-// where there is no such limit.
+// dedupTimeLeft returns for how long from now workers still drop repeats of every attempt that may run or
+// may have run. limited is false if there is no limit: the class has no keys, or no attempt may have run.
 func (r *request) dedupTimeLeft(now time.Duration) (left time.Duration, limited bool) {
 	if r.class.Idempotency != IdempotentWithKey {
 		return 0, false
@@ -21,8 +21,9 @@
 	return left, limited
 }
 
-// dedupScopeHolds reports whether a worker would drop a repeat of each attempt that may have run.
-func (r *request) dedupScopeHolds(w *worker) bool {
+// dedupScopeCovers reports whether a worker is in the deduplication scope of each attempt that may run or
+// may have run, so that the worker would drop a repeat.
+func (r *request) dedupScopeCovers(w *worker) bool {
 	for _, a := range r.attempts {
 		if a.mayRun() && !sameDedupScope(r.class.DedupScope, a.worker, w) {
 			return false
@@ -31,15 +32,15 @@
 	return true
 }
 
-// sameDedupScope reports whether two workers share the keys that they have seen.
-func sameDedupScope(scope DedupScope, v, w *worker) bool {
+// sameDedupScope reports whether two workers share the idempotency keys that they have seen.
+func sameDedupScope(scope DedupScope, first, second *worker) bool {
 	switch scope {
 	case DedupFleet:
 		return true
 	case DedupZone:
-		return v.Zone == w.Zone
+		return first.Zone == second.Zone
 	case DedupCell:
-		return v.Cell == w.Cell
+		return first.Cell == second.Cell
 	}
 	return false
 }
--- a/internal/balancer/dedup_test.go
+++ b/internal/balancer/dedup_test.go
@@ -51,13 +51,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := &request{class: &Class{DedupScope: test.scope}, attempts: []*attempt{{worker: primary, pending: true}}}
-			require.Equal(t, test.sameZone, r.dedupScopeHolds(sameZone))
-			require.Equal(t, test.sameCell, r.dedupScopeHolds(sameCell))
+			require.Equal(t, test.sameZone, r.dedupScopeCovers(sameZone))
+			require.Equal(t, test.sameCell, r.dedupScopeCovers(sameCell))
 		})
 	}
 }
 
-// What may end a request without an answer: a rejection invites a retry, so it must not make anything run twice.
+// A rejection tells the client to retry. The retry must not run a request twice whose class forbids that.
 func TestRetryIsHarmless(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -74,8 +74,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := &request{class: &test.class, attempts: []*attempt{{mayHaveRun: test.started}}}
 			require.Equal(t, test.want, r.retryIsHarmless())
-			mustNot := test.started && test.class.Idempotency == NotIdempotent
-			require.Equal(t, mustNot, r.mustNotRepeat())
+			wantForbidden := test.started && test.class.Idempotency == NotIdempotent
+			require.Equal(t, wantForbidden, r.mustNotRepeat())
 		})
 	}
 }
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -6,17 +6,17 @@
 	"kitefall/internal/permit"
 )
 
-// WorkerState is what the endpoint list says of a worker.
+// WorkerState is the state of a worker in the endpoint list.
 type WorkerState int
 
-// The states. Anything unknown is to be given as Draining.
+// The states of a worker. Callers pass an unknown state as Draining.
 const (
 	Ready WorkerState = iota
 	Draining
 	Removed
 )
 
-// Permitted translates the state for package permit.
+// Permitted returns the state as package permit names it.
 func (s WorkerState) Permitted() permit.Worker {
 	switch s {
 	case Ready:
@@ -36,20 +36,20 @@
 	Zone    string
 	Cell    int
 	Weight  float64
-	Started time.Duration // last start, on the clock of now; 0: long ago
+	Started time.Duration // last start, on the clock of Handle's now; 0: long ago
 }
 
-// Event is something that happened. The types with the suffix Event implement it.
+// Event is an input of Balancer.Handle. The types with the suffix Event implement it.
 type Event interface{ event() }
 
-// UpdateScope says what an EndpointsEvent holds.
+// UpdateScope is the extent of an EndpointsEvent.
 type UpdateScope int
 
-// The scopes.
+// The scopes of an update.
 const (
-	ScopeFull   UpdateScope = iota // all workers; whoever is absent is removed
+	ScopeFull   UpdateScope = iota // all workers; those that are absent are removed
 	ScopeDelta                     // changed entries only
-	ScopeStale                     // all workers as last known, possibly long ago
+	ScopeStale                     // like ScopeFull, but as last known, possibly long ago
 	ScopeFailed                    // the poll failed or the watch broke
 )
 
@@ -57,47 +57,47 @@
 type EndpointsEvent struct {
 	Scope   UpdateScope
 	Workers []Worker
-	AsOf    time.Duration // when it was so at the latest; with leases only
+	AsOf    time.Duration // with leases only: the update describes the list as of this time or later
 }
 
-// EndpointsSyncedEvent means that everything was told that discovery knew at a time.
+// EndpointsSyncedEvent means that everything that discovery knew at AsOf has been delivered.
 type EndpointsSyncedEvent struct{ AsOf time.Duration }
 
-// PeerGoneEvent means that nothing listens at a worker's address, or that its last connection was closed
-// there.
+// PeerGoneEvent means that nothing listens at a worker's address, or that the worker closed its last
+// connection.
 type PeerGoneEvent struct{ Worker WorkerID }
 
-// RequestEvent hands over a request. It gets exactly one final answer.
+// RequestEvent is the arrival of a request, which gets exactly one final answer.
 type RequestEvent struct {
 	ID           RequestID
 	Function     FunctionID
 	Class        string
 	Tenant       string
-	TimeLeft     time.Duration
-	MemoryMB     float64       // of one copy, in MB; 0: unknown
+	TimeLeft     time.Duration // from now to the deadline
+	MemoryMB     float64       // memory of one copy, in MB; 0: unknown
 	Concurrency  int           // requests that one loaded copy runs at a time; 0: unknown
-	LoadTime     time.Duration // usual time of a load, roughly; 0: unknown
-	WorkEstimate time.Duration // rough cost; 0: unknown
-	Retry        bool          // the client marks a retry
+	LoadTime     time.Duration // approximate usual duration of a load; 0: unknown
+	WorkEstimate time.Duration // approximate time that a worker takes; 0: unknown
+	Retry        bool          // the client marked the request as a retry
 }
 
-// Status says how an attempt or a load ended.
+// Status is the way in which an attempt or a load order ended.
 type Status int
 
-// The statuses. Anything unknown is to be given as Failed: it may have run.
+// The statuses. Callers pass an unknown status as Failed, since the attempt may have run.
 const (
-	Failed        Status = iota // the worker returned an error; may have run
+	Failed        Status = iota // the worker returned an error; the attempt may have run
 	OK                          // served
 	Rejected                    // rejected by the worker before it ran
-	TimedOut                    // no answer in time; may have run
-	ConnectFailed               // never sent
-	Reset                       // the connection broke; may have run
-	Cancelled                   // cancelled; may have run
+	TimedOut                    // no answer in time; the attempt may have run
+	ConnectFailed               // never sent: no connection to the worker came up
+	Reset                       // the connection broke; the attempt may have run
+	Cancelled                   // cancelled; the attempt may have run
 	NotSent                     // never sent: the request was over, or had no attempts left
-	Miss                        // not loaded there, or the load it waited for failed
+	Miss                        // no copy is loaded at the worker, or the load that the attempt awaited failed
 )
 
-// Warmth says in which state an attempt found its function, where the worker reports it.
+// Warmth is the state of a function at its worker when an attempt arrived, if the worker reports it.
 type Warmth int
 
 // The kinds of warmth.
@@ -109,7 +109,7 @@
 	WarmthLoadFailed
 )
 
-// OutcomeEvent ends one attempt.
+// OutcomeEvent is the end of one attempt.
 type OutcomeEvent struct {
 	ID         RequestID
 	Attempt    int // attempts are numbered from 0 in the order of their Send
@@ -118,14 +118,15 @@
 	Elapsed    time.Duration
 	Answered   bool // the client has its final answer
 	Warmth     Warmth
-	QueueDepth int // requests for the same function at the worker when this one came, where reported
-	// With leases only: when its first byte was written, 0: it was not, and since when there has been a
-	// connection to the worker without a gap.
+	QueueDepth int // requests for the same function at the worker when the attempt arrived, where reported
+	// Both with leases only. WrittenAt is when the first byte of the attempt was written; 0: never.
+	// ConnectedSince is the time since which there has always been a connection to the worker's process.
 	WrittenAt      time.Duration
 	ConnectedSince time.Duration
 }
 
-// StreamStartedEvent means that a stream has begun; the client receives this attempt.
+// StreamStartedEvent means that the stream of an attempt has begun. The client receives it, so that the
+// request needs no other answer.
 type StreamStartedEvent struct {
 	ID      RequestID
 	Attempt int
@@ -133,17 +134,17 @@
 	Elapsed time.Duration
 }
 
-// ClientGoneEvent means that the client has left and needs no answer any more.
+// ClientGoneEvent means that the client of a request has left and needs no answer.
 type ClientGoneEvent struct{ ID RequestID }
 
-// LoadEndedEvent ends a Load.
+// LoadEndedEvent is the end of a Load.
 type LoadEndedEvent struct {
 	Worker   WorkerID
 	Function FunctionID
 	Status   Status
 	Elapsed  time.Duration
-	Copies   int // copies loaded there now
-	// As of an OutcomeEvent, with leases only.
+	Copies   int // copies loaded at the worker now
+	// The same as in OutcomeEvent, for the load order. With leases only.
 	WrittenAt      time.Duration
 	ConnectedSince time.Duration
 }
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -15,7 +15,7 @@
 	f.advance(f.now + 700*ms)
 	s := f.open[id].sends
 	if len(s) != 2 || s[0].worker == s[1].worker {
-		t.Fatalf("%d sends for an overdue safe request, want a second elsewhere", len(s))
+		t.Fatalf("%d attempts of an overdue request of class safe, want a second one at another worker", len(s))
 	}
 	f.endAttempt(id, 1, OK)
 	if f.cancelled == 0 {
@@ -23,7 +23,7 @@
 	}
 }
 
-// Where hedging is not allowed, the silent attempt is cancelled before the retry.
+// Where hedging is not allowed, the overdue attempt at the silent worker is cancelled before the retry.
 func TestNoHedgeWhereNotAllowed(t *testing.T) {
 	s := testSettings()
 	s.Hedging = false
@@ -35,16 +35,17 @@
 	id := f.request("safe", "fn", 2*time.Second)
 	f.advance(f.now + 700*ms)
 	if len(f.open[id].sends) != 1 || f.cancelled != 1 {
-		t.Fatalf("sends %d, cancels %d: want the silent attempt called off first", len(f.open[id].sends), f.cancelled)
+		t.Fatalf("%d attempts, %d cancels: want the overdue attempt cancelled before a second one",
+			len(f.open[id].sends), f.cancelled)
 	}
 	f.endAttempt(id, 0, Cancelled)
 	f.endLoads(OK)
 	if len(f.open[id].sends) != 2 {
-		t.Error("not sent on after the cancel")
+		t.Error("no second attempt after the cancel")
 	}
 }
 
-// Guards against hedging requests that only take long: their worker still answers others.
+// Guards against hedging of requests that merely take long: their worker still answers other requests.
 func TestNoHedgeForLongRequest(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(1)
@@ -56,6 +57,6 @@
 		f.serve("safe", "fn")
 	}
 	if len(f.open[long].sends) != 1 || f.cancelled > 0 {
-		t.Error("a long request was hedged or cancelled though its worker answers")
+		t.Error("a long request was hedged or cancelled though its worker answers other requests")
 	}
 }
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// latencyHistory compares a worker's recent answer times, in seconds, with the times expected of them.
+// latencyHistory compares a worker's recent answer times with the expected ones.
 type latencyHistory struct {
-	answerTime     decayingCount
-	expectedTime   decayingCount
-	functionRatio  float64 // running mean: answer time against the fleet's for the same functions
-	objectiveRatio float64 // running mean: answer time against the class's latency objective
+	answerTime     decayingCount // sum of recent answer times, in seconds
+	expectedTime   decayingCount // sum of the times expected of the same attempts, in seconds
+	functionRatio  float64       // running mean of answer time to the function's mean answer time
+	objectiveRatio float64       // running mean of answer time to the class's latency objective
 }
 
 func newLatencyHistory() latencyHistory { return latencyHistory{functionRatio: 1} }
 
+// add adds the answer time of an attempt and the time expected of it, both in seconds.
 func (h *latencyHistory) add(now time.Duration, answerTime, expected float64, decay time.Duration) {
 	h.answerTime.add(now, answerTime, decay)
 	h.expectedTime.add(now, expected, decay)
 }
 
-// ratio is the answer time against the expected time. Pending attempts count once they are overdue. A prior,
-// in seconds, stands for answers that took the expected time.
+// ratio returns the sum of the answer times divided by that of the expected times. Pending attempts count
+// with their present age once they are overdue. The prior, in seconds, is added to both sums, as for
+// answers that took the expected time.
 func (h *latencyHistory) ratio(
 	now time.Duration, prior float64, decay time.Duration, pending []*attempt,
 ) float64 {
--- a/internal/balancer/latency_test.go
+++ b/internal/balancer/latency_test.go
@@ -22,8 +22,8 @@
 		{"as expected", 2, 2, nil, 1},
 		{"slow", 5, 1, nil, 3},
 		{"fast", 0, 1, nil, 0.5},
-		{"pending in time", 0, 0, pending(500*ms, 1), 1},
-		{"pending and overdue", 0, 0, pending(800*ms, 0.2), 1.5},
+		{"pending, not overdue", 0, 0, pending(500*ms, 1), 1},
+		{"pending, overdue", 0, 0, pending(800*ms, 0.2), 1.5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			history := newLatencyHistory()
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -1,9 +1,10 @@
 package balancer
 
-// maxObjectiveRatio: a concurrency window shrinks when answers take more of the objective than this.
+// maxObjectiveRatio is the mean part of the latency objective that a worker's answers may take: above it,
+// the worker's concurrency window shrinks.
 const maxObjectiveRatio = 0.3
 
-// onOutcome takes in the end of an attempt, then ends or retries its request.
+// onOutcome records the end of an attempt, then ends or retries its request.
 func (b *Balancer) onOutcome(e OutcomeEvent) {
 	a := b.pendingAttempt(e)
 	if a == nil {
@@ -11,7 +12,7 @@
 	}
 	a.end(e.Status)
 	b.recordLatency(a, e)
-	b.recordFailure(a, e.Status)
+	b.recordAttemptResult(a, e.Status)
 	b.recordContact(a, e)
 	b.recordLease(a.worker, e)
 	switch e.Status {
@@ -25,7 +26,8 @@
 	b.endOrRetry(a, e)
 }
 
-// endOrRetry closes an answered request, and retries another one if the retry budget allows it.
+// endOrRetry closes a request that is answered. Otherwise it places the request again, or finishes it if
+// its attempt may have run and the retry budget is used up.
 func (b *Balancer) endOrRetry(a *attempt, e OutcomeEvent) {
 	r := a.request
 	r.cancelledForRetry = false
@@ -47,15 +49,16 @@
 	}
 }
 
-// onAnswer learns from an answer how fast the function, the worker and the fleet are.
+// onAnswer updates estimates, the copies believed to be loaded and the worker's concurrency window after an
+// answer. It orders another copy where all copies are busy.
 func (b *Balancer) onAnswer(a *attempt, e OutcomeEvent) {
 	f := a.request.function
 	w := a.worker
 	p := a.placement
 	class := w.class(a.request.class.Name)
 	class.rejectedInARow /= 2
-	class.lastOK = b.now
-	for _, errored := range f.erroredWorkers { // another worker answers: the errors were their own
+	class.lastAnswerAt = b.now
+	for _, errored := range f.erroredWorkers { // the function works, so the errors were the workers' fault
 		b.recordResult(errored, f.class, 1)
 	}
 	f.erroredWorkers = nil
@@ -74,7 +77,9 @@
 	}
 }
 
-// onRejected learns that a worker lacks room, or takes nothing of the class, whatever its load.
+// onRejected handles a rejection. The worker counts as full for a while. After maxRejectedInARow
+// consecutive rejections it is taken to reject the class whatever its load, and the class is ejected
+// instead.
 func (b *Balancer) onRejected(a *attempt, e OutcomeEvent) {
 	b.learnDemand(a.request.function, e.QueueDepth)
 	class := a.worker.class(a.request.class.Name)
@@ -87,7 +92,8 @@
 	b.decreaseWindow(a.worker)
 }
 
-// onMiss learns that a copy is missing. If one was loaded, a release or an unload puts the others in doubt.
+// onMiss records that no copy is loaded at a worker. If one was believed to be loaded, a new release of the
+// function or an unload may have removed the copies at other workers too.
 func (b *Balancer) onMiss(a *attempt, e OutcomeEvent) {
 	f := a.request.function
 	p := a.placement
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -6,31 +6,52 @@
 )
 
 const (
-	latencyOutlierRatio = 2.0                    // a worker is slow from this multiple of the expected time
-	maxProbeBackoff     = 8 * time.Second        // longest time between two probes of an ejected worker
-	failureExcess       = 0.3                    // an outlier fails this much more of a class than the fleet ...
-	minFailureRate      = 0.01                   // ... which is taken to fail this part at the least
-	failureLimitBase    = 1.5                    // failure score of an outlier where there are no calls yet
-	fleetFailureWeight  = smoothing / 10         // weight of a new sample in the fleet's failure rate
-	otherClassShare     = 0.5                    // a failure says this much of the other classes ...
-	recentAnswer        = time.Second            // ... unless the worker has answered them in this time
-	resetSeverity       = 0.2                    // a reset is this part of a failure: any peer may cause it
-	notIdempotentLimit  = 0.5                    // the limit of not idempotent requests is this part of it
-	maxRejectedInARow   = 4                      // so many rejections in a row eject a class from a worker ...
-	minClassEjection    = 250 * time.Millisecond // ... for this long, and twice as long each time
-	maxClassDoublings   = 5                      // ... so many times
-	failOpenShare       = 0.5                    // ejections are ignored when more of the fleet is unavailable
+	// A worker is slow if its latency ratio, answer time to expected time, exceeds this.
+	latencyOutlierRatio = 2.0
+
+	maxProbeBackoff = 8 * time.Second // longest time between two probes of an ejected worker
+
+	// An outlier's failure rate for a class exceeds the fleet's by failureExcess; the fleet's rate is
+	// taken as minFleetFailureRate at least.
+	failureExcess       = 0.3
+	minFleetFailureRate = 0.01
+
+	baseFailureScoreLimit = 1.5            // limit of the failure score while there have been no calls
+	fleetFailureSmoothing = smoothing / 10 // weight of a new sample in the fleet's failure rate
+
+	// A failure in one class also counts in the other classes, multiplied by otherClassSeverity, unless the
+	// worker has answered a request of that other class within recentAnswerAge.
+	otherClassSeverity = 0.5
+	recentAnswerAge    = time.Second
+
+	resetSeverity = 0.2 // severity of a connection reset, which a healthy worker may cause too
+
+	// Requests that are not idempotent have a lower limit of the failure score: this part of the usual one.
+	notIdempotentLimitRatio = 0.5
+
+	// From maxRejectedInARow consecutive rejections on, a class is ejected from a worker for
+	// minClassEjection. Each further rejection doubles that time, maxClassEjectionDoublings times and to
+	// maxProbeBackoff/4 at most.
+	maxRejectedInARow         = 4
+	minClassEjection          = 250 * time.Millisecond
+	maxClassEjectionDoublings = 5
+
+	// Ejections are ignored while more than this part of the ready workers is unavailable.
+	failOpenShare = 0.5
 )
 
-// failureSeverity is how far the end of an attempt counts as a failure of its worker.
+// failureSeverity is the part of a failure, from 0 to 1, that the end of an attempt counts as for its
+// worker. Statuses that are not listed count as successes.
 var failureSeverity = map[Status]float64{Failed: 1, TimedOut: 1, Reset: resetSeverity}
 
-// healthy leaves out workers that fail or reject too much of the class, or are unavailable.
+// healthy reports whether a request may go to a worker, by the worker's health: it neither fails nor
+// rejects too many requests of the class, the request does not exclude it, and it is available or may be
+// probed. An unavailable worker also passes while ejections are ignored.
 func (b *Balancer) healthy(r *request, w *worker) bool {
 	class := w.healthOf(r.class.Name)
 	limit := b.failureScoreLimit()
 	if r.class.Idempotency == NotIdempotent {
-		limit *= notIdempotentLimit
+		limit *= notIdempotentLimitRatio
 	}
 	if r.excluded[w.ID] || b.now < class.ejectedUntil || class.failureScore > limit {
 		return false
@@ -38,15 +59,15 @@
 	return !w.unavailable() || b.failOpen || b.mayProbe(r, w)
 }
 
-// mayProbe reports whether a request may probe an unavailable worker: one idempotent request at a time that
-// has an attempt left after it.
+// mayProbe reports whether a request may probe an unavailable worker: a probe is due, the worker has no
+// attempt in flight, and the request is idempotent and has an attempt left after this one.
 func (b *Balancer) mayProbe(r *request, w *worker) bool {
 	due := b.now >= max(w.ejection.probeAt, w.zone.ejection.probeAt)
 	repeatable := r.class.Idempotency == Idempotent && len(r.attempts)+1 < b.settings.MaxAttempts
 	return due && repeatable && len(w.outstanding) == 0
 }
 
-// postponeProbe puts off the next probe of a worker, and of its zone if that is unreachable.
+// postponeProbe postpones the next probe of a worker, and that of its zone if the zone is unreachable.
 func (b *Balancer) postponeProbe(w *worker) {
 	w.ejection.postponeProbe(b.now, maxProbeBackoff)
 	if w.zone.ejection.active {
@@ -54,9 +75,10 @@
 	}
 }
 
-// recordFailure judges a worker by the end of an attempt. An error of a function that nobody has answered for
-// says nothing yet: it is the worker's own if another one answers.
-func (b *Balancer) recordFailure(a *attempt, status Status) {
+// recordAttemptResult adds the end of an attempt to the failure scores of its worker. An error of a
+// function that no worker has answered yet may be the function's fault: it counts once another worker
+// answers.
+func (b *Balancer) recordAttemptResult(a *attempt, status Status) {
 	f := a.request.function
 	if status == Failed && !f.countError(b.now) {
 		f.erroredWorkers = append(lastN(f.erroredWorkers, maxUnknownErrors-1), a.worker)
@@ -67,40 +89,45 @@
 	}
 }
 
-// recordResult adds a result to a worker's failure scores, of other classes in part, and to the fleet's.
+// recordResult adds a result to a worker's failure score of the class and to the fleet's failure rate. A
+// failure also counts in part in the worker's scores of other classes.
 func (b *Balancer) recordResult(w *worker, className string, severity float64) {
 	rate := b.stats.failureRate[className]
-	test := newFailureTest(math.Max(rate, minFailureRate), failureExcess, 1-minFailureRate)
+	test := newFailureTest(math.Max(rate, minFleetFailureRate), failureExcess, 1-minFleetFailureRate)
 	limit := b.failureScoreLimit()
 	for name := range b.classes {
 		other := w.class(name)
-		answers := other.lastOK > 0 && b.now-other.lastOK <= recentAnswer
+		answers := other.lastAnswerAt > 0 && b.now-other.lastAnswerAt <= recentAnswerAge
 		if name != className && severity > 0 && !answers {
-			other.addFailure(test, limit, otherClassShare*severity)
+			other.addFailure(test, limit, otherClassSeverity*severity)
 		}
 	}
 	class := w.class(className)
-	if class.failureScore <= limit { // the fleet's own rate is that of the others
-		updateMean(&rate, severity, fleetFailureWeight)
+	if class.failureScore <= limit { // the fleet's rate leaves outliers out
+		updateMean(&rate, severity, fleetFailureSmoothing)
 		b.stats.failureRate[className] = rate
 	}
 	class.addResult(test, limit, severity)
 }
 
-// failureScoreLimit is the score of a failure outlier: with more calls, chance brings more failures in a row;
-// of few calls, one failure must do.
+// failureScoreLimit returns the failure score above which a worker is an outlier. It grows with the calls
+// per worker, since more calls bring longer runs of failures by chance; with few calls, one failure is
+// enough.
 func (b *Balancer) failureScoreLimit() float64 {
-	return failureLimitBase + math.Log(1+b.hotSet.callsPerWorker)
+	return baseFailureScoreLimit + math.Log(1+b.hotSet.callsPerWorker)
 }
 
-// ejectClass keeps a class off a worker that rejects it, until the next probe of one request.
+// ejectClass keeps requests of a class from a worker that rejects them, for a time that doubles with each
+// further rejection. After that time one request probes the worker.
 func (b *Balancer) ejectClass(class *classHealth) {
-	doublings := min(class.rejectedInARow-maxRejectedInARow, maxClassDoublings)
+	doublings := min(class.rejectedInARow-maxRejectedInARow, maxClassEjectionDoublings)
 	class.ejectedUntil = b.now + min(minClassEjection<<doublings, maxProbeBackoff/4)
 }
 
-// onReset notes that a connection broke, and reports whether that is news: one break ends all attempts there.
-// One says little, any peer may cause it; a worker is ejected that breaks again before it has answered.
+// onReset records that a connection to a worker broke, and reports whether this is a new break: one break
+// ends all attempts on its connection, and is reported for each of them. A single break is weak evidence,
+// since a healthy worker may cause one too. A worker is ejected at a second break with no sign of life in
+// between.
 func (b *Balancer) onReset(w *worker) bool {
 	if b.now-w.lastReset < sweepInterval && w.lastReset > 0 {
 		return false
@@ -115,7 +142,9 @@
 // eject takes a worker out of placement until it answers a probe.
 func (b *Balancer) eject(w *worker) { w.ejection.start(b.now, b.silenceLimit()) }
 
-// ejectIfSilent ejects a worker that gave no sign of life during an attempt, unless its client soon left.
+// ejectIfSilent ejects a worker that gave no sign of life during an attempt, unless the attempt ended
+// before the silence limit, as when its client left early. Before the first answer the limit is unknown: only
+// an attempt that timed out counts then.
 func (b *Balancer) ejectIfSilent(w *worker, e OutcomeEvent) {
 	limitKnown := b.stats.meanAnswer > 0 || e.Status == TimedOut
 	if limitKnown && e.Elapsed >= b.silenceLimit() && b.now-w.lastContact > e.Elapsed {
@@ -123,16 +152,17 @@
 	}
 }
 
-// checkWorkers updates the mean load, ejects silent workers and zones, and fails open when most are.
+// checkWorkers updates the mean load, and ejects silent workers and unreachable zones. If most ready
+// workers are unavailable, it fails open: ejections are then ignored.
 func (b *Balancer) checkWorkers() {
 	unavailable := 0
 	b.meanLoad = 0
 	for _, z := range b.zones {
-		z.outstandingTime = z.lostTime
-		b.checkZone(z)
+		z.totalWait = z.endedWait
+		b.ejectIfUnreachable(z)
 	}
 	for _, w := range b.ready {
-		if len(w.outstanding) == 0 && !w.unavailable() { // nearly all, in a large fleet: it has no load
+		if len(w.outstanding) == 0 && !w.unavailable() { // no load, as with most workers of a large fleet
 			continue
 		}
 		b.meanLoad += b.load(w) / float64(len(b.ready))
@@ -141,9 +171,9 @@
 			if b.now-max(oldest, w.lastContact) > b.silenceLimit() {
 				b.eject(w)
 			}
-			w.zone.outstandingTime += b.unansweredTime(w.zone, b.now-oldest)
+			w.zone.totalWait += b.unansweredTime(w.zone, b.now-oldest)
 		}
-		b.checkZone(w.zone)
+		b.ejectIfUnreachable(w.zone)
 		if w.unavailable() {
 			unavailable++
 		}
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// request is one request of a client and its attempts. It is closed once the client has its final answer or
-// has left.
+// request is one request of a client with its attempts. It is closed once the client has its final answer,
+// is receiving a stream, or has left.
 type request struct {
 	RequestEvent
 	class             *Class
 	function          *function
 	weight            float64
-	objective         time.Duration // when its latency objective is over
-	deadline          time.Duration
+	objective         time.Duration // end of the latency objective
+	deadline          time.Duration // end of the time left at arrival
 	attempts          []*attempt
-	outstanding       int // attempts pending
+	outstanding       int // number of pending attempts
 	closed            bool
 	streaming         bool       // the client receives a stream
-	earnedLoads       bool       // it counts for the load budget
-	cancelledForRetry bool       // its attempt was cancelled to make room for another
-	waitingFor        *placement // the load order it waits for, until waitUntil
+	earnedLoads       bool       // the request was counted for the load budget
+	cancelledForRetry bool       // the pending attempt was cancelled so that a retry can follow
+	waitingFor        *placement // placement whose load order the request waits for, until waitUntil
 	waitUntil         time.Duration
-	rotation          int // of its function's group
-	extraCandidates   int // workers beyond the group that it may go to
-	excluded          map[WorkerID]bool
+	rotation          int               // offset in the function's group at which the choice of a worker begins
+	extraCandidates   int               // workers beyond the group that the request may go to
+	excluded          map[WorkerID]bool // workers that are not tried again
 }
 
-// addRequest returns a new request, which is unanswered.
+// addRequest creates the record of a new request and adds it to the unanswered ones.
 func (b *Balancer) addRequest(e RequestEvent, class *Class, f *function) *request {
 	stretch := time.Duration(class.ObjectiveStretch * float64(e.WorkEstimate))
 	r := &request{
@@ -46,13 +46,13 @@
 	return r
 }
 
-// candidates is what a look at the workers for a request has found.
+// candidates is the result of a search through the workers for a request.
 type candidates struct {
-	best         *worker // the first that is ready, neither overloaded nor avoided
-	fallback     *worker // ready but overloaded or avoided: the one with the shortest wait
-	fallbackWait float64
-	unloaded     *worker // the first where a copy could be ordered
-	copyReady    bool    // a copy is ready at a worker that is not avoided
+	best         *worker // the preferred worker that needs no load order and is neither overloaded nor avoided
+	fallback     *worker // needs no load order, but is overloaded or avoided: the one with the shortest wait
+	fallbackWait float64 // estimated wait there, as a multiple of that at an idle worker
+	unloaded     *worker // the first worker where a copy could be ordered
+	copyReady    bool    // a worker that is not avoided needs no load order
 }
 
 // attempt is one attempt of a request at a worker.
@@ -63,12 +63,12 @@
 	placement  *placement
 	sentAt     time.Duration
 	pending    bool
-	mayHaveRun bool    // it has ended and may have run
-	notWritten bool    // it has ended and was never written whole
-	expected   float64 // seconds that its answer should take
+	mayHaveRun bool    // the attempt has ended and may have run
+	notWritten bool    // the attempt has ended and was never written completely
+	expected   float64 // expected answer time, in seconds
 }
 
-// addAttempt notes an attempt that is sent now.
+// addAttempt records an attempt that is sent to a worker now.
 func (r *request) addAttempt(w *worker, now time.Duration, expected float64) {
 	a := &attempt{
 		request:   r,
@@ -86,7 +86,7 @@
 	w.outstanding = append(w.outstanding, a)
 }
 
-// end notes the end of a pending attempt.
+// end records the end of a pending attempt.
 func (a *attempt) end(status Status) {
 	a.pending = false
 	a.notWritten = status == ConnectFailed || status == NotSent
@@ -96,13 +96,13 @@
 	a.worker.outstanding = remove(a.worker.outstanding, a)
 }
 
-// giveUpLoad ends the wait for a load order and excludes its worker.
+// giveUpLoad ends the request's wait for a load order and excludes the worker of that order.
 func (r *request) giveUpLoad() {
 	r.excluded[r.waitingFor.worker.ID] = true
 	r.waitingFor = nil
 }
 
-// markClosed notes that a request needs no answer any more, and forgets it once no attempt is pending.
+// markClosed marks a request as closed, and deletes it if no attempt is pending.
 func (b *Balancer) markClosed(r *request) {
 	if !r.closed {
 		r.closed = true
@@ -115,7 +115,8 @@
 	}
 }
 
-// classOf returns the class of a request; one that the settings do not name may never be repeated.
+// classOf returns the class of a request. Requests of a class that the settings do not name are not
+// idempotent.
 func (b *Balancer) classOf(e RequestEvent) *Class {
 	if class := b.classes[e.Class]; class != nil {
 		return class
@@ -124,7 +125,7 @@
 		Idempotency: NotIdempotent}
 }
 
-// pendingAttempt returns the attempt that an outcome ends, or nil if that is not pending.
+// pendingAttempt returns the attempt that an outcome ends, or nil if no such attempt is pending.
 func (b *Balancer) pendingAttempt(e OutcomeEvent) *attempt {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
@@ -136,17 +137,18 @@
 	return nil
 }
 
-// mayRun reports whether the attempt may run or may have run.
+// mayRun reports whether the attempt may still run or may have run.
 func (a *attempt) mayRun() bool { return a.pending || a.mayHaveRun }
 
+// mayHaveRun reports whether an attempt of the request may still run or may have run.
 func (r *request) mayHaveRun() bool { return slices.ContainsFunc(r.attempts, (*attempt).mayRun) }
 
-// reachedWorker reports whether an attempt has reached a worker, or may have.
+// reachedWorker reports whether an attempt of the request has reached a worker, or may have.
 func (r *request) reachedWorker() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.notWritten })
 }
 
 func (r *request) arrivedAt() time.Duration { return r.deadline - r.TimeLeft }
 
-// halfTime is when half of the request's time is over.
+// halfTime returns when half of the time is over that the request had left at arrival.
 func (r *request) halfTime() time.Duration { return r.arrivedAt() + r.TimeLeft/2 }
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -11,7 +11,8 @@
 	"kitefall/internal/permit"
 )
 
-// Guards rule 4: a worker that has just started gets no more than this dispatcher's share of the overload multiple.
+// Guards rule 4, no overload in slow start: a worker that has just started gets at most this dispatcher's share of the
+// overload multiple of its capacity.
 func TestSlowStartLimitsSends(t *testing.T) {
 	s := testSettings()
 	f := newFleet(t, s, 1)
@@ -22,15 +23,16 @@
 		f.endLoads(OK)
 	}
 	if n := f.sentTo["cold"]; n > 1 {
-		t.Errorf("%d requests to a worker that has just started, of which nothing is known", n)
+		t.Errorf("%d requests to a worker that has just started and has answered none, want at most 1", n)
 	}
 	if f.sentTo["cold"] == 0 {
-		t.Error("a fresh worker is never tried")
+		t.Error("no request to a worker that has just started")
 	}
 }
 
-// A worker's rate is estimated by the answers of all workers that the list calls ready. Those without a lease have their part in
-// it: left out, each of the others would pass for one of twice the rate, and one that warms up be sent too much (incident 3).
+// Guards against incident 3: a worker that was warming up was sent too much. A worker's answer rate is estimated from
+// the answers of all workers that the endpoint list calls ready. Here four of nine workers lose their leases. An
+// estimate that left them out would take the rate of each other worker to be about twice as high.
 func TestAnswerRateCountsWorkersWithoutALease(t *testing.T) {
 	f, _ := newLeaseFleet(t, 8)
 	f.b.settings.Dispatchers = 10
--- a/internal/balancer/window.go
+++ b/internal/balancer/window.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// concurrencyWindow bounds how much may be in flight: additive increase, multiplicative decrease.
+// concurrencyWindow limits the number of attempts or load orders in flight. It grows additively and shrinks
+// multiplicatively (AIMD); the callers choose the smaller size.
 type concurrencyWindow struct {
 	size        float64
 	decreasedAt time.Duration
@@ -10,12 +11,12 @@
 
 func (w *concurrencyWindow) full(inFlight int) bool { return float64(inFlight) >= w.size }
 
-// increase widens the window by one for each window of successes.
+// increase is called for each success. It enlarges the window by one per as many successes as its size.
 func (w *concurrencyWindow) increase() { w.size += 1 / w.size }
 
-// decrease sets the window to a smaller size, at most once within each pause.
-func (w *concurrencyWindow) decrease(now, pause time.Duration, size float64) {
-	if now-w.decreasedAt > pause {
+// decrease sets the window to a smaller size, unless the last decrease was within the interval before now.
+func (w *concurrencyWindow) decrease(now, interval time.Duration, size float64) {
+	if now-w.decreasedAt > interval {
 		w.decreasedAt = now
 		w.size = size
 	}
--- a/internal/balancer/window_test.go
+++ b/internal/balancer/window_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestConcurrencyWindowIncreasesByOneForEachWindow(t *testing.T) {
+func TestConcurrencyWindowIncreasesByOnePerWindowOfSuccesses(t *testing.T) {
 	w := concurrencyWindow{size: 4}
 	for range 4 {
 		w.increase()
@@ -17,15 +17,15 @@
 	require.True(t, w.full(5))
 }
 
-func TestConcurrencyWindowDecreasesOnceInEachPause(t *testing.T) {
+func TestConcurrencyWindowDecreasesOncePerInterval(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		now  time.Duration
 		want float64
 	}{
-		{"within the pause", 1900 * ms, 8},
-		{"at its end", 2 * time.Second, 8},
-		{"after it", 2001 * ms, 4},
+		{"within the interval", 1900 * ms, 8},
+		{"at the end of the interval", 2 * time.Second, 8},
+		{"after the interval", 2001 * ms, 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w := concurrencyWindow{size: 8, decreasedAt: time.Second}
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -1,9 +1,11 @@
 package balancer
 
-// zoneUnreachableFactor: a zone is unreachable if its workers together lack so many mean answer times.
+// zoneUnreachableFactor is how many mean answer times the attempts at a zone's workers may wait in total,
+// since the zone's last sign of life, before the zone counts as unreachable.
 const zoneUnreachableFactor = 5.0
 
-// recordContact learns from an attempt whether its worker can be reached, and counts requests that it took.
+// recordContact records what the end of an attempt shows about whether its worker and zone can be
+// reached. A request that was answered, rejected or missed counts for the load budget.
 func (b *Balancer) recordContact(a *attempt, e OutcomeEvent) {
 	w := a.worker
 	switch e.Status {
@@ -11,23 +13,24 @@
 		b.noteFirstContact(a)
 		b.earnLoads(a.request)
 		b.markHealthy(w)
-	case Failed: // an error, but a sign of life
+	case Failed: // an error is a sign of life
 		b.markReachable(w)
 	case ConnectFailed:
-		w.zone.lostTime += b.unansweredTime(w.zone, e.Elapsed)
+		w.zone.endedWait += b.unansweredTime(w.zone, e.Elapsed)
 		b.eject(w)
 	case TimedOut:
-		w.zone.lostTime += b.unansweredTime(w.zone, e.Elapsed)
+		w.zone.endedWait += b.unansweredTime(w.zone, e.Elapsed)
 		b.ejectIfSilent(w, e)
 	case Cancelled:
 		b.ejectIfSilent(w, e)
 	}
 }
 
-// checkZone ejects a zone as a whole: few requests to many workers would find out each of them late.
-func (b *Balancer) checkZone(z *zone) {
+// ejectIfUnreachable ejects a zone as a whole if it is unreachable. With few requests spread over many
+// workers, each worker would be detected late on its own.
+func (b *Balancer) ejectIfUnreachable(z *zone) {
 	limit := seconds(zoneUnreachableFactor * b.stats.meanAnswer)
-	if b.stats.meanAnswer > 0 && z.outstandingTime > limit {
+	if b.stats.meanAnswer > 0 && z.totalWait > limit {
 		z.ejection.start(b.now, b.silenceLimit())
 	}
 }
