--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -13,7 +13,7 @@
 	function          *function
 	weight            float64
 	objective         time.Duration // end of the latency objective
-	deadline          time.Duration // end of the time left at arrival
+	deadline          time.Duration // when the time left at arrival is over
 	attempts          []*attempt
 	outstanding       int // number of pending attempts
 	closed            bool
