--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -19,19 +19,19 @@
 	timer   timer
 	polling polling
 
-	workers    map[WorkerID]*worker
-	zones      map[string]*zone
-	ready      []*worker // sorted by ID
-	changes    listChanges
-	leases     leases
-	restarts   restarts
-	keepalives keepalives
-	ranked     []rankedWorker // for makeOrder
-	unknown    placement      // for look
-	meanLoad   float64        // of the ready workers
-	failOpen   bool           // most workers are unavailable: ejections are ignored
-	functions  map[FunctionID]*function
-	hotSet     hotSet
+	workers        map[WorkerID]*worker
+	zones          map[string]*zone
+	ready          []*worker // sorted by ID
+	changes        listChangeLog
+	leases         leases
+	restarts       restarts
+	keepalives     keepalives
+	rankBuffer     []rankedWorker // for rebuildOrder
+	emptyPlacement placement      // for look
+	meanLoad       float64        // of the ready workers
+	failOpen       bool           // most workers are unavailable: ejections are ignored
+	functions      map[FunctionID]*function
+	hotSet         hotSet
 
 	requests        map[RequestID]*request
 	unanswered      []*request               // in order of arrival
@@ -50,7 +50,7 @@
 	if len(s.Classes) == 0 {
 		return nil, errors.New("balancer: the settings name no class")
 	}
-	if shortestTime(s) < 0 {
+	if minDuration(s) < 0 {
 		return nil, errors.New("balancer: the settings hold a negative time")
 	}
 	b := &Balancer{
@@ -76,8 +76,8 @@
 	return b, nil
 }
 
-// shortestTime is the smallest of all times in the settings.
-func shortestTime(s Settings) time.Duration {
+// minDuration is the smallest of all times in the settings.
+func minDuration(s Settings) time.Duration {
 	shortest := min(s.MinEventInterval, s.AnswerGrace, s.DrainGrace, s.SlowStartDuration, s.OverloadWindow,
 		s.IdleTTL, s.LoadTimeout, s.LoadWindow, s.PollTimeout, s.MaxRetryAfter, s.DialTimeout)
 	for _, c := range s.Classes {
--- a/internal/balancer/dispatchers_test.go
+++ b/internal/balancer/dispatchers_test.go
@@ -10,18 +10,18 @@
 
 // dispatcherGroup plays one fleet of workers for many balancers that share nothing, each with a few requests a second.
 type dispatcherGroup struct {
-	balancers []*Balancer
-	rng       *rand.Rand
-	now       time.Duration
-	callbacks map[time.Duration][]func()
-	sends     map[WorkerID][]time.Duration
-	loadCount int
-	functions int           // that are called, beside the first one
-	longest   time.Duration // that a balancer took for one event
+	balancers    []*Balancer
+	rng          *rand.Rand
+	now          time.Duration
+	callbacks    map[time.Duration][]func()
+	sends        map[WorkerID][]time.Duration
+	loadOrders   int
+	functions    int           // that are called, beside the first one
+	longestEvent time.Duration // that a balancer took for one event
 }
 
-// groupStep is how far the clock moves at a time.
-const groupStep = 5 * ms
+// clockStep is how far the clock moves at a time.
+const clockStep = 5 * ms
 
 func newDispatcherGroup(t testing.TB, s Settings, balancers, workers int) *dispatcherGroup {
 	t.Helper()
@@ -45,10 +45,10 @@
 }
 
 // after calls f after a time, on the next step.
-func (g *dispatcherGroup) after(d time.Duration, f func()) {
-	at := (g.now + d + groupStep - 1) / groupStep * groupStep
+func (g *dispatcherGroup) scheduleAfter(d time.Duration, f func()) {
+	at := (g.now + d + clockStep - 1) / clockStep * clockStep
 	if at <= g.now {
-		at = g.now + groupStep
+		at = g.now + clockStep
 	}
 	g.callbacks[at] = append(g.callbacks[at], f)
 }
@@ -57,24 +57,24 @@
 func (g *dispatcherGroup) event(i int, e Event) {
 	begun := time.Now()
 	actions := g.balancers[i].Handle(g.now, e)
-	g.longest = max(g.longest, time.Since(begun))
+	g.longestEvent = max(g.longestEvent, time.Since(begun))
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			g.sends[a.Worker] = append(g.sends[a.Worker], g.now)
 			n := len(g.balancers[i].requests[a.ID].attempts) - 1 // one send of a request at a time
-			g.after(150*ms, func() {
+			g.scheduleAfter(150*ms, func() {
 				g.event(i, OutcomeEvent{ID: a.ID, Attempt: n, Worker: a.Worker, Status: OK, Elapsed: 150 * ms,
 					Answered: true})
 			})
 		case Load:
-			g.loadCount++
-			g.after(groupStep, func() {
-				g.event(i, LoadEndedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Elapsed: groupStep,
+			g.loadOrders++
+			g.scheduleAfter(clockStep, func() {
+				g.event(i, LoadEndedEvent{Worker: a.Worker, Function: a.Function, Status: OK, Elapsed: clockStep,
 					Copies: 1})
 			})
 		case SetTimer:
-			g.after(a.After, func() { g.event(i, TimerEvent{TimerID: a.TimerID}) })
+			g.scheduleAfter(a.After, func() { g.event(i, TimerEvent{TimerID: a.TimerID}) })
 		}
 	}
 }
@@ -90,15 +90,15 @@
 }
 
 // play sends requests for some time, rate a second over all balancers, a fifth of them for one function.
-func (g *dispatcherGroup) play(span time.Duration, rate float64) {
+func (g *dispatcherGroup) runTraffic(span time.Duration, rate float64) {
 	for until := g.now + span; g.now < until; {
-		g.now += groupStep
+		g.now += clockStep
 		events := g.callbacks[g.now]
 		delete(g.callbacks, g.now)
 		for _, f := range events {
 			f()
 		}
-		for n := rate * groupStep.Seconds(); n > 0 && g.rng.Float64() < n; n-- {
+		for n := rate * clockStep.Seconds(); n > 0 && g.rng.Float64() < n; n-- {
 			f := g.rng.IntN(g.functions)
 			if g.rng.IntN(5) == 0 {
 				f = 0
@@ -114,7 +114,7 @@
 	slow := testSettings()
 	slow.SlowStartFloor, slow.SlowStartDuration = 0.1, 20*time.Second
 	g := newDispatcherGroup(t, slow, 200, 10)
-	g.play(12*time.Second, 400)
+	g.runTraffic(12*time.Second, 400)
 	const capacity = 400 / 10 / 0.6 // a warm worker is busy for 0.6 of its time
 	cold := WorkerID("w00")
 	for w, at := range g.sends {
@@ -128,7 +128,7 @@
 		g.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: []Worker{restarted}})
 	}
 	g.sends[cold] = nil
-	g.play(12*time.Second, 400)
+	g.runTraffic(12*time.Second, 400)
 	early := 0
 	for i, at := range g.sends[cold] {
 		if at >= started+slow.SlowStartDuration {
@@ -154,7 +154,7 @@
 }
 
 // restart has a part of the balancers begin anew, with nothing but the list.
-func (g *dispatcherGroup) restart(t testing.TB, part float64, list []Worker) {
+func (g *dispatcherGroup) restartBalancers(t testing.TB, part float64, list []Worker) {
 	for i := range g.balancers {
 		if g.rng.Float64() >= part {
 			g.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: list})
@@ -179,7 +179,7 @@
 				s.SlowStartFloor, s.SlowStartDuration, s.OverloadWindow = 0.27, 16*time.Second, 3*time.Second
 				const workers, rate = 10, 300
 				g := newDispatcherGroup(t, s, peers, workers)
-				g.play(12*time.Second, rate)
+				g.runTraffic(12*time.Second, rate)
 				var list []Worker
 				for _, w := range g.balancers[0].ready {
 					list = append(list, w.Worker)
@@ -190,8 +190,8 @@
 				}
 				started := g.now
 				g.sends = map[WorkerID][]time.Duration{}
-				g.restart(t, part, list)
-				g.play(8*time.Second, 1.5*rate) // a burst of half as much again
+				g.restartBalancers(t, part, list)
+				g.runTraffic(8*time.Second, 1.5*rate) // a burst of half as much again
 				for _, w := range list[:cold] {
 					for i, at := range g.sends[w.ID] {
 						sends := countAfter(g.sends[w.ID][:i+1], at-s.OverloadWindow)
@@ -211,10 +211,10 @@
 // Guards against loads and primary workers by chance: few own calls must not scatter a fleet's copies.
 func TestManyDispatchersAgreeOnPlacement(t *testing.T) {
 	g := newDispatcherGroup(t, testSettings(), 200, 30)
-	g.play(15*time.Second, 400)
-	before := g.loadCount
-	g.play(5*time.Second, 400)
-	if n := g.loadCount - before; n > 400 {
+	g.runTraffic(15*time.Second, 400)
+	before := g.loadOrders
+	g.runTraffic(5*time.Second, 400)
+	if n := g.loadOrders - before; n > 400 {
 		t.Errorf("%d orders for 2000 requests, though all copies are loaded", n)
 	}
 }
@@ -223,10 +223,10 @@
 	for _, workers := range []int{10, 100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			g := newDispatcherGroup(b, testSettings(), 30, workers)
-			g.play(5*time.Second, 200)
+			g.runTraffic(5*time.Second, 200)
 			b.ResetTimer()
 			for range b.N {
-				g.play(groupStep, 200)
+				g.runTraffic(clockStep, 200)
 			}
 		})
 	}
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -17,7 +17,7 @@
 	maxCallWeight       = 10.0            // one request counts as this many of mean work at most
 	maxFunctionRatio    = 10.0            // an answer counts as this many usual ones at most
 	initialConcurrency  = 12.0            // in flight to a worker from all dispatchers at first; half at least
-	latencyPrior        = 1.5             // a latency ratio starts with this many usual answers ...
+	latencyPriorAnswers = 1.5             // a latency ratio starts with this many usual answers ...
 	latencyDecay        = 3 * time.Second // ... and a worker's own are forgotten with this time constant
 	silenceFactor       = 10.0            // a worker is silent after this many mean answer times
 	// One attempt counts for so many mean answer times of its zone at most: any may be long.
@@ -51,7 +51,7 @@
 // latencyRatio is how long a worker's answers take against what they should, by the work of the requests: a
 // primary worker answers its own functions only, so that their usual times say nothing.
 func (b *Balancer) latencyRatio(w *worker) float64 {
-	ratio := w.latency.ratio(b.now, latencyPrior*b.stats.meanAnswer, latencyDecay, w.outstanding)
+	ratio := w.latency.ratio(b.now, latencyPriorAnswers*b.stats.meanAnswer, latencyDecay, w.outstanding)
 	if b.stats.meanAnswer == 0 { // nothing to compare with yet
 		return 1
 	}
--- a/internal/balancer/function.go
+++ b/internal/balancer/function.go
@@ -91,8 +91,8 @@
 	if p := f.placements[w.ID]; p != nil {
 		return p
 	}
-	b.unknown = placement{worker: w}
-	return &b.unknown
+	b.emptyPlacement = placement{worker: w}
+	return &b.emptyPlacement
 }
 
 // placement returns the record of the function at a worker, which is kept.
--- a/internal/balancer/hotset.go
+++ b/internal/balancer/hotset.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	minHotSetSize      = 10               // at most this many functions are hot ...
-	workersPerHotFunc  = 4                // ... or one for this many workers, where that is more
-	groupSpread        = 1.5              // a hot function's group has this multiple of its part of the workers
-	minGroupSize       = 3                // ... and this many at least
-	maxGroupStarts     = 5                // a newly hot function looks at this many places for its group
-	callDecay          = 10 * time.Second // calls are forgotten with this time constant
-	promotionThreshold = 1.0              // hot from this part of a worker's even share of calls, down to half
-	minHotCalls        = 6.0              // ... but never on fewer calls than this, counted times dispatchers
-	queueDepthPrior    = 2.0              // own calls counted a worker that weigh as much as the queue depths
-	minOwnCalls        = 3.0              // own calls counted a worker from which on they judge workers ...
-	manyDispatchers    = 10               // ... and always where there are fewer dispatchers than this
+	minHotSetSize         = 10               // at most this many functions are hot ...
+	workersPerHotFunction = 4                // ... or one for this many workers, where that is more
+	groupSizeFactor       = 1.5              // a hot function's group has this multiple of its part of the workers
+	minGroupSize          = 3                // ... and this many at least
+	maxGroupStarts        = 5                // a newly hot function looks at this many places for its group
+	callDecay             = 10 * time.Second // calls are forgotten with this time constant
+	promotionThreshold    = 1.0              // hot from this part of a worker's even share of calls, down to half
+	minHotCalls           = 6.0              // ... but never on fewer calls than this, counted times dispatchers
+	queueDepthPrior       = 2.0              // own calls counted a worker that weigh as much as the queue depths
+	minOwnCalls           = 3.0              // own calls counted a worker from which on they judge workers ...
+	manyDispatchers       = 10               // ... and always where there are fewer dispatchers than this
 )
 
 // updateHotSet ranks the functions and promotes or demotes them.
 func (b *Balancer) updateHotSet() {
-	b.resetWorkers()
+	b.refreshWorkerStats()
 	b.forgetRemoved()
 	ranked := b.rankFunctions()
 	b.resetHotSet(ranked)
-	limit := max(minHotSetSize, len(b.ready)/workersPerHotFunc)
+	limit := max(minHotSetSize, len(b.ready)/workersPerHotFunction)
 	for i, f := range ranked {
 		if i >= limit+limit/4 || i >= limit && !f.hot {
 			f.demote()
@@ -54,7 +54,7 @@
 		f.demote()
 		return
 	}
-	f.groupSize = min(len(b.ready), max(minGroupSize, int(math.Ceil(groupSpread*share))))
+	f.groupSize = min(len(b.ready), max(minGroupSize, int(math.Ceil(groupSizeFactor*share))))
 	if !wasHot {
 		f.groupStart = b.leastLoadedGroup(f)
 		f.rotation = int(mix(b.seed+uint64(b.now)) % 1024) // dispatchers begin at different workers
--- a/internal/balancer/loadbudget.go
+++ b/internal/balancer/loadbudget.go
@@ -22,13 +22,13 @@
 			Burst:  s.LoadBurst,
 			Ratio:  s.LoadRatio,
 			Window: s.LoadWindow,
-			Margin: s.maxOrderDelay(),
+			Margin: s.maxLoadOrderDelay(),
 		},
 	}
 }
 
 // begin notes that an order is sent.
-func (l *loadBudget) begin(f *function, p *placement, now time.Duration) {
+func (l *loadBudget) orderSent(f *function, p *placement, now time.Duration) {
 	l.inFlight++
 	f.references++
 	p.ordered = true
@@ -36,15 +36,15 @@
 }
 
 // end notes that an order has ended.
-func (l *loadBudget) end(f *function, p *placement) {
+func (l *loadBudget) orderEnded(f *function, p *placement) {
 	l.inFlight--
 	f.references--
 	p.ordered = false
 }
 
-// maxOrderDelay is how long a load order may take to its worker: one connection that does not come up in
+// maxLoadOrderDelay is how long a load order may take to its worker: one connection that does not come up in
 // time, and another.
-func (s *Settings) maxOrderDelay() time.Duration { return min(2*s.DialTimeout, s.LoadWindow/2) }
+func (s *Settings) maxLoadOrderDelay() time.Duration { return min(2*s.DialTimeout, s.LoadWindow/2) }
 
-// loadsOnOrderOnly reports whether workers load a function when they are ordered to, and not on a miss.
-func (b *Balancer) loadsOnOrderOnly() bool { return b.settings.LoadOrders && !b.settings.LoadOnMiss }
+// loadsOnlyOnOrder reports whether workers load a function when they are ordered to, and not on a miss.
+func (b *Balancer) loadsOnlyOnOrder() bool { return b.settings.LoadOrders && !b.settings.LoadOnMiss }
--- a/internal/balancer/loadbudget_test.go
+++ b/internal/balancer/loadbudget_test.go
@@ -13,11 +13,11 @@
 	var budget loadBudget
 	f := &function{}
 	p := &placement{}
-	budget.begin(f, p, time.Second)
+	budget.orderSent(f, p, time.Second)
 	require.Equal(t, 1, budget.inFlight)
 	require.Equal(t, 1, f.references, "a function with a pending order must not be forgotten")
 	require.Equal(t, placement{ordered: true, orderedAt: time.Second}, *p)
-	budget.end(f, p)
+	budget.orderEnded(f, p)
 	require.Zero(t, budget.inFlight)
 	require.Zero(t, f.references)
 	require.False(t, p.ordered)
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -17,7 +17,7 @@
 
 // needsLoadOrder reports whether a copy not believed to be loaded is ordered before a request goes there.
 func (b *Balancer) needsLoadOrder(p *placement) bool {
-	return b.loadsOnOrderOnly() && (b.settings.LoadWindow == 0 || p.missed)
+	return b.loadsOnlyOnOrder() && (b.settings.LoadWindow == 0 || p.missed)
 }
 
 // orderLoad orders copies for calls. It keeps to drains, the load budget and the bound in flight.
@@ -47,10 +47,10 @@
 
 // emitLoad is the one place that emits Load. The order is completed with its worker and function.
 func (b *Balancer) emitLoad(f *function, p *placement, order Load) {
-	b.loads.begin(f, p, b.now)
+	b.loads.orderSent(f, p, b.now)
 	order.Worker = p.worker.ID
 	order.Function = f.id
-	order.StartWithin = b.settings.maxOrderDelay()
+	order.StartWithin = b.settings.maxLoadOrderDelay()
 	b.emit(order)
 }
 
@@ -72,11 +72,11 @@
 		return
 	}
 	p := f.placement(w)
-	b.loads.end(f, p)
+	b.loads.orderEnded(f, p)
 	if asked := b.endKeepalive(f, p, e); !asked {
 		p.copies = e.Copies
 		pause := seconds(f.loadTime / 2)
-		if slow := b.applyLoad(f, p, e); slow {
+		if slow := b.recordLoadResult(f, p, e); slow {
 			size := math.Max(minLoadWindow, b.loads.window.size*loadWindowDecrease)
 			b.loads.window.decrease(b.now, pause, size)
 		}
@@ -89,8 +89,8 @@
 	}
 }
 
-// applyLoad takes in how a load ended; slow reports whether it took long or failed, as from a crowded store.
-func (b *Balancer) applyLoad(f *function, p *placement, e LoadEndedEvent) (slow bool) {
+// recordLoadResult takes in how a load ended; slow reports whether it took long or failed, as from a crowded store.
+func (b *Balancer) recordLoadResult(f *function, p *placement, e LoadEndedEvent) (slow bool) {
 	elapsed := e.Elapsed.Seconds()
 	usual := f.loadTime
 	if e.Status == OK {
@@ -122,12 +122,12 @@
 	return !p.ordered || b.now > r.waitUntil || workerLost
 }
 
-// lastAttempt reports whether a request's next attempt is its last. Misses within a few ms would end it at
+// lastAttemptNeedsCopy reports whether a request's next attempt is its last. Misses within a few ms would end it at
 // once, so it is kept for a worker where a copy is loaded or has been ordered.
-func (b *Balancer) lastAttempt(r *request) bool {
+func (b *Balancer) lastAttemptNeedsCopy(r *request) bool {
 	attempts := len(r.attempts)
 	last := attempts > 0 && attempts+1 >= b.settings.MaxAttempts
-	return last && b.loadsOnOrderOnly()
+	return last && b.loadsOnlyOnOrder()
 }
 
 // preloadHotSet orders missing copies of hot functions at their group, where own calls must keep them loaded.
--- a/internal/balancer/loadorders_test.go
+++ b/internal/balancer/loadorders_test.go
@@ -49,23 +49,23 @@
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(6)
 	f.advance(2 * time.Second)
-	ask := func(name string) int {
+	countOrders := func(name string) int {
 		f.loads, f.pendingLoads = nil, nil
 		for i := range 12 {
 			f.request("safe", fmt.Sprint(name, i), 2*time.Second)
 		}
 		return len(f.loads)
 	}
-	usual := ask("a")
+	usual := countOrders("a")
 	orders := f.pendingLoads
 	for i, l := range orders {
-		took := 200 * ms
+		elapsed := 200 * ms
 		if i == len(orders)-1 { // the others have widened the window by a third
-			took = time.Second
+			elapsed = time.Second
 		}
-		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Elapsed: took, Status: OK, Copies: 1})
+		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Elapsed: elapsed, Status: OK, Copies: 1})
 	}
-	if slow := ask("b"); slow < 2 || slow > usual*3/4 {
+	if slow := countOrders("b"); slow < 2 || slow > usual*3/4 {
 		t.Errorf("%d orders in flight after a slow load, %d before", slow, usual)
 	}
 }
@@ -155,7 +155,7 @@
 }
 
 // Guards the load budget against clients that send by hundreds what they cancel at once, or what nobody knows: the
-// platform does not count these requests as taken. Only what a worker took for a request earns, at its arrival.
+// platform does not count these requests as taken. Only what a worker elapsed for a request earns, at its arrival.
 func TestUnservedRequestsEarnNoLoadOrders(t *testing.T) {
 	s := testSettings()
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
@@ -197,9 +197,9 @@
 	f.listWorkers(1)
 	f.endAttempt(f.request("safe", "fn", 3*time.Second), 0, Miss) // its order is the only one to be had
 	f.endLoads(OK)
-	gone := f.request("safe", "other", 3*time.Second)
-	f.endAttempt(gone, 0, Miss)
-	f.event(ClientGoneEvent{ID: gone})
+	cancelled := f.request("safe", "other", 3*time.Second)
+	f.endAttempt(cancelled, 0, Miss)
+	f.event(ClientGoneEvent{ID: cancelled})
 	f.advance(f.now + 700*ms) // two load times
 	first, second := f.request("safe", "other", 3*time.Second), f.request("safe", "other", 3*time.Second)
 	if len(f.open[first].sends) != 1 || len(f.open[second].sends) != 0 {
@@ -209,7 +209,7 @@
 
 // New versions of functions come on quiet days too: one miss where a copy was loaded puts all copies of that function
 // in doubt, and what is missing everywhere at once is loaded at a pace, though no budget holds it back.
-func TestReleaseOrdersLoadsAtAPace(t *testing.T) {
+func TestLoadWindowLimitsOrdersAfterRelease(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(6)
 	const functions = 40
@@ -217,9 +217,9 @@
 	for i := range functions {
 		f.serve("safe", name(i))
 	}
-	twice := f.b.functions["fn0"]
+	loadedEverywhere := f.b.functions["fn0"]
 	for _, w := range f.b.ready { // it is believed to be loaded everywhere
-		p := twice.placement(w)
+		p := loadedEverywhere.placement(w)
 		p.copies, p.loadedUntil = 1, f.now+f.b.loadedTrust()
 	}
 	f.loads = nil
@@ -227,7 +227,7 @@
 		id := f.request("safe", name(i), 2*time.Second)
 		f.missEverywhere(id)
 		if i == 0 {
-			for _, p := range twice.placements {
+			for _, p := range loadedEverywhere.placements {
 				if f.b.isLoaded(p) {
 					t.Errorf("a copy at %s is still believed to be loaded", p.worker.ID)
 				}
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -13,7 +13,7 @@
 	minCallsPerIdleTTL  = 3.0 // expected calls within the idle time by which a copy is taken to be loaded
 	loadedTrustRatio    = 0.6 // a copy is believed to be loaded for this part of its idle time
 	overloadFactor      = 1.5 // a worker is passed over above this multiple of the mean load ...
-	overloadSlack       = 1.5 // ... plus this many requests
+	overloadAllowance   = 1.5 // ... plus this many requests
 )
 
 // candidate is the i-th worker for a function: its group from a rotation on, then onward in rendezvous order.
@@ -56,7 +56,7 @@
 	case b.orderLoad(f, p, 1, 2*b.loads.window.size) || p.ordered:
 		r.waitingFor = p
 		r.waitUntil = p.orderedAt + f.loadPatience()
-	case b.now >= p.missingUntil && !b.lastAttempt(r): // another dispatcher may have ordered a copy
+	case b.now >= p.missingUntil && !b.lastAttemptNeedsCopy(r): // another dispatcher may have ordered a copy
 		p.missingUntil = b.now + f.loadPatience()
 		b.send(r, w)
 	}
@@ -100,7 +100,7 @@
 	renewing := b.settings.EndpointLeases
 	for i := range b.ready {
 		if found.best != nil && i >= f.groupSize+r.extraCandidates {
-			b.considerProven(r, &found, i)
+			b.preferProvenWorker(r, &found, i)
 			break
 		}
 		w := b.candidate(f, r.rotation, i)
@@ -133,14 +133,14 @@
 			break
 		}
 		found.copyReady = found.copyReady || !avoided
-		b.considerFallback(&found, w)
+		b.updateFallback(&found, w)
 	}
 	return found
 }
 
-// considerProven takes a worker in place of the best one if that is not proven to be ready: the first one of
+// preferProvenWorker takes a worker in place of the best one if that is not proven to be ready: the first one of
 // the next in the function's order that is, and where a copy is loaded.
-func (b *Balancer) considerProven(r *request, found *candidates, next int) {
+func (b *Balancer) preferProvenWorker(r *request, found *candidates, next int) {
 	if !b.settings.EndpointLeases || b.outOfSync() || !b.fewCalls() || b.evidenceLeft(found.best) > 0 {
 		return
 	}
@@ -157,8 +157,8 @@
 	}
 }
 
-// considerFallback takes a worker with room for the fallback if its wait is the shortest yet.
-func (b *Balancer) considerFallback(found *candidates, w *worker) {
+// updateFallback takes a worker with room for the fallback if its wait is the shortest yet.
+func (b *Balancer) updateFallback(found *candidates, w *worker) {
 	if !w.hasRoom(b.now) {
 		return
 	}
@@ -171,7 +171,7 @@
 
 // copyReady reports whether a request needs no load order of its own at a worker.
 func (b *Balancer) copyReady(r *request, p *placement, loadedByPeers bool) bool {
-	if b.isLoaded(p) || !b.needsLoadOrder(p) && !b.lastAttempt(r) {
+	if b.isLoaded(p) || !b.needsLoadOrder(p) && !b.lastAttemptNeedsCopy(r) {
 		return true
 	}
 	return loadedByPeers && !p.worker.slowStart.active && b.now >= p.missingUntil
@@ -182,6 +182,6 @@
 	if !w.hasRoom(b.now) || b.latencyRatio(w) > latencyOutlierRatio {
 		return true
 	}
-	slack := overloadSlack * float64(b.settings.Dispatchers) / b.capacity(w)
+	slack := overloadAllowance * float64(b.settings.Dispatchers) / b.capacity(w)
 	return b.load(w) > overloadFactor*b.meanLoad+slack
 }
--- a/internal/balancer/placement_test.go
+++ b/internal/balancer/placement_test.go
@@ -8,7 +8,7 @@
 
 // All dispatchers agree on the primary worker of a rare function, and primary workers differ between functions.
 func TestRareFunctionsHaveOnePrimaryWorker(t *testing.T) {
-	homes := map[WorkerID]bool{}
+	primaries := map[WorkerID]bool{}
 	for i := range 12 {
 		name := fmt.Sprintf("fn%d", i)
 		a, b := newFleet(t, testSettings(), 1), newFleet(t, testSettings(), 99)
@@ -18,10 +18,10 @@
 		if x != y {
 			t.Errorf("%s: primary %s at one dispatcher, %s at another", name, x, y)
 		}
-		homes[x] = true
+		primaries[x] = true
 	}
-	if len(homes) < 3 {
-		t.Errorf("12 functions share only %d homes", len(homes))
+	if len(primaries) < 3 {
+		t.Errorf("12 functions share only %d primaries", len(primaries))
 	}
 }
 
--- a/internal/balancer/random_test.go
+++ b/internal/balancer/random_test.go
@@ -26,25 +26,25 @@
 	return f.log
 }
 
-func coin(rng *rand.Rand) bool { return rng.IntN(2) == 0 }
+func randomBool(rng *rand.Rand) bool { return rng.IntN(2) == 0 }
 
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Hedging = coin(rng)
-	s.CanCancel = coin(rng)
+	s.Hedging = randomBool(rng)
+	s.CanCancel = randomBool(rng)
 	s.LoadOrders = rng.IntN(4) > 0
 	s.LoadOnMiss = rng.IntN(4) == 0
 	s.MaxAttempts = 1 + rng.IntN(5)
-	s.ReportsQueueDepth = coin(rng)
-	s.PollEndpoints = coin(rng)
+	s.ReportsQueueDepth = randomBool(rng)
+	s.PollEndpoints = randomBool(rng)
 	s.Classes[1].DedupScope = DedupScope(rng.IntN(3))
 	s.Dispatchers = []int{1, 3, 100, 300}[rng.IntN(4)]
-	s.ClientsMarkRetries = coin(rng)
-	s.LiveWeights = coin(rng)
-	if coin(rng) {
+	s.ClientsMarkRetries = randomBool(rng)
+	s.LiveWeights = randomBool(rng)
+	if randomBool(rng) {
 		s.LoadWindow, s.LoadBurst, s.LoadRatio = time.Second, 2, 0.3
 	}
-	if coin(rng) {
+	if randomBool(rng) {
 		s.Tenants = []Tenant{{Name: "a", Quota: 0.5, RateQuota: 5}}
 	}
 	return s
@@ -64,7 +64,7 @@
 	case kind == 16:
 		w := f.workers[WorkerID(fmt.Sprintf("w%02d", rng.IntN(6)))]
 		w.State = WorkerState(rng.IntN(3))
-		if w.State == Ready && coin(rng) {
+		if w.State == Ready && randomBool(rng) {
 			w.Started = f.now
 		}
 		f.update(ScopeDelta, w)
@@ -115,7 +115,7 @@
 	return false
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
+func TestRandomEventsBreakNoRule(t *testing.T) {
 	for seed := range uint64(60) {
 		playRandomEvents(t, seed)
 	}
--- a/internal/balancer/ranking.go
+++ b/internal/balancer/ranking.go
@@ -41,8 +41,8 @@
 	b.hotSet.functions = append(b.hotSet.functions, f)
 }
 
-// resetWorkers begins a new count of each worker's hot calls and lets failures be forgotten.
-func (b *Balancer) resetWorkers() {
+// refreshWorkerStats begins a new count of each worker's hot calls and lets failures be forgotten.
+func (b *Balancer) refreshWorkerStats() {
 	b.hotSet.warmWeight = b.lapsedWarmWeight()
 	for _, w := range b.ready {
 		w.hotCalls = 0
--- a/internal/balancer/rendezvous.go
+++ b/internal/balancer/rendezvous.go
@@ -16,10 +16,10 @@
 // a function goes to the first few workers, and a fleet may have thousands. Changes of the list are taken in
 // one by one, since an order that was made anew at each change would cost more than all requests.
 type rendezvous struct {
-	hash    uint64    // of the function
-	prefix  []*worker // the first workers of the order
-	whole   bool      // there are no others
-	changes int       // of the list that are taken in, see listChanges; 0: it was never made
+	hash           uint64    // of the function
+	prefix         []*worker // the first workers of the order
+	complete       bool      // there are no others
+	appliedChanges int       // of the list that are taken in, see listChangeLog; 0: it was never made
 }
 
 // rankedWorker is a worker with its key in the order that is being made.
@@ -36,14 +36,14 @@
 	return rankedWorker{key: rendezvousKey(r.hash, w.hash, w.fullWeight), worker: w}
 }
 
-// listChanges is which workers became ready, ceased to be or changed their weight, in turn. Changes are
+// listChangeLog is which workers became ready, ceased to be or changed their weight, in turn. Changes are
 // numbered from 1.
-type listChanges struct {
+type listChangeLog struct {
 	last    int       // number of the last one
 	workers []*worker // the most recent ones
 }
 
-func (c *listChanges) add(w *worker) {
+func (c *listChangeLog) add(w *worker) {
 	c.last++
 	c.workers = append(c.workers, w)
 	if len(c.workers) > 2*maxListChanges {
@@ -52,7 +52,7 @@
 }
 
 // since returns the workers that have changed after a change, and whether all of them are remembered.
-func (c *listChanges) since(change int) ([]*worker, bool) {
+func (c *listChangeLog) since(change int) ([]*worker, bool) {
 	missing := c.last - change
 	if change == 0 || missing > min(len(c.workers), maxListChanges) {
 		return nil, false
@@ -64,23 +64,23 @@
 func (b *Balancer) workerAt(f *function, index int) *worker {
 	index %= len(b.ready)
 	r := &f.rendezvous
-	if r.changes != b.changes.last {
-		b.takeInChanges(r)
+	if r.appliedChanges != b.changes.last {
+		b.applyChanges(r)
 	}
 	if index >= len(r.prefix) {
-		b.makeOrder(r, 2*index)
+		b.rebuildOrder(r, 2*index)
 	}
 	return r.prefix[index]
 }
 
-// takeInChanges brings an order up to date with the list.
-func (b *Balancer) takeInChanges(r *rendezvous) {
-	changed, known := b.changes.since(r.changes)
+// applyChanges brings an order up to date with the list.
+func (b *Balancer) applyChanges(r *rendezvous) {
+	changed, known := b.changes.since(r.appliedChanges)
 	if !known {
-		b.makeOrder(r, minRendezvousPrefix)
+		b.rebuildOrder(r, minRendezvousPrefix)
 		return
 	}
-	r.changes = b.changes.last
+	r.appliedChanges = b.changes.last
 	// All go before any comes, since the keys of the others are what the order is by.
 	r.prefix = slices.DeleteFunc(r.prefix, func(w *worker) bool { return slices.Contains(changed, w) })
 	for i, w := range changed {
@@ -95,31 +95,31 @@
 	place, _ := slices.BinarySearchFunc(r.prefix, r.rank(w), func(other *worker, ranked rankedWorker) int {
 		return r.rank(other).compare(ranked)
 	})
-	if place < len(r.prefix) || r.whole {
+	if place < len(r.prefix) || r.complete {
 		r.prefix = slices.Insert(r.prefix, place, w)
 	}
 }
 
-// makeOrder makes an order anew, and keeps so many workers of it at least.
-func (b *Balancer) makeOrder(r *rendezvous, length int) {
-	ranked := b.ranked[:0]
+// rebuildOrder makes an order anew, and keeps so many workers of it at least.
+func (b *Balancer) rebuildOrder(r *rendezvous, length int) {
+	ranked := b.rankBuffer[:0]
 	for _, w := range b.ready {
 		ranked = append(ranked, r.rank(w))
 	}
-	b.ranked = ranked
+	b.rankBuffer = ranked
 	length = min(max(length, minRendezvousPrefix), len(ranked))
-	selectFirst(ranked, length)
+	selectSmallest(ranked, length)
 	slices.SortFunc(ranked[:length], rankedWorker.compare)
 	r.prefix = slices.Grow(r.prefix[:0], length)
 	for _, v := range ranked[:length] {
 		r.prefix = append(r.prefix, v.worker)
 	}
-	r.whole = length == len(ranked)
-	r.changes = b.changes.last
+	r.complete = length == len(ranked)
+	r.appliedChanges = b.changes.last
 }
 
-// selectFirst moves the first n in the order to the front, in any order among them (quickselect).
-func selectFirst(ranked []rankedWorker, n int) {
+// selectSmallest moves the first n in the order to the front, in any order among them (quickselect).
+func selectSmallest(ranked []rankedWorker, n int) {
 	for n > 0 && n < len(ranked) {
 		split := partition(ranked)
 		switch {
--- a/internal/balancer/rendezvous_test.go
+++ b/internal/balancer/rendezvous_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// plainOrder is the rendezvous order of a function, made the plain way.
-func plainOrder(b *Balancer, f *function) []*worker {
+// referenceOrder is the rendezvous order of a function, made the plain way.
+func referenceOrder(b *Balancer, f *function) []*worker {
 	order := slices.Clone(b.ready)
 	slices.SortStableFunc(order, func(v, w *worker) int { return f.rendezvous.rank(v).compare(f.rendezvous.rank(w)) })
 	return order
 }
 
 // However the list changes, and however much of an order was looked at, it is that which would be made anew.
-func TestOrderFollowsTheList(t *testing.T) {
+func TestIncrementalOrderMatchesFullSort(t *testing.T) {
 	for _, workers := range []int{1, 5, 159, 160, 161, 400} {
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(uint64(workers), 1))
@@ -28,7 +28,7 @@
 			for i := range 8 {
 				functions = append(functions, b.functionOf(RequestEvent{Function: FunctionID(fmt.Sprint("fn", i))}))
 			}
-			changeList(b, random, ScopeFull, workers, workers)
+			applyRandomUpdate(b, random, ScopeFull, workers, workers)
 			for round := range 400 {
 				scope, changes := ScopeDelta, 1+random.IntN(3)
 				if round%50 == 49 {
@@ -37,15 +37,15 @@
 				if round%90 == 89 {
 					changes = 2 * maxListChanges
 				}
-				changeList(b, random, scope, workers, changes)
+				applyRandomUpdate(b, random, scope, workers, changes)
 				checkOrder(t, b, functions[random.IntN(len(functions))], random.IntN(2*workers+1))
 			}
 		})
 	}
 }
 
-// changeList has some workers become ready, drain, leave or change their weight.
-func changeList(b *Balancer, random *rand.Rand, scope UpdateScope, workers, changes int) {
+// applyRandomUpdate has some workers become ready, drain, leave or change their weight.
+func applyRandomUpdate(b *Balancer, random *rand.Rand, scope UpdateScope, workers, changes int) {
 	var list []Worker
 	for i := range changes {
 		number := random.IntN(workers)
@@ -65,7 +65,7 @@
 	if !slices.IsSortedFunc(b.ready, func(v, w *worker) int { return compareIDs(v, w) }) {
 		t.Fatal("the ready workers are not sorted")
 	}
-	want := plainOrder(b, f)
+	want := referenceOrder(b, f)
 	for i := range length {
 		if len(want) == 0 {
 			return
@@ -77,9 +77,9 @@
 }
 
 // Looking at workers leaves nothing behind: what is kept of a function does not grow with the list.
-func TestLookingAtWorkersKeepsNothing(t *testing.T) {
+func TestWorkerLookupsAddNoPlacements(t *testing.T) {
 	g := newDispatcherGroup(t, testSettings(), 2, 2000)
-	g.play(3*time.Second, 60)
+	g.runTraffic(3*time.Second, 60)
 	for _, b := range g.balancers {
 		for id, f := range b.functions {
 			if len(f.placements) > 40 || len(f.rendezvous.prefix) > 1500 {
--- a/internal/balancer/scale_test.go
+++ b/internal/balancer/scale_test.go
@@ -13,16 +13,16 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			g := newDispatcherGroup(b, testSettings(), 6, workers)
 			g.functions = 400
-			g.play(5*time.Second, 240)
-			g.longest = 0
+			g.runTraffic(5*time.Second, 240)
+			g.longestEvent = 0
 			b.ResetTimer()
 			for range b.N {
 				for i := range 8 {
 					g.changeWorker(i)
-					g.play(125*time.Millisecond, 240)
+					g.runTraffic(125*time.Millisecond, 240)
 				}
 			}
-			b.ReportMetric(float64(g.longest.Microseconds()), "µs-longest")
+			b.ReportMetric(float64(g.longestEvent.Microseconds()), "µs-longest")
 			b.ReportMetric(b.Elapsed().Seconds()*1000/float64(b.N)/6, "ms/dispatcher-s")
 		})
 	}
