--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -7,51 +7,53 @@
 	"kitefall/internal/permit"
 )
 
-// Balancer decides for one dispatcher.
+// Balancer decides for one dispatcher where attempts of requests go, where functions are loaded, and how
+// requests end.
 type Balancer struct {
 	settings Settings
 	seed     uint64
 	classes  map[string]*Class
 	tenants  map[string]*tenant
 
-	now     time.Duration // of the event being handled
-	actions []Action      // so far in answer to it
+	now     time.Duration // time of the event being handled
+	actions []Action      // emitted so far for the event being handled
 	timer   timer
 	polling polling
 
 	workers        map[WorkerID]*worker
 	zones          map[string]*zone
-	ready          []*worker // sorted by ID
+	ready          []*worker // the workers that may be chosen, sorted by ID
 	changes        listChangeLog
 	leases         leases
 	restarts       restarts
 	keepalives     keepalives
-	rankBuffer     []rankedWorker // for rebuildOrder
-	emptyPlacement placement      // for look
-	meanLoad       float64        // of the ready workers
-	failOpen       bool           // most workers are unavailable: ejections are ignored
+	rankBuffer     []rankedWorker // reused by rebuildOrder, to save allocations
+	emptyPlacement placement      // returned by look for a worker without a record
+	meanLoad       float64        // mean of load over the ready workers
+	failOpen       bool           // most ready workers are unavailable: ejections are ignored
 	functions      map[FunctionID]*function
 	hotSet         hotSet
 
 	requests        map[RequestID]*request
-	unanswered      []*request               // in order of arrival
-	backlogged      bool                     // requests wait for room
-	longestTimeLeft map[string]time.Duration // seen so far, by class
-	retries         tokenBucket
+	unanswered      []*request               // requests without a final answer, in order of arrival
+	backlogged      bool                     // the last sweep left requests without a worker or load order
+	longestTimeLeft map[string]time.Duration // largest TimeLeft of any request so far, by class
+	retries         tokenBucket              // pays for hedged requests and retries
 	loads           loadBudget
 	stats           fleetStats
 }
 
-// New returns the balancer of one dispatcher, or an error for settings that cannot work.
+// New returns the balancer of one dispatcher. It returns an error if the settings contain no class or a
+// negative duration.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	s.MaxAttempts = max(1, s.MaxAttempts)
 	s.Dispatchers = max(1, s.Dispatchers)
 	s.leaseTerms = permit.NewLeaseTerms(s.DrainGrace)
 	if len(s.Classes) == 0 {
-		return nil, errors.New("balancer: the settings name no class")
+		return nil, errors.New("balancer: the settings define no request class")
 	}
 	if minDuration(s) < 0 {
-		return nil, errors.New("balancer: the settings hold a negative time")
+		return nil, errors.New("balancer: the settings contain a negative duration")
 	}
 	b := &Balancer{
 		settings:        s,
@@ -76,7 +78,7 @@
 	return b, nil
 }
 
-// minDuration is the smallest of all times in the settings.
+// minDuration returns the smallest of the durations in the settings that must not be negative.
 func minDuration(s Settings) time.Duration {
 	shortest := min(s.MinEventInterval, s.AnswerGrace, s.DrainGrace, s.SlowStartDuration, s.OverloadWindow,
 		s.IdleTTL, s.LoadTimeout, s.LoadWindow, s.PollTimeout, s.MaxRetryAfter, s.DialTimeout)
@@ -86,7 +88,7 @@
 	return shortest
 }
 
-// Handle takes one event at time now and returns what to do, in order.
+// Handle processes an event that happens at now, and returns the actions to carry out, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = now
 	b.actions = nil
@@ -120,7 +122,8 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// armTimer keeps one timer: short while requests are unanswered, else at the pace of the hot set.
+// armTimer makes the timer expire within sweepInterval while requests are unanswered, and within
+// hotSetInterval otherwise. Only the timer that was armed last counts.
 func (b *Balancer) armTimer() {
 	after := hotSetInterval
 	if len(b.unanswered) > 0 {
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -6,59 +6,66 @@
 	"time"
 )
 
-// This file holds estimates of load, capacity and time. They choose nothing; the decisions that use them are
-// elsewhere.
+// This file estimates load, capacity and time. The decisions that use these estimates are in other files.
 
 const (
-	smoothing           = 0.1             // weight of a new sample in a running mean
-	fleetSmoothing      = smoothing / 4   // ... over the whole fleet
-	minPositiveEstimate = 1e-6            // keeps divisors above zero
-	minAnswerTime       = 0.01            // seconds; the shortest that a mean answer is taken for
-	maxCallWeight       = 10.0            // one request counts as this many of mean work at most
-	maxFunctionRatio    = 10.0            // an answer counts as this many usual ones at most
-	initialConcurrency  = 12.0            // in flight to a worker from all dispatchers at first; half at least
-	latencyPriorAnswers = 1.5             // a latency ratio starts with this many usual answers ...
-	latencyDecay        = 3 * time.Second // ... and a worker's own are forgotten with this time constant
-	silenceFactor       = 10.0            // a worker is silent after this many mean answer times
-	// One attempt counts for so many mean answer times of its zone at most: any may be long.
+	smoothing           = 0.1           // weight of a new sample in a running mean
+	fleetSmoothing      = smoothing / 4 // weight of a new sample in a running mean over the whole fleet
+	minPositiveEstimate = 1e-6          // lower limit that keeps divisors above zero
+	minAnswerTime       = 0.01          // seconds; lower limit of the mean answer time in answerRate
+	maxCallWeight       = 10.0          // one request counts as at most this many requests of mean work
+	maxFunctionRatio    = 10.0          // upper limit of an answer time, as a multiple of the function's mean
+
+	// initialConcurrency is the initial limit of requests in flight to a worker from all dispatchers. The
+	// limit never falls below half of it.
+	initialConcurrency = 12.0
+
+	latencyPriorAnswers = 1.5             // a latency ratio starts with this many mean answer times
+	latencyDecay        = 3 * time.Second // time constant with which a worker's own answer times are forgotten
+	silenceFactor       = 10.0            // mean answer times without a sign of life that make a worker silent
+
+	// maxZoneAttemptFactor limits how much one attempt without an answer counts towards its zone being
+	// unreachable, in mean answer times: any single request may take long.
 	maxZoneAttemptFactor = 2.0
-	concurrencyDecrease  = 0.8 // a concurrency window shrinks to this part
+
+	concurrencyDecrease = 0.8 // a decrease multiplies a concurrency window by this factor
 )
 
-// warmth is the part of its capacity that a worker has for certain.
+// warmth returns the fraction of its capacity that a worker has for certain.
 func (b *Balancer) warmth(w *worker) float64 {
-	if !w.slowStart.active { // the usual case, looked at for every worker in each sweep
+	if !w.slowStart.active { // fast path: each sweep checks every worker, and nearly all are warm
 		return 1
 	}
 	return w.slowStart.warmth(b.now, b.settings.SlowStartFloor, b.settings.SlowStartDuration)
 }
 
-// capacity is a worker's present capacity, by its weight, its warmth and its answer times.
+// capacity returns the present capacity of a worker, from its weight, warmth and answer times.
 func (b *Balancer) capacity(w *worker) float64 {
 	return w.fullWeight * b.warmth(w) / math.Max(1, w.latency.functionRatio)
 }
 
-// load estimates the requests in flight at a worker from all dispatchers, for its present capacity.
+// load estimates the requests in flight at a worker from all dispatchers, divided by its present capacity.
 func (b *Balancer) load(w *worker) float64 {
 	return float64(len(w.outstanding)) * float64(b.settings.Dispatchers) / b.capacity(w)
 }
 
-// initialWindow is the concurrency window of a worker of which nothing is known.
+// initialWindow returns the concurrency window of a worker without any outcomes yet.
 func (b *Balancer) initialWindow() float64 {
 	return math.Max(2, initialConcurrency/float64(b.settings.Dispatchers))
 }
 
-// latencyRatio is how long a worker's answers take against what they should, by the work of the requests: a
-// primary worker answers its own functions only, so that their usual times say nothing.
+// latencyRatio returns the answer times of a worker divided by the times expected for the work of its
+// requests. The mean answer times of functions cannot serve as the reference: a primary worker is the only
+// one to answer its functions, so their means are its own answer times.
 func (b *Balancer) latencyRatio(w *worker) float64 {
 	ratio := w.latency.ratio(b.now, latencyPriorAnswers*b.stats.meanAnswer, latencyDecay, w.outstanding)
-	if b.stats.meanAnswer == 0 { // nothing to compare with yet
+	if b.stats.meanAnswer == 0 { // no answer yet to compare with
 		return 1
 	}
 	return ratio
 }
 
-// answerRate is how many requests a second a worker answers when it is warm, at least.
+// answerRate estimates from below how many requests per second a worker answers when it is warm.
 func (b *Balancer) answerRate(r *request, w *worker) float64 {
 	answerTime := cmp.Or(b.stats.meanAnswer, r.class.LatencyObjective.Seconds())
 	rate := 1 / math.Max(answerTime, minAnswerTime)
@@ -70,17 +77,18 @@
 	return rate
 }
 
-// expectedCalls is how many of this dispatcher's calls counted are likely to be for a worker.
+// expectedCalls estimates how many of this dispatcher's counted calls are for a worker.
 func (b *Balancer) expectedCalls(r *request, w *worker) float64 {
-	even := b.hotSet.callsPerWorker
-	calls := math.Max(even, w.hotCalls+b.hotSet.rareCalls/float64(len(b.ready)))
+	evenShare := b.hotSet.callsPerWorker
+	calls := math.Max(evenShare, w.hotCalls+b.hotSet.rareCalls/float64(len(b.ready)))
 	if f := r.function; !f.hot {
-		calls += math.Max(f.calls.value-1, f.demand*even)
+		calls += math.Max(f.calls.value-1, f.demand*evenShare)
 	}
 	return calls
 }
 
-// expectedAnswer is how many seconds the answer to a request should take, by its work where that is told.
+// expectedAnswer returns the expected answer time of a request, in seconds. It depends on the work estimate
+// if the request has one.
 func (b *Balancer) expectedAnswer(r *request) float64 {
 	expected := b.stats.meanAnswer
 	if work := r.WorkEstimate.Seconds(); work > 0 {
@@ -89,7 +97,8 @@
 	return expected
 }
 
-// callWeight is what a request adds to the count of calls: its work against the mean, where work is told.
+// callWeight returns what a request adds to the count of calls: its work relative to the mean work, or 1 if
+// it has no work estimate. It also updates the mean work.
 func (b *Balancer) callWeight(work float64) float64 {
 	if work <= 0 {
 		return 1
@@ -98,18 +107,19 @@
 	return min(work/b.stats.meanWork, maxCallWeight)
 }
 
-// learnDemand learns how many workers a function needs from the requests for it that a worker held.
+// learnDemand updates the estimate of how many workers a function needs. The queue depth is how many
+// requests for the function a worker held when another one arrived.
 func (b *Balancer) learnDemand(f *function, queueDepth int) {
 	callRate := b.hotSet.callsPerWorker / callDecay.Seconds() * float64(b.settings.Dispatchers)
-	meanInFlight := callRate * b.stats.meanAnswer // at a worker
+	meanInFlight := callRate * b.stats.meanAnswer // requests at one worker, from all dispatchers
 	if b.settings.ReportsQueueDepth && meanInFlight > 0 {
 		demand := float64(f.groupSize*queueDepth) / meanInFlight
-		f.demand += (demand - f.demand) / float64(1+f.groupSize) // the wider the group, the noisier
+		f.demand += (demand - f.demand) / float64(1+f.groupSize) // samples of wider groups are noisier
 	}
 }
 
-// recordAnswerTime takes an answer time, in seconds, into the running means of the function, worker and
-// fleet.
+// recordAnswerTime adds an answer time, in seconds, to the running means of its function, its worker and
+// the fleet.
 func (b *Balancer) recordAnswerTime(a *attempt, elapsed float64) {
 	f := a.request.function
 	latency := &a.worker.latency
@@ -125,8 +135,8 @@
 	b.stats.answers.add(b.now, 1, callDecay)
 }
 
-// recordLatency takes an answer time into its worker's latency ratio; without an answer, one that was
-// overdue.
+// recordLatency adds an answer time to the latency ratio of its worker. An attempt that timed out or was
+// cancelled counts too if it was overdue.
 func (b *Balancer) recordLatency(a *attempt, e OutcomeEvent) {
 	elapsed := e.Elapsed.Seconds()
 	overdue := elapsed > a.expected && (e.Status == TimedOut || e.Status == Cancelled)
@@ -135,16 +145,16 @@
 	}
 }
 
-// unansweredTime is how far an attempt without an answer for so long counts towards its zone being
+// unansweredTime returns how much an attempt that has waited for an answer counts towards its zone being
 // unreachable.
 func (b *Balancer) unansweredTime(z *zone, wait time.Duration) time.Duration {
 	return max(0, min(wait, b.now-z.lastContact, seconds(maxZoneAttemptFactor*b.stats.meanAnswer)))
 }
 
-// silenceLimit is how long a worker may keep silent.
+// silenceLimit returns how long a worker with pending attempts may give no sign of life.
 func (b *Balancer) silenceLimit() time.Duration { return seconds(silenceFactor * b.stats.meanAnswer) }
 
-// decreaseWindow shrinks a worker's concurrency window, at most once in a mean answer time.
+// decreaseWindow shrinks the concurrency window of a worker, at most once per mean answer time.
 func (b *Balancer) decreaseWindow(w *worker) {
 	size := math.Min(w.window.size, float64(len(w.outstanding)+2)) * concurrencyDecrease
 	w.window.decrease(b.now, seconds(b.stats.meanAnswer), math.Max(b.initialWindow()/2, size))
--- a/internal/balancer/function.go
+++ b/internal/balancer/function.go
@@ -6,51 +6,53 @@
 )
 
 const (
-	defaultLoadTime = 1.0 // seconds that a load takes, until one has been seen
-	loadWaitFactor  = 2.0 // a request waits for a load for this many usual load times
+	defaultLoadTime = 1.0 // seconds; assumed if a function's first request states no load time
+	loadWaitFactor  = 2.0 // a request waits for a load for at most this many usual load times
 )
 
-// function is what is known of one function.
+// function is the state of one function.
 type function struct {
 	id             FunctionID
-	class          string  // of its last request
-	concurrency    int     // requests that one copy runs at a time
-	loadTime       float64 // usual time of a load, seconds
-	meanAnswer     float64 // mean answer time, seconds
-	calls          decayingCount
-	rotation       int  // of its group, one step a request
-	known          bool // a request was answered, or a load succeeded
-	errors         int  // before that
-	lastErrorAt    time.Duration
-	erroredWorkers []*worker // that returned the last of them
-	references     int       // unanswered requests and pending load orders
-
-	// The group: the workers that serve it in turn, groupSize of them from groupStart in rendezvous order. A
-	// rare function has a group of one, its primary worker.
+	class          string        // class of its last request
+	concurrency    int           // requests that one copy runs at the same time
+	loadTime       float64       // running mean of the time that a load takes, in seconds
+	meanAnswer     float64       // running mean of the answer time, in seconds
+	calls          decayingCount // this dispatcher's requests for it, weighted by work
+	rotation       int           // group member at which a request starts its search; each request adds one
+	known          bool          // a request has been answered, or a load has succeeded
+	errors         int           // number of errors while known was false
+	lastErrorAt    time.Duration // when errors was last raised
+	erroredWorkers []*worker // workers that returned the latest of these errors
+	references     int           // number of unanswered requests and pending load orders
+
+	// The group consists of groupSize workers, from index groupStart on in rendezvous order, that serve the
+	// function in turn. A rare function has a group of one, its primary worker.
 	hot        bool
 	groupStart int
 	groupSize  int
-	demand     float64 // even shares of workers that it needs, by the queue depths its requests met
+
+	demand     float64 // workers that it needs, estimated from the queue depths that its requests found
 	rendezvous rendezvous
 	placements map[WorkerID]*placement
 }
 
-// placement is what is believed of one function at one worker.
+// placement is what this dispatcher assumes about one function at one worker.
 type placement struct {
 	worker       *worker
-	copies       int
-	inFlight     int           // this dispatcher's attempts
-	loadedUntil  time.Duration // believed to be loaded until then
-	missed       bool          // the last attempt there was a miss
-	missingUntil time.Duration // believed not to be loaded until then, whatever other dispatchers do
-	avoidUntil   time.Duration // it rejected or did not answer: other workers go first until then
+	copies       int           // loaded at the worker, as last reported or inferred
+	inFlight     int           // pending attempts of this dispatcher
+	loadedUntil  time.Duration // the copies are assumed to be loaded until then
+	missed       bool          // an attempt missed, and no copy has been reported as loaded since
+	missingUntil time.Duration // assumed not to be loaded until then, whatever other dispatchers do
+	avoidUntil   time.Duration // an attempt was rejected or not answered: others go first until then
 	ordered      bool          // a load order is pending
-	orderedAt    time.Duration
-	keepalive    keepaliveStep // of the pending load order
-	noOrderUntil time.Duration
+	orderedAt    time.Duration // when the last load order was sent
+	keepalive    keepaliveStep // step of the keepalive that the pending load order belongs to
+	noOrderUntil time.Duration // no load order is sent before
 }
 
-// functionOf returns the function that a request names, with the request's figures noted.
+// functionOf returns the function that a request names, updated with what the request states about it. A
+// function that is not known yet is added.
 func (b *Balancer) functionOf(e RequestEvent) *function {
 	f := b.functions[e.Function]
 	if f == nil {
@@ -65,8 +67,8 @@
 	return f
 }
 
-// countError notes an error, and reports whether the function is known, so that the error says something of
-// the worker or the store.
+// countError records an error, and reports whether the function is known. Only an error of a known function
+// is evidence against the worker or the store.
 func (f *function) countError(now time.Duration) (known bool) {
 	if !f.known {
 		f.errors++
@@ -75,18 +77,18 @@
 	return f.known
 }
 
-// demote makes a function rare: only its primary worker serves it.
+// demote makes a function rare: its group is reduced to its primary worker.
 func (f *function) demote() {
 	f.hot = false
 	f.groupStart = 0
 	f.groupSize = 1
 }
 
-// loadPatience is how long a request waits for a load of the function.
+// loadPatience returns the longest time that a request waits for a load of the function.
 func (f *function) loadPatience() time.Duration { return seconds(loadWaitFactor * f.loadTime) }
 
-// look returns the record of the function at a worker, to be read until the next look. For a worker of which
-// nothing is known nothing is kept: a request may look at any number of workers.
+// look returns the placement of a function at a worker for reading; it is valid until the next call of
+// look. It adds no placement to the function, because a request may examine any number of workers.
 func (b *Balancer) look(f *function, w *worker) *placement {
 	if p := f.placements[w.ID]; p != nil {
 		return p
@@ -95,7 +97,7 @@
 	return &b.emptyPlacement
 }
 
-// placement returns the record of the function at a worker, which is kept.
+// placement returns the placement of the function at a worker. It adds one if there is none.
 func (f *function) placement(w *worker) *placement {
 	p := f.placements[w.ID]
 	if p == nil {
@@ -105,14 +107,14 @@
 	return p
 }
 
-// distrustCopies ends the belief that copies are loaded, at all workers.
+// distrustCopies makes the copies at all workers count as not loaded from now on.
 func (f *function) distrustCopies(now time.Duration) {
 	for _, p := range f.placements {
 		p.loadedUntil = min(p.loadedUntil, now)
 	}
 }
 
-// setLoaded notes a number of copies believed to stay loaded until a time.
+// setLoaded records a number of copies that are assumed to stay loaded until a time.
 func (p *placement) setLoaded(copies int, until time.Duration) {
 	p.copies = copies
 	p.loadedUntil = until
@@ -120,13 +122,13 @@
 	p.missingUntil = 0
 }
 
-// setUnloaded notes that no copy is loaded.
+// setUnloaded records that no copy is loaded.
 func (p *placement) setUnloaded() {
 	p.copies = 0
 	p.loadedUntil = 0
 }
 
-// setMissing notes a miss.
+// setMissing records a miss: until a time, no copy is assumed to be loaded.
 func (p *placement) setMissing(until time.Duration) {
 	p.setUnloaded()
 	p.missed = true
--- a/internal/balancer/hotset.go
+++ b/internal/balancer/hotset.go
@@ -6,20 +6,35 @@
 )
 
 const (
-	minHotSetSize         = 10               // at most this many functions are hot ...
-	workersPerHotFunction = 4                // ... or one for this many workers, where that is more
-	groupSizeFactor       = 1.5              // a hot function's group has this multiple of its part of the workers
-	minGroupSize          = 3                // ... and this many at least
-	maxGroupStarts        = 5                // a newly hot function looks at this many places for its group
-	callDecay             = 10 * time.Second // calls are forgotten with this time constant
-	promotionThreshold    = 1.0              // hot from this part of a worker's even share of calls, down to half
-	minHotCalls           = 6.0              // ... but never on fewer calls than this, counted times dispatchers
-	queueDepthPrior       = 2.0              // own calls counted a worker that weigh as much as the queue depths
-	minOwnCalls           = 3.0              // own calls counted a worker from which on they judge workers ...
-	manyDispatchers       = 10               // ... and always where there are fewer dispatchers than this
+	// The hot set holds up to minHotSetSize functions, or one for every workersPerHotFunction workers if that
+	// is more.
+	minHotSetSize         = 10
+	workersPerHotFunction = 4
+
+	// The group of a hot function has groupSizeFactor times the workers that its share of the calls amounts
+	// to, and at least minGroupSize workers.
+	groupSizeFactor = 1.5
+	minGroupSize    = 3
+
+	maxGroupStarts = 5                // starting points that are compared for the group of a newly hot function
+	callDecay      = 10 * time.Second // time constant with which calls are forgotten
+
+	// A function becomes hot at promotionThreshold times a worker's even share of the calls, and stays hot
+	// down to half of that. It is never hot with fewer than minHotCalls calls, estimated over all dispatchers.
+	promotionThreshold = 1.0
+	minHotCalls        = 6.0
+
+	// queueDepthPrior is the weight of the queue depths in the size of a group: they count as much as this
+	// many own calls per worker.
+	queueDepthPrior = 2.0
+
+	// Own calls are used to judge single workers if at least minOwnCalls are counted per worker, or if there
+	// are fewer than manyDispatchers dispatchers.
+	minOwnCalls     = 3.0
+	manyDispatchers = 10
 )
 
-// updateHotSet ranks the functions and promotes or demotes them.
+// updateHotSet ranks the functions, promotes or demotes each of them, and forgets workers removed long ago.
 func (b *Balancer) updateHotSet() {
 	b.refreshWorkerStats()
 	b.forgetRemoved()
@@ -38,7 +53,8 @@
 	}
 }
 
-// updateHot decides whether a function is hot, and sizes its group by calls and the queue depths they met.
+// updateHot decides whether a function is hot, and sizes its group by its calls and the queue depths that
+// its requests found.
 func (b *Balancer) updateHot(f *function) {
 	wasHot := f.hot
 	prior := 0.0
@@ -57,29 +73,31 @@
 	f.groupSize = min(len(b.ready), max(minGroupSize, int(math.Ceil(groupSizeFactor*share))))
 	if !wasHot {
 		f.groupStart = b.leastLoadedGroup(f)
-		f.rotation = int(mix(b.seed+uint64(b.now)) % 1024) // dispatchers begin at different workers
+		f.rotation = int(mix(b.seed+uint64(b.now)) % 1024) // dispatchers start at different workers
 	}
 }
 
-// leastLoadedGroup finds the start of a group with the fewest hot calls; within the noise, the first one.
+// leastLoadedGroup returns the start of the group whose workers have the fewest hot calls. A difference
+// that may be noise does not count, so the earlier start is kept. With low traffic it returns 0.
 func (b *Balancer) leastLoadedGroup(f *function) int {
 	best := 0
-	least := 0.0
-	last := min(len(b.ready), maxGroupStarts*f.groupSize) - f.groupSize
-	for start := 0; start == 0 || start <= last && !b.lowTraffic(); start += f.groupSize {
+	fewestCalls := 0.0
+	lastStart := min(len(b.ready), maxGroupStarts*f.groupSize) - f.groupSize
+	for start := 0; start == 0 || start <= lastStart && !b.lowTraffic(); start += f.groupSize {
 		calls := 0.0
 		for i := range f.groupSize {
 			calls += b.workerAt(f, start+i).hotCalls
 		}
-		if start == 0 || calls+math.Sqrt(calls+least) < least {
+		if start == 0 || calls+math.Sqrt(calls+fewestCalls) < fewestCalls {
 			best = start
-			least = calls
+			fewestCalls = calls
 		}
 	}
 	return best
 }
 
-// lowTraffic reports whether own calls are too few to judge single workers by, and only a small part of all.
+// lowTraffic reports whether own calls are too few to judge single workers by, and only a small part of the
+// calls of all dispatchers.
 func (b *Balancer) lowTraffic() bool {
 	return b.hotSet.callsPerWorker < minOwnCalls && b.settings.Dispatchers >= manyDispatchers
 }
--- a/internal/balancer/loadbudget.go
+++ b/internal/balancer/loadbudget.go
@@ -6,15 +6,15 @@
 	"kitefall/internal/permit"
 )
 
-// loadBudget bounds load orders: in flight by a window, and over time by the requests that workers have
-// taken.
+// loadBudget limits load orders: a window limits those in flight, and a budget limits their number over
+// time by the requests that workers have taken.
 type loadBudget struct {
 	inFlight int
 	window   concurrencyWindow
 	budget   permit.LoadBudget
 }
 
-// newLoadBudget returns the budget that the settings allow, of which nothing is spent.
+// newLoadBudget returns an unused load budget with the limits of the settings.
 func newLoadBudget(s Settings) loadBudget {
 	return loadBudget{
 		window: concurrencyWindow{size: initialLoadWindow},
@@ -27,7 +27,7 @@
 	}
 }
 
-// begin notes that an order is sent.
+// orderSent records that an order is sent now.
 func (l *loadBudget) orderSent(f *function, p *placement, now time.Duration) {
 	l.inFlight++
 	f.references++
@@ -35,16 +35,16 @@
 	p.orderedAt = now
 }
 
-// end notes that an order has ended.
+// orderEnded records that an order has ended.
 func (l *loadBudget) orderEnded(f *function, p *placement) {
 	l.inFlight--
 	f.references--
 	p.ordered = false
 }
 
-// maxLoadOrderDelay is how long a load order may take to its worker: one connection that does not come up in
-// time, and another.
+// maxLoadOrderDelay returns how long a load order may take to reach its worker. That covers one connection
+// attempt that times out and a second one, but at most half of the load window.
 func (s *Settings) maxLoadOrderDelay() time.Duration { return min(2*s.DialTimeout, s.LoadWindow/2) }
 
-// loadsOnlyOnOrder reports whether workers load a function when they are ordered to, and not on a miss.
+// loadsOnlyOnOrder reports whether workers load a function only when ordered to, and not on a miss.
 func (b *Balancer) loadsOnlyOnOrder() bool { return b.settings.LoadOrders && !b.settings.LoadOnMiss }
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -8,19 +8,25 @@
 )
 
 const (
-	initialLoadWindow  = 4.0 // load orders in flight at the start
-	slowLoadFactor     = 1.5 // a load this many times slower than usual ...
-	loadWindowDecrease = 0.5 // ... cuts the number of orders in flight to this part ...
-	minLoadWindow      = 2.0 // ... and this many at the least
-	maxCopies          = 16  // of one function at one worker
+	initialLoadWindow = 4.0 // load orders allowed in flight at the start
+
+	// A load that takes more than slowLoadFactor times the usual time, or that fails, multiplies the number of
+	// load orders allowed in flight by loadWindowDecrease. That number never falls below minLoadWindow.
+	slowLoadFactor     = 1.5
+	loadWindowDecrease = 0.5
+	minLoadWindow      = 2.0
+
+	maxCopies = 16 // copies of one function at one worker
 )
 
-// needsLoadOrder reports whether a copy not believed to be loaded is ordered before a request goes there.
+// needsLoadOrder reports whether a copy that is not assumed to be loaded must be ordered before a request
+// is sent to its worker. With a load budget, that is so only after a miss.
 func (b *Balancer) needsLoadOrder(p *placement) bool {
 	return b.loadsOnlyOnOrder() && (b.settings.LoadWindow == 0 || p.missed)
 }
 
-// orderLoad orders copies for calls. It keeps to drains, the load budget and the bound in flight.
+// orderLoad orders copies at a worker and reports whether it did. Drains, the load budget, the orders
+// reserved for keepalives and the limit of orders in flight may prevent the order.
 func (b *Balancer) orderLoad(f *function, p *placement, copies int, maxInFlight float64) bool {
 	if !b.mayOrderLoad(f, p) || float64(b.loads.inFlight) >= maxInFlight {
 		return false
@@ -35,8 +41,7 @@
 	return true
 }
 
-// mayOrderLoad reports whether copies may be ordered at a worker, as far as that is not for the budget to
-// say.
+// mayOrderLoad reports whether copies may be ordered at a worker, apart from the load budget.
 func (b *Balancer) mayOrderLoad(f *function, p *placement) bool {
 	start := permit.Start{Worker: p.worker.State.Permitted(), LeaseLeft: b.leaseLeft(p.worker)}
 	if p.ordered || b.now < p.noOrderUntil || start.Check() != permit.Allowed {
@@ -45,7 +50,8 @@
 	return b.settings.LoadOrders && f.id != "" && !b.unknownFunction(f)
 }
 
-// emitLoad is the one place that emits Load. The order is completed with its worker and function.
+// emitLoad is the only function that emits Load. It fills in the worker, the function and the time limit of
+// the order.
 func (b *Balancer) emitLoad(f *function, p *placement, order Load) {
 	b.loads.orderSent(f, p, b.now)
 	order.Worker = p.worker.ID
@@ -54,8 +60,9 @@
 	b.emit(order)
 }
 
-// earnLoads counts a request for the load budget, at its arrival, once a worker has taken it for a request.
-// Clients can send many that they cancel at once, or that name unknown functions: these earn no orders.
+// earnLoads credits a request to the load budget, as of its arrival, once a worker has accepted it as a
+// request. Requests that clients cancel at once, or that name unknown functions, earn no orders: clients
+// can send many of them.
 func (b *Balancer) earnLoads(r *request) {
 	if r.earnedLoads {
 		return
@@ -64,7 +71,7 @@
 	b.loads.budget.Earn(r.arrivedAt())
 }
 
-// onLoadEnded takes in the end of a load order and places the requests that waited for it.
+// onLoadEnded handles the end of a load order and places the requests that waited for it.
 func (b *Balancer) onLoadEnded(e LoadEndedEvent) {
 	f := b.functions[e.Function]
 	w := b.workers[e.Worker]
@@ -89,7 +96,8 @@
 	}
 }
 
-// recordLoadResult takes in how a load ended; slow reports whether it took long or failed, as from a crowded store.
+// recordLoadResult updates a function and its placement from the end of a load. slow reports whether the
+// load took long or failed, as happens when the store is overloaded.
 func (b *Balancer) recordLoadResult(f *function, p *placement, e LoadEndedEvent) (slow bool) {
 	elapsed := e.Elapsed.Seconds()
 	usual := f.loadTime
@@ -98,7 +106,7 @@
 		f.known = true
 		p.setLoaded(e.Copies, b.now+b.loadedTrust())
 		b.loads.window.increase()
-		if elapsed > usual*smoothing { // less: it was loaded already
+		if elapsed > usual*smoothing { // a shorter time means that the copy was loaded already
 			updateMean(&f.loadTime, elapsed, smoothing)
 		}
 		return elapsed > slowLoadFactor*usual
@@ -115,23 +123,25 @@
 	return true
 }
 
-// loadWaitOver reports whether a request has waited long enough for its load order, or in vain.
+// loadWaitOver reports whether a request should stop waiting for a load order: the order has ended, the
+// request has waited long enough, or the worker is not available.
 func (b *Balancer) loadWaitOver(r *request) bool {
 	p := r.waitingFor
 	workerLost := !b.available(p.worker) || p.worker.unavailable()
 	return !p.ordered || b.now > r.waitUntil || workerLost
 }
 
-// lastAttemptNeedsCopy reports whether a request's next attempt is its last. Misses within a few ms would end it at
-// once, so it is kept for a worker where a copy is loaded or has been ordered.
+// lastAttemptNeedsCopy reports whether a request may use its last attempt only at a worker where a copy is
+// loaded or has been ordered. Otherwise misses within a few milliseconds could use up all attempts.
 func (b *Balancer) lastAttemptNeedsCopy(r *request) bool {
 	attempts := len(r.attempts)
 	last := attempts > 0 && attempts+1 >= b.settings.MaxAttempts
 	return last && b.loadsOnlyOnOrder()
 }
 
-// preloadHotSet orders missing copies of hot functions at their group, where own calls must keep them loaded.
-// It leaves keepalives what they need once the calls have stopped.
+// preloadHotSet orders missing copies in the groups of hot functions, except where the calls of other
+// dispatchers keep them loaded. It leaves in the budget the orders that keepalives need once calls have
+// stopped.
 func (b *Balancer) preloadHotSet() {
 	reserved := b.reservedOrders()
 	if reserved > 0 && b.loads.budget.LeftAt(b.now+b.settings.leaseTerms.Loaded) < 1+reserved {
@@ -144,7 +154,8 @@
 	}
 }
 
-// preload orders the first missing copy of a function's group, unless an order is pending there.
+// preload orders the first missing copy in the group of a function. It orders none if it finds a pending
+// order in the group.
 func (b *Balancer) preload(f *function) {
 	var next *worker
 	for i := range min(f.groupSize, len(b.ready)) {
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -6,17 +6,24 @@
 )
 
 const (
-	maxCandidates = 128 // healthy workers that are looked at for one request
-	// maxProvenCandidates is how many workers beyond its group are looked at for one that is proven to be ready.
+	maxCandidates = 128 // healthy workers that are examined for one request
+
+	// maxProvenCandidates is how many workers beyond the group are searched for one that is proven to be
+	// ready.
 	maxProvenCandidates = 16
-	maxExtraCandidates  = 3   // workers beyond its group that a request may go to
-	minCallsPerIdleTTL  = 3.0 // expected calls within the idle time by which a copy is taken to be loaded
-	loadedTrustRatio    = 0.6 // a copy is believed to be loaded for this part of its idle time
-	overloadFactor      = 1.5 // a worker is passed over above this multiple of the mean load ...
-	overloadAllowance   = 1.5 // ... plus this many requests
+
+	maxExtraCandidates = 3   // a request's group is extended until it has this many extra workers
+	minCallsPerIdleTTL = 3.0 // expected calls per IdleTTL from which on a copy is assumed to stay loaded
+	loadedTrustRatio   = 0.6 // fraction of IdleTTL for which a copy is assumed to be loaded after its last use
+
+	// A worker is overloaded above overloadFactor times the mean load, plus overloadAllowance requests of this
+	// dispatcher.
+	overloadFactor    = 1.5
+	overloadAllowance = 1.5
 )
 
-// candidate is the i-th worker for a function: its group from a rotation on, then onward in rendezvous order.
+// candidate returns the i-th worker to examine for a function: first the members of its group, from a
+// rotation on, then the workers after the group in rendezvous order.
 func (b *Balancer) candidate(f *function, rotation, i int) *worker {
 	if size := min(f.groupSize, len(b.ready)); i < size {
 		i = (rotation + i) % size
@@ -24,24 +31,27 @@
 	return b.workerAt(f, f.groupStart+i)
 }
 
-// isLoaded reports whether a copy is believed to be loaded, by this dispatcher's own attempts.
+// isLoaded reports whether a copy is assumed to be loaded, judging by this dispatcher's own attempts and
+// load orders.
 func (b *Balancer) isLoaded(p *placement) bool {
 	return p.copies > 0 && (b.now < p.loadedUntil || p.inFlight > 0)
 }
 
-// loadedByPeers reports whether the calls of all dispatchers must keep a copy loaded at each group member.
+// loadedByPeers reports whether the calls of all dispatchers are frequent enough to keep a copy loaded at
+// each group member.
 func (b *Balancer) loadedByPeers(f *function) bool {
 	ownCalls := math.Max(f.calls.value-1, smoothing) * b.settings.IdleTTL.Seconds() / callDecay.Seconds()
 	calls := ownCalls / float64(f.groupSize) * float64(b.settings.Dispatchers)
 	return b.lowTraffic() && (f.hot || calls >= minCallsPerIdleTTL)
 }
 
-// place sends a request without a pending attempt, has it wait for a load order, or finishes it.
+// place sends a request that has no pending attempt, makes it wait for a load order, or finishes it. If
+// none of these applies, the request is held until the next sweep.
 func (b *Balancer) place(r *request) {
 	f := r.function
-	answerTooLate := r.Retry && b.now+seconds(f.meanAnswer) > r.deadline // its client would be gone
-	hopeless := answerTooLate || b.unknownFunction(f)
-	if hopeless || !b.attemptsLeft(r) || r.mustNotRepeat() {
+	answerTooLate := r.Retry && b.now+seconds(f.meanAnswer) > r.deadline // its client would have left by then
+	cannotBeServed := answerTooLate || b.unknownFunction(f)
+	if cannotBeServed || !b.attemptsLeft(r) || r.mustNotRepeat() {
 		b.finish(r)
 		return
 	}
@@ -62,8 +72,9 @@
 	}
 }
 
-// pickWorker chooses a worker, of the group in turn or onward in rendezvous order. ready reports whether the
-// request may go now; otherwise the worker is where a copy should be ordered first.
+// pickWorker chooses a worker from the group in rotation, or after it in rendezvous order. ready reports
+// whether the request may be sent at once; otherwise a copy should first be ordered at the worker. With
+// loadedOnly, pickWorker neither orders a copy nor returns a worker that is not ready.
 func (b *Balancer) pickWorker(r *request, loadedOnly bool) (w *worker, ready bool) {
 	f := r.function
 	found := b.findCandidates(r)
@@ -84,20 +95,20 @@
 	if best == nil && !found.copyReady {
 		return found.unloaded, false
 	}
-	if found.unloaded != nil { // a better place lacks a copy: have it there next time
+	if found.unloaded != nil { // an earlier worker in the order lacks a copy: order one for later requests
 		b.orderLoad(f, f.placement(found.unloaded), 1, b.loads.window.size)
 	}
 	return best, best != nil
 }
 
-// findCandidates looks at the workers in the function's order until one is best. Where leases end it looks at
-// the whole group: calls are what proves that workers are ready.
+// findCandidates examines the workers in the function's order until it finds a suitable one. With endpoint
+// leases it examines the whole group, because calls are what proves that workers are ready.
 func (b *Balancer) findCandidates(r *request) candidates {
 	f := r.function
 	var found candidates
 	visited := 0
 	loadedByPeers := b.loadedByPeers(f)
-	renewing := b.settings.EndpointLeases
+	leasesEnd := b.settings.EndpointLeases
 	for i := range b.ready {
 		if found.best != nil && i >= f.groupSize+r.extraCandidates {
 			b.preferProvenWorker(r, &found, i)
@@ -119,15 +130,15 @@
 		avoided := b.now < p.avoidUntil && b.lowTraffic()
 		inGroup := i < f.groupSize+r.extraCandidates
 		if !b.copyReady(r, p, inGroup && loadedByPeers) {
-			near := visited <= f.groupSize+1 || !b.lowTraffic()
-			if near && !overloaded && b.now >= p.noOrderUntil {
+			earlyInOrder := visited <= f.groupSize+1 || !b.lowTraffic()
+			if earlyInOrder && !overloaded && b.now >= p.noOrderUntil {
 				found.unloaded = cmp.Or(found.unloaded, w)
 			}
 			continue
 		}
 		if !overloaded && !avoided {
 			found.best = b.preferred(found.best, w)
-			if renewing {
+			if leasesEnd {
 				continue
 			}
 			break
@@ -138,13 +149,14 @@
 	return found
 }
 
-// preferProvenWorker takes a worker in place of the best one if that is not proven to be ready: the first one of
-// the next in the function's order that is, and where a copy is loaded.
-func (b *Balancer) preferProvenWorker(r *request, found *candidates, next int) {
+// preferProvenWorker replaces the best worker if that one is not proven to be ready, that is, by calls that
+// it accepted or loads that it began. It takes the next worker in the function's order that is proven to be
+// ready and has a loaded copy.
+func (b *Balancer) preferProvenWorker(r *request, found *candidates, start int) {
 	if !b.settings.EndpointLeases || b.outOfSync() || !b.fewCalls() || b.evidenceLeft(found.best) > 0 {
 		return
 	}
-	for i := next; i < min(next+maxProvenCandidates, len(b.ready)); i++ {
+	for i := start; i < min(start+maxProvenCandidates, len(b.ready)); i++ {
 		w := b.candidate(r.function, r.rotation, i)
 		p := b.look(r.function, w)
 		if !b.isLoaded(p) || b.evidenceLeft(w) <= 0 || b.now < p.avoidUntil || b.overloaded(w) {
@@ -157,7 +169,7 @@
 	}
 }
 
-// updateFallback takes a worker with room for the fallback if its wait is the shortest yet.
+// updateFallback makes a worker the fallback if it has room and the shortest expected wait so far.
 func (b *Balancer) updateFallback(found *candidates, w *worker) {
 	if !w.hasRoom(b.now) {
 		return
@@ -169,7 +181,7 @@
 	}
 }
 
-// copyReady reports whether a request needs no load order of its own at a worker.
+// copyReady reports whether a request may be sent to a worker without a load order of its own.
 func (b *Balancer) copyReady(r *request, p *placement, loadedByPeers bool) bool {
 	if b.isLoaded(p) || !b.needsLoadOrder(p) && !b.lastAttemptNeedsCopy(r) {
 		return true
@@ -177,7 +189,8 @@
 	return loadedByPeers && !p.worker.slowStart.active && b.now >= p.missingUntil
 }
 
-// overloaded reports whether a worker is full, slow, or holds many requests for its capacity.
+// overloaded reports whether a worker has no room, is slow, or has too many requests in flight for its
+// capacity.
 func (b *Balancer) overloaded(w *worker) bool {
 	if !w.hasRoom(b.now) || b.latencyRatio(w) > latencyOutlierRatio {
 		return true
--- a/internal/balancer/ranking.go
+++ b/internal/balancer/ranking.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	minFunctionCalls  = 0.01          // a function with fewer calls counted is forgotten
-	failureScoreDecay = smoothing / 4 // part of a worker's failure score forgotten with each update
+	minFunctionCalls  = 0.01          // functions with a lower count of calls are forgotten
+	failureScoreDecay = smoothing / 4 // fraction of a failure score that each update of the hot set removes
 )
 
-// hotSet is the result of the last ranking of functions.
+// hotSet is the result of the last update of the hot functions.
 type hotSet struct {
-	functions      []*function // hot ones
+	functions      []*function // the hot functions, most called first
 	updatedAt      time.Duration
-	callsPerWorker float64 // this dispatcher's calls counted, for each worker
-	rareCalls      float64 // ... of all functions that are not hot
-	warmWeight     float64 // of all warm workers that the list calls ready, with a lease or without
+	callsPerWorker float64 // this dispatcher's counted calls, divided by the number of ready workers
+	rareCalls      float64 // this dispatcher's counted calls of functions that are not hot
+	warmWeight     float64 // of all warm workers that the endpoint list calls ready, with or without a lease
 }
 
-// resetHotSet begins a new hot set with the calls of all functions.
+// resetHotSet empties the hot set and computes its totals from the calls of all functions.
 func (b *Balancer) resetHotSet(functions []*function) {
 	total := 0.0
 	for _, f := range functions {
@@ -32,7 +32,7 @@
 	b.hotSet.functions = b.hotSet.functions[:0]
 }
 
-// addToHotSet adds a hot function: each worker of its group takes an even part of its calls.
+// addToHotSet adds a hot function and assigns an equal part of its calls to each worker of its group.
 func (b *Balancer) addToHotSet(f *function) {
 	for i := range min(f.groupSize, len(b.ready)) {
 		b.candidate(f, 0, i).hotCalls += f.calls.value / float64(f.groupSize)
@@ -41,7 +41,8 @@
 	b.hotSet.functions = append(b.hotSet.functions, f)
 }
 
-// refreshWorkerStats begins a new count of each worker's hot calls and lets failures be forgotten.
+// refreshWorkerStats clears the hot calls of the ready workers, decays their failure scores, and sums up
+// the weight of the warm ones.
 func (b *Balancer) refreshWorkerStats() {
 	b.hotSet.warmWeight = b.lapsedWarmWeight()
 	for _, w := range b.ready {
@@ -55,8 +56,8 @@
 	}
 }
 
-// rankFunctions returns the functions, most called first, and forgets those no longer called, but for a few
-// where keepalives may need them.
+// rankFunctions returns the functions in use, most called first. It forgets the other ones, except a few
+// that keepalives may need.
 func (b *Balancer) rankFunctions() []*function {
 	var ranked, unused []*function
 	for _, f := range b.functions {
--- a/internal/balancer/rendezvous.go
+++ b/internal/balancer/rendezvous.go
@@ -6,23 +6,26 @@
 )
 
 const (
-	// minRendezvousPrefix is how many workers of an order are kept at least, where there are so many.
+	// minRendezvousPrefix is how many workers of an order are kept at least, if there are that many.
 	minRendezvousPrefix = 160
-	// maxListChanges is how many changes of the list are remembered: an order that lacks more is made anew.
+
+	// maxListChanges is how many changes of the ready workers are remembered. An order that lacks more changes
+	// is rebuilt.
 	maxListChanges = 512
 )
 
-// rendezvous is the weighted rendezvous order of the ready workers for one function, as far as it is needed:
-// a function goes to the first few workers, and a fleet may have thousands. Changes of the list are taken in
-// one by one, since an order that was made anew at each change would cost more than all requests.
+// rendezvous is the start of the weighted rendezvous order of the ready workers for one function. The rest
+// is not kept: a function is sent to the first few workers, and a fleet may have thousands. Changes of the
+// ready workers are applied one by one, since rebuilding an order at each change would cost more than
+// handling all requests.
 type rendezvous struct {
-	hash           uint64    // of the function
+	hash           uint64    // of the function's ID
 	prefix         []*worker // the first workers of the order
-	complete       bool      // there are no others
-	appliedChanges int       // of the list that are taken in, see listChangeLog; 0: it was never made
+	complete       bool      // prefix contains all ready workers
+	appliedChanges int       // number of the last applied change, see listChangeLog; 0: never built
 }
 
-// rankedWorker is a worker with its key in the order that is being made.
+// rankedWorker is a worker with its sort key in an order.
 type rankedWorker struct {
 	key    float64
 	worker *worker
@@ -36,11 +39,11 @@
 	return rankedWorker{key: rendezvousKey(r.hash, w.hash, w.fullWeight), worker: w}
 }
 
-// listChangeLog is which workers became ready, ceased to be or changed their weight, in turn. Changes are
-// numbered from 1.
+// listChangeLog records which workers became ready, ceased to be ready or changed their weight, oldest
+// first. Changes are numbered from 1.
 type listChangeLog struct {
-	last    int       // number of the last one
-	workers []*worker // the most recent ones
+	last    int       // number of the latest change
+	workers []*worker // of the latest changes; a worker may occur more than once
 }
 
 func (c *listChangeLog) add(w *worker) {
@@ -51,7 +54,8 @@
 	}
 }
 
-// since returns the workers that have changed after a change, and whether all of them are remembered.
+// since returns the workers of all changes after a given one. It returns false if some of these changes are
+// no longer remembered.
 func (c *listChangeLog) since(change int) ([]*worker, bool) {
 	missing := c.last - change
 	if change == 0 || missing > min(len(c.workers), maxListChanges) {
@@ -60,7 +64,7 @@
 	return lastN(c.workers, missing), true
 }
 
-// workerAt returns the worker at an index of a function's order, which goes round.
+// workerAt returns the worker at an index of a function's order. Indexes past the end wrap around.
 func (b *Balancer) workerAt(f *function, index int) *worker {
 	index %= len(b.ready)
 	r := &f.rendezvous
@@ -73,7 +77,7 @@
 	return r.prefix[index]
 }
 
-// applyChanges brings an order up to date with the list.
+// applyChanges brings an order up to date with the ready workers.
 func (b *Balancer) applyChanges(r *rendezvous) {
 	changed, known := b.changes.since(r.appliedChanges)
 	if !known {
@@ -81,7 +85,8 @@
 		return
 	}
 	r.appliedChanges = b.changes.last
-	// All go before any comes, since the keys of the others are what the order is by.
+	// Remove all changed workers before inserting any: an insertion compares current keys, and a worker whose
+	// key has changed may be out of order.
 	r.prefix = slices.DeleteFunc(r.prefix, func(w *worker) bool { return slices.Contains(changed, w) })
 	for i, w := range changed {
 		if w.listed && !slices.Contains(changed[:i], w) {
@@ -90,17 +95,18 @@
 	}
 }
 
-// insert puts a worker in its place, unless that is beyond what is kept of the order.
+// insert inserts a worker at its position, unless that position is beyond the part of the order that is
+// kept.
 func (r *rendezvous) insert(w *worker) {
-	place, _ := slices.BinarySearchFunc(r.prefix, r.rank(w), func(other *worker, ranked rankedWorker) int {
+	position, _ := slices.BinarySearchFunc(r.prefix, r.rank(w), func(other *worker, ranked rankedWorker) int {
 		return r.rank(other).compare(ranked)
 	})
-	if place < len(r.prefix) || r.complete {
-		r.prefix = slices.Insert(r.prefix, place, w)
+	if position < len(r.prefix) || r.complete {
+		r.prefix = slices.Insert(r.prefix, position, w)
 	}
 }
 
-// rebuildOrder makes an order anew, and keeps so many workers of it at least.
+// rebuildOrder computes an order from all ready workers, and keeps at least length workers of it.
 func (b *Balancer) rebuildOrder(r *rendezvous, length int) {
 	ranked := b.rankBuffer[:0]
 	for _, w := range b.ready {
@@ -118,7 +124,7 @@
 	r.appliedChanges = b.changes.last
 }
 
-// selectSmallest moves the first n in the order to the front, in any order among them (quickselect).
+// selectSmallest moves the n workers that come first in the order to the front, unsorted (quickselect).
 func selectSmallest(ranked []rankedWorker, n int) {
 	for n > 0 && n < len(ranked) {
 		split := partition(ranked)
@@ -132,7 +138,8 @@
 	}
 }
 
-// partition moves what comes before the middle element to its front, and returns that element's new index.
+// partition moves the elements that come before the middle element to the front, and returns the new index
+// of the middle element.
 func partition(ranked []rankedWorker) int {
 	last := len(ranked) - 1
 	ranked[last/2], ranked[last] = ranked[last], ranked[last/2]
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -6,105 +6,114 @@
 	"kitefall/internal/permit"
 )
 
-// RequestID names one try of a client's request at this dispatcher.
+// RequestID identifies a request at this dispatcher. Each retry by a client is a request with its own ID.
 type RequestID int64
 
-// WorkerID names a worker. It says nothing of the worker's zone, kind or age.
+// WorkerID identifies a worker. It contains no information about the worker's zone, kind or age.
 type WorkerID string
 
-// FunctionID names the program that a request needs loaded.
+// FunctionID identifies the function that a request needs loaded.
 type FunctionID string
 
-// Idempotency says how far the requests of a class may be repeated.
+// Idempotency tells whether the requests of a class may run more than once.
 type Idempotency int
 
-// The kinds of idempotency. Anything unknown is to be given as NotIdempotent.
+// The kinds of idempotency. Callers pass NotIdempotent for a kind that they do not know.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // workers of one DedupScope drop repeats within DedupWindow
+	IdempotentWithKey                    // workers in the same DedupScope drop repeats within DedupWindow
 	NotIdempotent                        // must never run twice
 )
 
-// DedupScope says which workers share the keys that they have seen.
+// DedupScope tells which workers share a record of the keys that they have received.
 type DedupScope int
 
-// The scopes of a class that is idempotent with a key.
+// The deduplication scopes of a class that is IdempotentWithKey.
 const (
 	DedupFleet DedupScope = iota // all workers
 	DedupZone                    // the workers of one zone
 	DedupCell                    // the workers of one cell
 )
 
-// Class is one class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name             string
 	Weight           float64       // value of an answer within LatencyObjective
-	LateWeight       float64       // share of Weight earned after LatencyObjective, before Deadline
-	LatencyObjective time.Duration // an answer is wanted within this
+	LateWeight       float64       // fraction of Weight that an answer after LatencyObjective earns
+	LatencyObjective time.Duration // wanted answer time, from the arrival of the request
 	ObjectiveStretch float64       // LatencyObjective grows by this multiple of the request's work estimate
-	Deadline         time.Duration // how long the client waits, over all its tries
+	Deadline         time.Duration // how long the client waits in all, from its first try and over all retries
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // IdempotentWithKey only
-	DedupWindow      time.Duration // IdempotentWithKey only: how long repeats are dropped
-	Streaming        bool          // answers are streamed: StreamStartedEvent is delivered
+	DedupWindow      time.Duration // IdempotentWithKey only: how long after an attempt its repeats are dropped
+	Streaming        bool          // answers are streamed, and a StreamStartedEvent is delivered for each stream
 }
 
-// Tenant is one of those who share the fleet.
+// Tenant is one of the users that share the fleet.
 type Tenant struct {
 	Name      string
-	Quota     float64
-	RateQuota float64 // requests per second within its quota, over all dispatchers
+	Quota     float64 // share of the fleet's capacity
+	RateQuota float64 // requests per second within its quota, summed over all dispatchers
 }
 
-// Settings are what a dispatcher is told at start.
+// Settings configure the balancer of one dispatcher.
 type Settings struct {
-	Dispatchers      int // dispatchers in all, this one included
-	Position         int // of this dispatcher among them, from 0
+	Dispatchers      int // number of dispatchers, including this one
+	Position         int // index of this dispatcher among all dispatchers, from 0
 	Zone             string
 	Zones            []string
 	MinEventInterval time.Duration // shortest time between two deliveries of events
 
 	Classes            []Class
 	Tenants            []Tenant
-	ClientsMarkRetries bool    // clients mark their retries
-	OverQuotaWeight    float64 // weight of requests beyond a tenant's quota, as a part of the class's
-	WeightByWork       bool    // the weight counts by unit of work rather than by request
-
-	// What is allowed.
-	CanCancel      bool
-	Hedging        bool // two attempts of one request may be in flight at a time
-	MaxAttempts    int  // attempts of one request
-	MaxInFlight    int
-	SendRetryAfter bool // a Reject may carry RetryAfter
-	MaxRetryAfter  time.Duration
-
-	// Following the fleet.
-	PollEndpoints bool          // the list comes only after Watch or Fetch
-	PollTimeout   time.Duration // with PollEndpoints: longest silence before the list counts as known
-	LiveWeights   bool          // Worker.Weight falls with the worker's load
-	DialTimeout   time.Duration
-	// EndpointLeases has what the list says of a worker expire, see permit.Lease. EndpointsSyncedEvent have
-	// to come.
+	ClientsMarkRetries bool    // clients mark their retries, see RequestEvent.Retry
+	OverQuotaWeight    float64 // weight of requests beyond a tenant's quota, as a fraction of their class's
+	WeightByWork       bool    // a class's weight applies to each unit of work rather than to each request
+
+	// Permissions and limits of requests and attempts.
+	CanCancel      bool          // Cancel may be used
+	Hedging        bool          // two attempts of one request may be in flight at the same time
+	MaxAttempts    int // attempts allowed per request
+	MaxInFlight    int           // requests in flight at the same time
+	SendRetryAfter bool          // a Reject may carry a RetryAfter
+	MaxRetryAfter  time.Duration // upper limit of RetryAfter in a Reject
+
+	// The endpoint list and connections to workers.
+	PollEndpoints bool // the list is delivered only after a Watch or Fetch action
+	PollTimeout   time.Duration // with PollEndpoints: silence after which the list counts as known
+	LiveWeights   bool          // Worker.Weight falls while the worker is loaded
+	DialTimeout   time.Duration // of one connection attempt to a worker
+
+	// EndpointLeases makes what the list tells about a worker expire, see permit.Lease. It requires that
+	// EndpointsSyncedEvent is delivered.
 	EndpointLeases bool
-	leaseTerms     permit.LeaseTerms
-
-	// Limits of the fleet.
-	AnswerGrace       time.Duration // a final answer is in time this long past the deadline
-	DrainGrace        time.Duration
-	SlowStartFloor    float64       // share of its capacity that a worker starts with, at least
-	SlowStartDuration time.Duration // a worker is warm after this, at the latest
-	OverloadMultiple  float64       // more than this multiple of its capacity ...
-	OverloadWindow    time.Duration // ... for this long overloads a worker that is warming up
-
-	// Loading.
-	LoadOrders        bool // Load and Unload are allowed
-	LoadOnMiss        bool // a worker that lacks the function loads it by itself
-	IdleTTL           time.Duration
-	LoadTimeout       time.Duration
-	LoadBurst         float64       // load budget: orders allowed within LoadWindow ...
-	LoadRatio         float64       // ... plus this many for each request taken in it
-	LoadWindow        time.Duration // 0: load orders are not budgeted
-	ReportsWarmth     bool          // outcomes carry a Warmth
-	ReportsQueueDepth bool          // outcomes carry a QueueDepth
+
+	leaseTerms permit.LeaseTerms
+
+	// Times of answers and drains, and slow start.
+	AnswerGrace       time.Duration // a final answer may come this long after the deadline
+	DrainGrace        time.Duration // time that a draining worker has for its requests
+	SlowStartFloor    float64       // fraction of its capacity that a worker has at its start, at least
+	SlowStartDuration time.Duration // time from a worker's start after which it is warm, at the latest
+
+	// A worker that is warming up is overloaded if it receives more than OverloadMultiple times the requests
+	// that its present capacity allows, for OverloadWindow.
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+
+	// Loading of functions.
+	LoadOrders  bool          // Load and Unload may be used
+	LoadOnMiss  bool          // a worker that lacks a function loads it without an order
+	IdleTTL     time.Duration // how long an idle copy stays loaded
+	LoadTimeout time.Duration // a load order is answered within this time after it was given
+
+	// The load budget: in each LoadWindow, LoadBurst load orders are allowed, plus LoadRatio for each request
+	// that workers took in that window. If LoadWindow is 0, load orders are not limited.
+	LoadBurst  float64
+	LoadRatio  float64
+	LoadWindow time.Duration
+
+	ReportsWarmth     bool // each OutcomeEvent carries a Warmth
+	ReportsQueueDepth bool // each OutcomeEvent carries a QueueDepth
 	MemoryByKind      map[string]float64
 }
