--- a/internal/balancer/checks_test.go
+++ b/internal/balancer/checks_test.go
@@ -2,7 +2,10 @@
 
 import "time"
 
-// checkAction fails the test if an action breaks a rule, and carries it out.
+// checkAction carries out an action, and fails the test if the action breaks a rule. The messages number the rules.
+// Rule 1: each request gets one final answer, in time. Rule 2: no attempt may run a request twice where that is
+// forbidden. Rule 3: nothing is begun at a worker that drains or is removed. Rule 4: slow start, which separate
+// tests check. Rule 5: the load budget.
 func (f *testFleet) checkAction(action Action) {
 	f.t.Helper()
 	switch a := action.(type) {
@@ -20,7 +23,7 @@
 		f.unloads = append(f.unloads, a)
 	case Cancel:
 		if r := f.open[a.ID]; !f.settings.CanCancel || r == nil || a.Attempt >= len(r.sends) {
-			f.t.Fatal("cancel of what was never sent, or not allowed")
+			f.t.Fatal("cancel is not allowed, or names an attempt that was never sent")
 		}
 		f.cancelled++
 	case SetTimer:
@@ -32,16 +35,16 @@
 	f.t.Helper()
 	r := f.open[a.ID]
 	if r == nil || r.answered {
-		f.t.Fatalf("rule 1: send for %d, which is over", a.ID)
+		f.t.Fatalf("rule 1: send for request %d, which is unknown or answered", a.ID)
 	}
 	if f.state[a.Worker] != Ready {
-		f.t.Fatalf("rule 3: send to %s, which drains or is gone", a.Worker)
+		f.t.Fatalf("rule 3: send to worker %s, which drains or is removed", a.Worker)
 	}
 	if _, known := f.state[a.Worker]; !known {
-		f.t.Fatalf("rule 3: send to %s, which is not listed", a.Worker)
+		f.t.Fatalf("rule 3: send to worker %s, which is not in the endpoint list", a.Worker)
 	}
 	if len(r.sends) >= f.settings.MaxAttempts {
-		f.t.Fatalf("more attempts than allowed for %d", a.ID)
+		f.t.Fatalf("more attempts than allowed for request %d", a.ID)
 	}
 	for _, previous := range r.sends {
 		f.checkRepeat(a, r, previous)
@@ -59,23 +62,23 @@
 func (f *testFleet) checkRepeat(a Send, r *testRequest, previous *sentAttempt) {
 	f.t.Helper()
 	if previous.pending && !f.settings.Hedging {
-		f.t.Fatalf("rule 2: two attempts of %d at a time", a.ID)
+		f.t.Fatalf("rule 2: two attempts of request %d in flight without hedging", a.ID)
 	}
 	if !previous.mayRun() {
 		return
 	}
 	switch r.class.Idempotency {
 	case NotIdempotent:
-		f.t.Fatalf("rule 2: unsafe %d sent again", a.ID)
+		f.t.Fatalf("rule 2: request %d may have run and is not idempotent, but was sent again", a.ID)
 	case IdempotentWithKey:
 		if f.now-previous.sentAt >= r.class.DedupWindow {
-			f.t.Fatalf("rule 2: keyed %d sent again after its window", a.ID)
+			f.t.Fatalf("rule 2: request %d was sent again after its dedup window", a.ID)
 		}
 		v, w := f.workers[previous.worker], f.workers[a.Worker]
 		otherCell := r.class.DedupScope == DedupCell && v.Cell != w.Cell
 		otherZone := r.class.DedupScope == DedupZone && v.Zone != w.Zone
 		if otherCell || otherZone {
-			f.t.Fatalf("rule 2: keyed %d sent outside its dedup scope", a.ID)
+			f.t.Fatalf("rule 2: request %d was sent again outside its dedup scope", a.ID)
 		}
 	}
 }
@@ -84,11 +87,11 @@
 	f.t.Helper()
 	r := f.open[id]
 	if r == nil || r.answered {
-		f.t.Fatalf("rule 1: second final answer for %d", id)
+		f.t.Fatalf("rule 1: final answer for request %d, which is unknown or already answered", id)
 	}
 	r.answered = true
 	if f.now > r.deadline+f.settings.AnswerGrace {
-		f.t.Fatalf("rule 1: answer to %d after its deadline", id)
+		f.t.Fatalf("rule 1: final answer for request %d after its deadline and AnswerGrace", id)
 	}
 }
 
@@ -100,7 +103,7 @@
 	harmless := class.Idempotency == Idempotent || deduplicated
 	for _, s := range f.open[id].sends {
 		if s.mayRun() && !harmless {
-			f.t.Fatalf("rule 2: %d rejected though it may have run", id)
+			f.t.Fatalf("rule 2: request %d was rejected although it may have run and a retry is not harmless", id)
 		}
 	}
 }
@@ -109,18 +112,18 @@
 	f.t.Helper()
 	if a.Copies > 0 {
 		if f.state[a.Worker] != Ready {
-			f.t.Fatalf("rule 3: load at %s, which drains or is gone", a.Worker)
+			f.t.Fatalf("rule 3: load order for worker %s, which drains or is removed", a.Worker)
 		}
 		f.checkLoadBudget()
 	}
 	if !f.settings.LoadOrders || a.Function == "" {
-		f.t.Fatal("order that is not allowed")
+		f.t.Fatal("load order although load orders are not allowed, or without a function")
 	}
 	f.pendingLoads = append(f.pendingLoads, a)
 	f.loads = append(f.loads, a)
 }
 
-// checkLoadBudget counts an order that is sent now.
+// checkLoadBudget counts a load order that is sent now, and checks the load budget in the window that ends now.
 func (f *testFleet) checkLoadBudget() {
 	f.t.Helper()
 	if f.settings.LoadWindow == 0 {
@@ -130,11 +133,11 @@
 	since := f.now - f.settings.LoadWindow
 	budget := f.settings.LoadBurst + f.settings.LoadRatio*float64(countAfter(f.arrivals, since))
 	if float64(countAfter(f.loadTimes, since)) > budget {
-		f.t.Fatal("rule 5: more orders than the load budget")
+		f.t.Fatal("rule 5: more load orders than the load budget allows")
 	}
 }
 
-// countAfter counts the times after since.
+// countAfter returns how many of the times are later than since.
 func countAfter(times []time.Duration, since time.Duration) int {
 	count := 0
 	for _, t := range times {
--- a/internal/balancer/dispatchers_test.go
+++ b/internal/balancer/dispatchers_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// dispatcherGroup plays one fleet of workers for many balancers that share nothing, each with a few requests a second.
+// dispatcherGroup simulates a fleet of workers for several balancers that share no state.
 type dispatcherGroup struct {
 	balancers    []*Balancer
 	rng          *rand.Rand
@@ -16,11 +16,11 @@
 	callbacks    map[time.Duration][]func()
 	sends        map[WorkerID][]time.Duration
 	loadOrders   int
-	functions    int           // that are called, beside the first one
-	longestEvent time.Duration // that a balancer took for one event
+	functions    int           // number of functions that requests name
+	longestEvent time.Duration // longest time that a balancer took for one event
 }
 
-// clockStep is how far the clock moves at a time.
+// clockStep is how far the simulated clock moves at a time.
 const clockStep = 5 * ms
 
 func newDispatcherGroup(t testing.TB, s Settings, balancers, workers int) *dispatcherGroup {
@@ -44,7 +44,7 @@
 	return g
 }
 
-// after calls f after a time, on the next step.
+// scheduleAfter schedules a call of f after a delay, rounded up to a clock step.
 func (g *dispatcherGroup) scheduleAfter(d time.Duration, f func()) {
 	at := (g.now + d + clockStep - 1) / clockStep * clockStep
 	if at <= g.now {
@@ -53,16 +53,16 @@
 	g.callbacks[at] = append(g.callbacks[at], f)
 }
 
-// event delivers an event to one balancer and answers its actions.
+// event delivers an event to one balancer and simulates the results of its actions.
 func (g *dispatcherGroup) event(i int, e Event) {
-	begun := time.Now()
+	started := time.Now()
 	actions := g.balancers[i].Handle(g.now, e)
-	g.longestEvent = max(g.longestEvent, time.Since(begun))
+	g.longestEvent = max(g.longestEvent, time.Since(started))
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			g.sends[a.Worker] = append(g.sends[a.Worker], g.now)
-			n := len(g.balancers[i].requests[a.ID].attempts) - 1 // one send of a request at a time
+			n := len(g.balancers[i].requests[a.ID].attempts) - 1 // the attempt just sent: a request has one at a time
 			g.scheduleAfter(150*ms, func() {
 				g.event(i, OutcomeEvent{ID: a.ID, Attempt: n, Worker: a.Worker, Status: OK, Elapsed: 150 * ms,
 					Answered: true})
@@ -79,17 +79,18 @@
 	}
 }
 
-// changeWorker has all balancers learn that a worker drains, or is ready again.
+// changeWorker switches a worker between ready and draining, and delivers the change to all balancers.
 func (g *dispatcherGroup) changeWorker(number int) {
 	id := WorkerID(fmt.Sprintf("w%02d", number))
 	changed := g.balancers[0].workers[id].Worker
-	changed.State = Draining - changed.State // between Ready and Draining
+	changed.State = Draining - changed.State // swaps Ready and Draining
 	for i := range g.balancers {
 		g.event(i, EndpointsEvent{Scope: ScopeDelta, Workers: []Worker{changed}})
 	}
 }
 
-// play sends requests for some time, rate a second over all balancers, a fifth of them for one function.
+// runTraffic sends requests for a time span, rate per second over all balancers. One in five names the first
+// function.
 func (g *dispatcherGroup) runTraffic(span time.Duration, rate float64) {
 	for until := g.now + span; g.now < until; {
 		g.now += clockStep
@@ -109,17 +110,18 @@
 	}
 }
 
-// Guards rule 4 where hundreds of dispatchers each see a request a second: one request each overloaded a cold worker.
+// Guards rule 4 (slow start) where each of hundreds of dispatchers sees few requests per second: if each of them
+// sends one request to a cold worker, the worker is overloaded.
 func TestManyDispatchersKeepSlowStart(t *testing.T) {
 	slow := testSettings()
 	slow.SlowStartFloor, slow.SlowStartDuration = 0.1, 20*time.Second
 	g := newDispatcherGroup(t, slow, 200, 10)
 	g.runTraffic(12*time.Second, 400)
-	const capacity = 400 / 10 / 0.6 // a warm worker is busy for 0.6 of its time
+	const capacity = 400 / 10 / 0.6 // requests per second; a warm worker is busy for 0.6 of the time
 	cold := WorkerID("w00")
 	for w, at := range g.sends {
 		if len(at) > len(g.sends[cold]) || len(at) == len(g.sends[cold]) && w < cold {
-			cold = w // the busiest
+			cold = w // the worker with the most sends is restarted
 		}
 	}
 	started := g.now
@@ -129,31 +131,31 @@
 	}
 	g.sends[cold] = nil
 	g.runTraffic(12*time.Second, 400)
-	early := 0
+	checked := 0
 	for i, at := range g.sends[cold] {
 		if at >= started+slow.SlowStartDuration {
 			break
 		}
 		sends := countAfter(g.sends[cold][:i+1], at-slow.OverloadWindow)
 		if limit := overloadLimit(slow, at-started, capacity); float64(sends) > limit {
-			t.Fatalf("%v after its start: %d requests within %v, at most %.0f", at-started, sends,
+			t.Fatalf("%v after the start of a worker: %d requests within %v, want at most %.0f", at-started, sends,
 				slow.OverloadWindow, limit)
 		}
-		early++
+		checked++
 	}
-	if early == 0 {
-		t.Error("the cold worker got nothing")
+	if checked == 0 {
+		t.Error("the cold worker received no requests")
 	}
 }
 
-// overloadLimit is how many requests within OverloadWindow overload a worker some time after its start, by how many
-// it answers in a second when it is warm.
+// overloadLimit returns how many requests within OverloadWindow overload a worker of a given age. capacity is how
+// many requests per second the worker answers when it is warm.
 func overloadLimit(s Settings, age time.Duration, capacity float64) float64 {
 	warmth := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(age)/float64(s.SlowStartDuration)
 	return s.OverloadMultiple * warmth * capacity * s.OverloadWindow.Seconds()
 }
 
-// restart has a part of the balancers begin anew, with nothing but the list.
+// restartBalancers replaces a part of the balancers by new ones that know only the endpoint list.
 func (g *dispatcherGroup) restartBalancers(t testing.TB, part float64, list []Worker) {
 	for i := range g.balancers {
 		if g.rng.Float64() >= part {
@@ -169,12 +171,13 @@
 	}
 }
 
-// Guards rule 4 where dispatchers restart while workers come back, and know no more of these than the list tells: the
-// sum over all dispatchers is bounded, in a small fleet and in a large one, also in a burst.
+// Guards rule 4 (slow start) where dispatchers restart while workers come back, and know about these workers only
+// what the endpoint list tells. The requests of all dispatchers together must stay below the overload limit, in
+// small and large fleets and during a burst.
 func TestManyRestartedDispatchersKeepSlowStart(t *testing.T) {
 	for _, peers := range []int{4, 10, 20, 30, 100, 300} {
 		for _, part := range []float64{0.1, 0.7, 1} {
-			t.Run(fmt.Sprintf("%d, of which %v restart", peers, part), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d dispatchers, of which %v restart", peers, part), func(t *testing.T) {
 				s := testSettings()
 				s.SlowStartFloor, s.SlowStartDuration, s.OverloadWindow = 0.27, 16*time.Second, 3*time.Second
 				const workers, rate = 10, 300
@@ -184,21 +187,21 @@
 				for _, w := range g.balancers[0].ready {
 					list = append(list, w.Worker)
 				}
-				const cold = 3 // of the workers, as when a room comes back
+				const cold = 3 // number of workers that start again at once, as when a server room comes back
 				for i := range cold {
 					list[i].Started = g.now
 				}
 				started := g.now
 				g.sends = map[WorkerID][]time.Duration{}
 				g.restartBalancers(t, part, list)
-				g.runTraffic(8*time.Second, 1.5*rate) // a burst of half as much again
+				g.runTraffic(8*time.Second, 1.5*rate) // a burst of 1.5 times the usual rate
 				for _, w := range list[:cold] {
 					for i, at := range g.sends[w.ID] {
 						sends := countAfter(g.sends[w.ID][:i+1], at-s.OverloadWindow)
 						limit := overloadLimit(s, at-started, rate/workers/0.6)
 						limit += 2*math.Sqrt(limit) + 2
 						if float64(sends) > limit {
-							t.Fatalf("%v after its start: %d requests within %v, at most %.0f", at-started, sends,
+							t.Fatalf("%v after the start of a worker: %d requests within %v, want at most %.0f", at-started, sends,
 								s.OverloadWindow, limit)
 						}
 					}
@@ -208,14 +211,15 @@
 	}
 }
 
-// Guards against loads and primary workers by chance: few own calls must not scatter a fleet's copies.
+// Guards against loads and primary workers that depend on chance: the few calls that each dispatcher sees must not
+// scatter the copies of a function over the fleet.
 func TestManyDispatchersAgreeOnPlacement(t *testing.T) {
 	g := newDispatcherGroup(t, testSettings(), 200, 30)
 	g.runTraffic(15*time.Second, 400)
 	before := g.loadOrders
 	g.runTraffic(5*time.Second, 400)
 	if n := g.loadOrders - before; n > 400 {
-		t.Errorf("%d orders for 2000 requests, though all copies are loaded", n)
+		t.Errorf("%d load orders for 2000 requests although all copies are loaded, want at most 400", n)
 	}
 }
 
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"kitefall/internal/balancer"
 )
 
-// A dispatcher asks for a copy before it sends a request to a worker that is not known to hold one.
+// A dispatcher orders a copy before it sends a request to a worker that is not known to have one.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Dispatchers: 1,
--- a/internal/balancer/function.go
+++ b/internal/balancer/function.go
@@ -22,7 +22,7 @@
 	known          bool          // a request has been answered, or a load has succeeded
 	errors         int           // number of errors while known was false
 	lastErrorAt    time.Duration // when errors was last raised
-	erroredWorkers []*worker // workers that returned the latest of these errors
+	erroredWorkers []*worker     // workers that returned the latest of these errors
 	references     int           // number of unanswered requests and pending load orders
 
 	// The group consists of groupSize workers, from index groupStart on in rendezvous order, that serve the
--- a/internal/balancer/hash_test.go
+++ b/internal/balancer/hash_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A logarithm is taken of the number, so it must not be 0.
+// rendezvousKey takes the logarithm of the result, so it must not be 0.
 func TestUnitIntervalIsAboveZeroAndAtMostOne(t *testing.T) {
 	require.Greater(t, unitInterval(0), 0.0)
 	require.LessOrEqual(t, unitInterval(^uint64(0)), 1.0)
 }
 
-// A worker of three times the weight is the primary worker of three times the functions.
+// A worker with three times the weight of another one comes first for three times as many functions.
 func TestRendezvousKeyFollowsWeight(t *testing.T) {
 	light, heavy := hashString("light"), hashString("heavy")
 	const functions = 4000
--- a/internal/balancer/loadbudget_test.go
+++ b/internal/balancer/loadbudget_test.go
@@ -23,7 +23,7 @@
 	require.False(t, p.ordered)
 }
 
-// A request earns load orders once, whichever of its attempts a worker takes.
+// A request is credited to the load budget once, even if workers accept several of its attempts.
 func TestRequestEarnsLoadsOnce(t *testing.T) {
 	b := &Balancer{loads: newLoadBudget(Settings{LoadWindow: time.Second, LoadRatio: 1})}
 	r := &request{deadline: 1}
--- a/internal/balancer/loadorders_test.go
+++ b/internal/balancer/loadorders_test.go
@@ -16,16 +16,16 @@
 	id := f.request("safe", "fn", 2*time.Second)
 	f.endAttempt(id, 0, Miss)
 	if len(f.loads) != 1 || f.loads[0].Worker != primary {
-		t.Fatalf("after a miss: orders %v, want one at %s", f.loads, primary)
+		t.Fatalf("load orders after a miss: %v, want one at %s", f.loads, primary)
 	}
 	f.endLoads(OK)
 	if s := f.open[id].sends; len(s) != 2 || s[1].worker != primary {
-		t.Error("the request was not resent once the copy was loaded")
+		t.Error("the request was not sent again after the copy was loaded")
 	}
 }
 
-// With a load budget, requests try workers without an order. Misses within a few milliseconds must not use up all
-// attempts of a request.
+// With a load budget, requests are sent to workers without a load order. Guards against misses within a few
+// milliseconds that use up all attempts of a request.
 func TestLastAttemptWaitsForLoadedCopy(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts, s.LoadWindow, s.LoadBurst, s.LoadRatio = 4, 10*time.Second, 6, 0.15
@@ -36,15 +36,16 @@
 		f.endAttempt(id, n, Miss)
 	}
 	if o := f.open[id]; len(o.sends) != 3 || len(f.loads) == 0 {
-		t.Fatalf("%d sends and orders %v, want the last send to wait for an order", len(o.sends), f.loads)
+		t.Fatalf("%d sends and load orders %v, want 3 sends and a load order to wait for", len(o.sends), f.loads)
 	}
 	f.endLoads(OK)
 	if n := len(f.open[id].sends); n != 4 {
-		t.Errorf("%d sends once the copy was loaded, want 4", n)
+		t.Errorf("%d sends after the copy was loaded, want 4", n)
 	}
 }
 
-// A crowded store slows every load; more orders in flight would only add to that.
+// An overloaded store slows down all loads, and more load orders in flight would slow them further. So a slow load
+// must reduce the number of load orders in flight.
 func TestSlowLoadDecreasesLoadWindow(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(6)
@@ -60,13 +61,13 @@
 	orders := f.pendingLoads
 	for i, l := range orders {
 		elapsed := 200 * ms
-		if i == len(orders)-1 { // the others have widened the window by a third
+		if i == len(orders)-1 { // the fast loads before it have enlarged the window by a third
 			elapsed = time.Second
 		}
 		f.event(LoadEndedEvent{Worker: l.Worker, Function: l.Function, Elapsed: elapsed, Status: OK, Copies: 1})
 	}
 	if slow := countOrders("b"); slow < 2 || slow > usual*3/4 {
-		t.Errorf("%d orders in flight after a slow load, %d before", slow, usual)
+		t.Errorf("%d load orders in flight after a slow load, %d before", slow, usual)
 	}
 }
 
@@ -75,12 +76,12 @@
 	f.listWorkers(4)
 	f.request("unsafe", "fn", 2*time.Second)
 	first := f.loads[0].Worker
-	f.pendingLoads = nil // never answered
+	f.pendingLoads = nil // the order is never answered
 	f.advance(f.now + 1200*ms)
 	if len(f.loads) < 2 || f.loads[1].Worker == first {
-		t.Errorf("orders %v: the request never left the silent one", f.loads)
+		t.Errorf("load orders %v: the request did not move on to another worker", f.loads)
 	}
-	f.advance(f.now + 2*time.Second) // the fleet asserts the final answer
+	f.advance(f.now + 2*time.Second) // testFleet checks that the request gets its final answer
 }
 
 func TestLoadOrdersKeepToBudget(t *testing.T) {
@@ -90,21 +91,22 @@
 	f.listWorkers(6)
 	for i := range 30 {
 		id := f.request("safe", fmt.Sprintf("f%d", i), time.Second)
-		for n := range f.open[id].sends { // not loaded anywhere: each send misses
+		for n := range f.open[id].sends { // the function is not loaded anywhere: each attempt is a miss
 			if f.open[id].sends[n].pending {
 				f.endAttempt(id, n, Miss)
 			}
 		}
 		f.advance(f.now + 5*ms)
 	}
-	if len(f.loads) == 0 || len(f.loads) > 4 { // the fleet asserts the exact budget
-		t.Errorf("%d orders", len(f.loads))
+	if len(f.loads) == 0 || len(f.loads) > 4 { // checkLoadBudget checks the exact budget
+		t.Errorf("%d load orders, want 1 to 4", len(f.loads))
 	}
 }
 
-// Guards the load budget on sockets, where an order counts once it has arrived: some wait for a connection that comes
-// up late, and those of one moment meet those of another in one window. None begins later than it says, and
-// whatever delay they have within that, no window holds more than the budget.
+// Guards the load budget where orders are sent over sockets. An order counts when it arrives, and some orders wait
+// for a slow connection, so that orders given at different times may arrive in the same window. No order begins
+// after its StartWithin. Whatever the delays up to StartWithin are, no window may contain more arrivals than the
+// budget allows.
 func TestLoadBudgetHoldsForDelayedOrders(t *testing.T) {
 	s := testSettings()
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
@@ -121,7 +123,7 @@
 				f.missEverywhere(id)
 				for _, l := range f.pendingLoads {
 					if l.StartWithin <= 0 || l.StartWithin > 2*s.DialTimeout {
-						t.Fatalf("an order may begin within %v", l.StartWithin)
+						t.Fatalf("StartWithin of a load order is %v", l.StartWithin)
 					}
 					arrived = append(arrived, f.now+time.Duration(rng.Int64N(int64(2*s.DialTimeout))))
 				}
@@ -129,13 +131,13 @@
 			}
 			checkArrivals(t, f, arrived)
 			if len(arrived) < 30 {
-				t.Fatalf("%d orders for 400 requests", len(arrived))
+				t.Fatalf("%d load orders for 400 requests, want at least 30", len(arrived))
 			}
 		})
 	}
 }
 
-// checkArrivals checks the load budget in the window that ends with each arrival of an order.
+// checkArrivals checks the load budget in each window that ends with the arrival of an order.
 func checkArrivals(t *testing.T, f *testFleet, arrived []time.Duration) {
 	t.Helper()
 	slices.Sort(arrived)
@@ -149,13 +151,14 @@
 			}
 		}
 		if float64(orders) > s.LoadBurst+s.LoadRatio*float64(requests) {
-			t.Fatalf("%d orders arrived within %v of %v, and %d requests", orders, s.LoadWindow, at, requests)
+			t.Fatalf("%d load orders arrived within %v before %v, with %d requests", orders, s.LoadWindow, at, requests)
 		}
 	}
 }
 
-// Guards the load budget against clients that send by hundreds what they cancel at once, or what nobody knows: the
-// platform does not count these requests as taken. Only what a worker elapsed for a request earns, at its arrival.
+// Guards the load budget against clients that send hundreds of requests and cancel them at once, or that name
+// unknown functions. The platform does not count these requests as taken. A request earns load orders only once a
+// worker accepts it, as of its arrival.
 func TestUnservedRequestsEarnNoLoadOrders(t *testing.T) {
 	s := testSettings()
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
@@ -174,7 +177,7 @@
 				}
 			}
 		}
-		f.advance(f.now + time.Second) // all of these are over
+		f.advance(f.now + time.Second) // all of these requests have ended
 		f.loads = nil
 		for i := range 60 {
 			id := f.request("safe", fmt.Sprintf("f%d", i), 2*time.Second)
@@ -183,32 +186,34 @@
 			f.advance(f.now + 5*ms)
 		}
 		if n := len(f.loads); n < 6 || n > 6+60*15/100 {
-			t.Errorf("%s: %d orders for 60 requests", name, n)
+			t.Errorf("%s: %d load orders for 60 requests", name, n)
 		}
 	}
 }
 
-// The load budget runs out while the store is slow, and each dispatcher would wait for its own: another may have
-// ordered the copy meanwhile. So one request in two load times tries where it was missing.
+// The load budget may be spent while the store is slow. Guards against requests that only wait for a load order of
+// their own dispatcher, since another dispatcher may have ordered the copy meanwhile. So once in two load times, a
+// request is sent to the worker that missed.
 func TestMissingCopyIsTriedAgainWithoutLoadBudget(t *testing.T) {
 	s := testSettings()
 	s.LoadWindow, s.LoadBurst = 10*time.Second, 1
 	f := newFleet(t, s, 1)
 	f.listWorkers(1)
-	f.endAttempt(f.request("safe", "fn", 3*time.Second), 0, Miss) // its order is the only one to be had
+	f.endAttempt(f.request("safe", "fn", 3*time.Second), 0, Miss) // uses up the load budget of one order
 	f.endLoads(OK)
 	cancelled := f.request("safe", "other", 3*time.Second)
 	f.endAttempt(cancelled, 0, Miss)
 	f.event(ClientGoneEvent{ID: cancelled})
-	f.advance(f.now + 700*ms) // two load times
+	f.advance(f.now + 700*ms) // more than two load times of 300 ms
 	first, second := f.request("safe", "other", 3*time.Second), f.request("safe", "other", 3*time.Second)
 	if len(f.open[first].sends) != 1 || len(f.open[second].sends) != 0 {
-		t.Errorf("%d and %d sends", len(f.open[first].sends), len(f.open[second].sends))
+		t.Errorf("%d and %d sends, want 1 and 0", len(f.open[first].sends), len(f.open[second].sends))
 	}
 }
 
-// New versions of functions come on quiet days too: one miss where a copy was loaded puts all copies of that function
-// in doubt, and what is missing everywhere at once is loaded at a pace, though no budget holds it back.
+// New versions of functions are released on ordinary days too. After a miss where a copy was loaded, the copies of
+// that function at all workers are in doubt. Guards against ordering all missing copies at once: even without a load
+// budget, the load window must limit the orders in flight.
 func TestLoadWindowLimitsOrdersAfterRelease(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
 	f.listWorkers(6)
@@ -218,7 +223,7 @@
 		f.serve("safe", name(i))
 	}
 	loadedEverywhere := f.b.functions["fn0"]
-	for _, w := range f.b.ready { // it is believed to be loaded everywhere
+	for _, w := range f.b.ready { // make the function count as loaded at all workers
 		p := loadedEverywhere.placement(w)
 		p.copies, p.loadedUntil = 1, f.now+f.b.loadedTrust()
 	}
@@ -229,12 +234,12 @@
 		if i == 0 {
 			for _, p := range loadedEverywhere.placements {
 				if f.b.isLoaded(p) {
-					t.Errorf("a copy at %s is still believed to be loaded", p.worker.ID)
+					t.Errorf("the copy at %s is still assumed to be loaded after a miss", p.worker.ID)
 				}
 			}
 		}
 	}
-	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.loads.window.size+1 { // one more while fewer are out
-		t.Errorf("%d orders at once, %v allowed in flight", n, f.b.loads.window.size)
+	if n := len(f.loads); n == 0 || float64(n) >= 2*f.b.loads.window.size+1 { // orders stop at twice the window
+		t.Errorf("%d load orders in flight, the load window is %v", n, f.b.loads.window.size)
 	}
 }
--- a/internal/balancer/random_test.go
+++ b/internal/balancer/random_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// playRandomEvents plays random legal events and returns all that happened.
+// playRandomEvents plays random valid events and returns the log of all events and actions.
 func playRandomEvents(t testing.TB, seed uint64) []string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -84,7 +84,7 @@
 	}
 }
 
-// endRandomAttempts ends one pending attempt in four.
+// endRandomAttempts ends each pending attempt with a probability of one in four.
 func (f *testFleet) endRandomAttempts(rng *rand.Rand) {
 	f.t.Helper()
 	statuses := []Status{OK, OK, OK, OK, OK, Miss, Rejected, Failed, Reset, ConnectFailed, NotSent}
@@ -97,7 +97,7 @@
 	}
 }
 
-// playStrayEvents plays events that come late, twice or for something unknown.
+// playStrayEvents plays events that are late, repeated or about something unknown.
 func (f *testFleet) playStrayEvents(rng *rand.Rand) {
 	f.t.Helper()
 	f.event(OutcomeEvent{ID: RequestID(rng.IntN(2000)), Attempt: 7, Worker: "nobody", Status: Status(rng.IntN(12))})
@@ -125,11 +125,11 @@
 	for seed := range uint64(10) {
 		a, b := playRandomEvents(t, seed), playRandomEvents(t, seed)
 		if len(a) != len(b) {
-			t.Fatalf("seed %d: %d and %d entries", seed, len(a), len(b))
+			t.Fatalf("seed %d: two runs logged %d and %d entries", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d, entry %d:\n%s\n%s", seed, i, a[i], b[i])
+				t.Fatalf("seed %d, entry %d of the log differs between two runs:\n%s\n%s", seed, i, a[i], b[i])
 			}
 		}
 	}
--- a/internal/balancer/rendezvous_test.go
+++ b/internal/balancer/rendezvous_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// referenceOrder is the rendezvous order of a function, made the plain way.
+// referenceOrder computes the rendezvous order of a function by sorting all ready workers.
 func referenceOrder(b *Balancer, f *function) []*worker {
 	order := slices.Clone(b.ready)
 	slices.SortStableFunc(order, func(v, w *worker) int { return f.rendezvous.rank(v).compare(f.rendezvous.rank(w)) })
 	return order
 }
 
-// However the list changes, and however much of an order was looked at, it is that which would be made anew.
+// After any changes of the ready workers, and however much of an order was read before, the order must equal one
+// that is computed from scratch.
 func TestIncrementalOrderMatchesFullSort(t *testing.T) {
 	for _, workers := range []int{1, 5, 159, 160, 161, 400} {
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
@@ -44,7 +45,7 @@
 	}
 }
 
-// applyRandomUpdate has some workers become ready, drain, leave or change their weight.
+// applyRandomUpdate delivers an update in which workers become ready, drain, are removed or change their weight.
 func applyRandomUpdate(b *Balancer, random *rand.Rand, scope UpdateScope, workers, changes int) {
 	var list []Worker
 	for i := range changes {
@@ -59,7 +60,8 @@
 	b.Handle(b.now+time.Millisecond, EndpointsEvent{Scope: scope, Workers: list})
 }
 
-// checkOrder compares the first so many workers of a function's order, which goes round.
+// checkOrder compares the first length workers of a function's order with referenceOrder. Indexes past the end wrap
+// around.
 func checkOrder(t *testing.T, b *Balancer, f *function, length int) {
 	t.Helper()
 	if !slices.IsSortedFunc(b.ready, func(v, w *worker) int { return compareIDs(v, w) }) {
@@ -71,19 +73,20 @@
 			return
 		}
 		if got := b.workerAt(f, i); got != want[i%len(want)] {
-			t.Fatalf("at %d of %d: %s, want %s", i, len(want), got.ID, want[i%len(want)].ID)
+			t.Fatalf("index %d of an order of %d: %s, want %s", i, len(want), got.ID, want[i%len(want)].ID)
 		}
 	}
 }
 
-// Looking at workers leaves nothing behind: what is kept of a function does not grow with the list.
+// Guards against memory that grows with the fleet: examining workers must add no placements to a function and must
+// not extend its order to all workers.
 func TestWorkerLookupsAddNoPlacements(t *testing.T) {
 	g := newDispatcherGroup(t, testSettings(), 2, 2000)
 	g.runTraffic(3*time.Second, 60)
 	for _, b := range g.balancers {
 		for id, f := range b.functions {
 			if len(f.placements) > 40 || len(f.rendezvous.prefix) > 1500 {
-				t.Errorf("%s: %d placements, %d workers in order", id, len(f.placements), len(f.rendezvous.prefix))
+				t.Errorf("%s: %d placements, an order of %d workers", id, len(f.placements), len(f.rendezvous.prefix))
 			}
 		}
 	}
--- a/internal/balancer/scale_test.go
+++ b/internal/balancer/scale_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// BenchmarkChurn measures a second of a dispatcher's life with many workers, eight of which change in it, and forty requests
-// of a Zipf distribution. It also reports the longest time that one event took.
+// BenchmarkChurn measures one second of operation of six dispatchers with many workers: eight changes of workers,
+// and 240 requests of 400 functions in all, which is forty requests for each dispatcher. It also reports the longest
+// time that a balancer took for one event.
 func BenchmarkChurn(b *testing.B) {
 	for _, workers := range []int{200, 1000, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -73,13 +73,13 @@
 	// Permissions and limits of requests and attempts.
 	CanCancel      bool          // Cancel may be used
 	Hedging        bool          // two attempts of one request may be in flight at the same time
-	MaxAttempts    int // attempts allowed per request
+	MaxAttempts    int           // attempts allowed per request
 	MaxInFlight    int           // requests in flight at the same time
 	SendRetryAfter bool          // a Reject may carry a RetryAfter
 	MaxRetryAfter  time.Duration // upper limit of RetryAfter in a Reject
 
 	// The endpoint list and connections to workers.
-	PollEndpoints bool // the list is delivered only after a Watch or Fetch action
+	PollEndpoints bool          // the list is delivered only after a Watch or Fetch action
 	PollTimeout   time.Duration // with PollEndpoints: silence after which the list counts as known
 	LiveWeights   bool          // Worker.Weight falls while the worker is loaded
 	DialTimeout   time.Duration // of one connection attempt to a worker
