--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -55,8 +55,8 @@
 }
 
 // latencyRatio returns the answer times of a worker divided by the times expected for the work of its
-// requests. The mean answer times of functions cannot serve as the reference: a primary worker is the only
-// one to answer its functions, so their means are its own answer times.
+// requests. The mean answer times of functions cannot serve as the reference: a primary worker alone
+// answers its functions, so their means are its own answer times.
 func (b *Balancer) latencyRatio(w *worker) float64 {
 	ratio := w.latency.ratio(b.now, latencyPriorAnswers*b.stats.meanAnswer, latencyDecay, w.outstanding)
 	if b.stats.meanAnswer == 0 { // no answer yet to compare with
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -127,8 +127,8 @@
 // request has waited long enough, or the worker is not available.
 func (b *Balancer) loadWaitOver(r *request) bool {
 	p := r.waitingFor
-	workerLost := !b.available(p.worker) || p.worker.unavailable()
-	return !p.ordered || b.now > r.waitUntil || workerLost
+	workerUnusable := !b.available(p.worker) || p.worker.unavailable()
+	return !p.ordered || b.now > r.waitUntil || workerUnusable
 }
 
 // lastAttemptNeedsCopy reports whether a request may use its last attempt only at a worker where a copy is
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -22,8 +22,8 @@
 	overloadAllowance = 1.5
 )
 
-// candidate returns the i-th worker to examine for a function: first the members of its group, from a
-// rotation on, then the workers after the group in rendezvous order.
+// candidate returns the i-th worker to examine for a function: first the members of its group, starting
+// with the one that rotation selects, then the workers after the group in rendezvous order.
 func (b *Balancer) candidate(f *function, rotation, i int) *worker {
 	if size := min(f.groupSize, len(b.ready)); i < size {
 		i = (rotation + i) % size
@@ -37,8 +37,8 @@
 	return p.copies > 0 && (b.now < p.loadedUntil || p.inFlight > 0)
 }
 
-// loadedByPeers reports whether the calls of all dispatchers are frequent enough to keep a copy loaded at
-// each group member.
+// loadedByPeers reports whether traffic is low and the calls of all dispatchers are frequent enough to keep
+// a copy loaded at each group member.
 func (b *Balancer) loadedByPeers(f *function) bool {
 	ownCalls := math.Max(f.calls.value-1, smoothing) * b.settings.IdleTTL.Seconds() / callDecay.Seconds()
 	calls := ownCalls / float64(f.groupSize) * float64(b.settings.Dispatchers)
@@ -95,14 +95,15 @@
 	if best == nil && !found.copyReady {
 		return found.unloaded, false
 	}
-	if found.unloaded != nil { // an earlier worker in the order lacks a copy: order one for later requests
+	if found.unloaded != nil { // order a copy there for later requests
 		b.orderLoad(f, f.placement(found.unloaded), 1, b.loads.window.size)
 	}
 	return best, best != nil
 }
 
 // findCandidates examines the workers in the function's order until it finds a suitable one. With endpoint
-// leases it examines the whole group, because calls are what proves that workers are ready.
+// leases it examines the whole group, because the calls that workers accept are the proof that they are
+// ready.
 func (b *Balancer) findCandidates(r *request) candidates {
 	f := r.function
 	var found candidates
@@ -195,6 +196,6 @@
 	if !w.hasRoom(b.now) || b.latencyRatio(w) > latencyOutlierRatio {
 		return true
 	}
-	slack := overloadAllowance * float64(b.settings.Dispatchers) / b.capacity(w)
-	return b.load(w) > overloadFactor*b.meanLoad+slack
+	allowance := overloadAllowance * float64(b.settings.Dispatchers) / b.capacity(w)
+	return b.load(w) > overloadFactor*b.meanLoad+allowance
 }
--- a/internal/balancer/rendezvous.go
+++ b/internal/balancer/rendezvous.go
@@ -95,8 +95,7 @@
 	}
 }
 
-// insert inserts a worker at its position, unless that position is beyond the part of the order that is
-// kept.
+// insert adds a worker at its position, unless that position is beyond the part of the order that is kept.
 func (r *rendezvous) insert(w *worker) {
 	position, _ := slices.BinarySearchFunc(r.prefix, r.rank(w), func(other *worker, ranked rankedWorker) int {
 		return r.rank(other).compare(ranked)
