--- a/internal/balancer/scale_test.go
+++ b/internal/balancer/scale_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// BenchmarkChurn measures a second of a dispatcher's life with many workers, eight of which change in it, and forty requests
-// of a Zipf distribution. It also reports the longest time that one event took.
+// BenchmarkChurn measures one second of operation of six dispatchers with many workers: eight changes of workers,
+// and 240 requests of 400 functions in all, which is forty requests for each dispatcher. It also reports the longest
+// time that a balancer took for one event.
 func BenchmarkChurn(b *testing.B) {
 	for _, workers := range []int{200, 1000, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			g := newDispatcherGroup(b, testSettings(), 6, workers)
 			g.functions = 400
-			g.play(5*time.Second, 240)
-			g.longest = 0
+			g.runTraffic(5*time.Second, 240)
+			g.longestEvent = 0
 			b.ResetTimer()
 			for range b.N {
 				for i := range 8 {
 					g.changeWorker(i)
-					g.play(125*time.Millisecond, 240)
+					g.runTraffic(125*time.Millisecond, 240)
 				}
 			}
-			b.ReportMetric(float64(g.longest.Microseconds()), "µs-longest")
+			b.ReportMetric(float64(g.longestEvent.Microseconds()), "µs-longest")
 			b.ReportMetric(b.Elapsed().Seconds()*1000/float64(b.N)/6, "ms/dispatcher-s")
 		})
 	}
