--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -1,7 +1,7 @@
-// Package channel holds what the language lacks for channels that are closed to tell that something has ended.
+// Package channel has helpers for channels that carry no values and are closed as a signal.
 package channel
 
-// IsClosed reports whether a channel on which nothing is sent is closed. It does not wait.
+// IsClosed reports whether a channel is closed, without blocking. No values may be sent on the channel.
 func IsClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -9,13 +9,13 @@
 	"kitefall/internal/call"
 )
 
-// requestBalancer is what the core needs of a balancer.Balancer.
+// requestBalancer is the part of balancer.Balancer that the core uses.
 type requestBalancer interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
-// notifyBalancer delivers an event to the balancer and carries out the actions that it returns. An action may call
-// notifyBalancer in turn: such events are delivered after the current one, by the outermost call.
+// notifyBalancer delivers an event to the balancer and executes the actions that the balancer returns. Executing an action
+// may call notifyBalancer again; the outermost call delivers such nested events after the current one.
 func (c *Core) notifyBalancer(e balancer.Event) {
 	c.balancerEvents = append(c.balancerEvents, e)
 	if len(c.balancerEvents) > 1 {
@@ -25,15 +25,15 @@
 		now := time.Now()
 		c.clockSteps.Check(now)
 		for _, action := range c.balancer.Handle(c.clock.balancerTime(now), c.balancerEvents[0]) {
-			c.carryOut(action)
+			c.executeAction(action)
 		}
 		c.balancerEvents = c.balancerEvents[1:]
 	}
 	c.balancerEvents = nil
 }
 
-// carryOut executes one action of the balancer.
-func (c *Core) carryOut(action balancer.Action) {
+// executeAction executes one action of the balancer.
+func (c *Core) executeAction(action balancer.Action) {
 	switch a := action.(type) {
 	case balancer.Send:
 		c.startAttempt(a)
@@ -53,7 +53,7 @@
 		logLeases(a)
 	case balancer.Log:
 		slog.Info("balancer: " + a.Text)
-	default: // Watch and Fetch: the watcher of the endpoint list takes no orders from the core
+	default: // Watch and Fetch: the core does not control the watcher of the endpoint list
 		slog.Error("core: unsupported balancer action", "action", fmt.Sprintf("%T", a))
 	}
 }
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -13,21 +13,21 @@
 	"kitefall/internal/worker"
 )
 
-// notPersistedLog throttles the log line of calls that end before their first attempt: a client that cancels at that
-// moment causes it.
+// notPersistedLog throttles the log line for calls that are rejected because BeforeFirstAttempt failed. Clients can cause
+// this line at any rate, by cancelling calls at that moment.
 var notPersistedLog = logthrottle.New()
 
-// attemptState is how far an attempt has come.
+// attemptState is the progress of an attempt.
 type attemptState int
 
 const (
-	attemptPreparing  attemptState = iota // not yet handed to a pool; BeforeFirstAttempt may be running
-	attemptInFlight                       // handed to the worker's pool
+	attemptPreparing  attemptState = iota // not yet handed to a worker's pool; BeforeFirstAttempt may be running
+	attemptInFlight                       // handed to the worker's pool, not ended
 	attemptNotRun                         // ended; the worker did not run it
 	attemptMayHaveRun                     // ended; the worker may have run it
 )
 
-// attemptTransitions lists the states that may follow each state. The last two are final.
+// attemptTransitions lists the allowed next states of each state. attemptNotRun and attemptMayHaveRun are final.
 var attemptTransitions = [...][]attemptState{
 	attemptPreparing:  {attemptInFlight, attemptNotRun},
 	attemptInFlight:   {attemptNotRun, attemptMayHaveRun},
@@ -38,23 +38,23 @@
 // attempt is one attempt of a request at one worker.
 type attempt struct {
 	request  *request
-	number   int // from 0, in the order of the balancer's Send actions
+	number   int // index among the request's attempts, in the order of the balancer's Send actions
 	workerID balancer.WorkerID
 	state    attemptState
-	status   balancer.Status // how it ended; final once ended reports true
+	status   balancer.Status // how the attempt ended; set when ended returns true
 	created  time.Time
-	deadline time.Time // the attempt times out then
-	startBy  time.Time // it must not start after this; zero: it may start until its deadline
+	deadline time.Time // the attempt times out at this time
+	startBy  time.Time // the attempt must not start after this time; zero: it may start until its deadline
 
-	// Set from attemptInFlight on.
+	// The following fields are set when the attempt becomes attemptInFlight.
 
 	pool    *worker.Pool
 	pending *worker.PendingRequest
 	timeout *timer
 }
 
-// setState moves the attempt to a state and reports whether that may follow the current one. It may not where the
-// attempt has ended already, as when a worker's answer crosses a time-out.
+// setState moves the attempt to the next state if that transition is allowed, and reports whether it is. No transition is
+// allowed once the attempt has ended, for example when a worker's answer arrives after the attempt has timed out.
 func (a *attempt) setState(next attemptState) bool {
 	if !slices.Contains(attemptTransitions[a.state], next) {
 		return false
@@ -63,7 +63,7 @@
 	return true
 }
 
-// mayHaveRun reports whether the worker may have run the attempt, or may still be running it.
+// mayHaveRun reports whether the worker may have run the attempt or may still be running it.
 func (a *attempt) mayHaveRun() bool {
 	return a.state == attemptInFlight || a.state == attemptMayHaveRun
 }
@@ -71,7 +71,7 @@
 // ended reports whether the attempt has reached a final state.
 func (a *attempt) ended() bool { return a.state == attemptNotRun || a.state == attemptMayHaveRun }
 
-// finalState returns the state of an attempt that ended with a status.
+// finalState returns the final state of an attempt that ended with the given status.
 func finalState(status balancer.Status) attemptState {
 	switch status {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent, balancer.Miss:
@@ -81,7 +81,7 @@
 	}
 }
 
-// startAttempt carries out the balancer's Send.
+// startAttempt executes a Send action of the balancer.
 func (c *Core) startAttempt(send balancer.Send) {
 	r := c.requests[send.ID]
 	if r == nil {
@@ -101,15 +101,15 @@
 		c.sendAttempt(a)
 		return
 	}
-	// On a goroutine of its own, since BeforeFirstAttempt may wait for a disk. The goroutine ends when that returns;
-	// Stop does not wait for it.
+	// BeforeFirstAttempt may wait for a disk, so it runs on its own goroutine, which ends when BeforeFirstAttempt returns.
+	// Stop does not wait for this goroutine.
 	go func() {
 		err := r.call.BeforeFirstAttempt()
 		c.post(attemptPrepared{attempt: a, err: err})
 	}()
 }
 
-// onAttemptPrepared sends an attempt, or rejects its call where BeforeFirstAttempt failed.
+// onAttemptPrepared sends an attempt, or rejects the call if BeforeFirstAttempt failed.
 func (c *Core) onAttemptPrepared(a *attempt, err error) {
 	r := a.request
 	if err != nil && !r.closed {
@@ -121,13 +121,13 @@
 	c.sendAttempt(a)
 }
 
-// sendAttempt hands an attempt to the pool of its worker. The request may have ended while the attempt was prepared.
+// sendAttempt hands an attempt to the pool of its worker. It does nothing if the attempt ended while it was being prepared.
 func (c *Core) sendAttempt(a *attempt) {
 	if a.state != attemptPreparing {
 		return
 	}
-	if reason := c.permitAttempt(a); reason != permit.Allowed {
-		noteRefusal(reason, a.created, "attempt", "call", a.request.logID(), "worker", string(a.workerID))
+	if reason := c.checkAttempt(a); reason != permit.Allowed {
+		recordRefusal(reason, a.created, "attempt", "call", a.request.logID(), "worker", string(a.workerID))
 		c.endAttempt(a, worker.Result{Status: balancer.NotSent})
 		return
 	}
@@ -146,7 +146,7 @@
 	pending, err := e.pool.Call(outgoing, func(result worker.Result) {
 		c.post(attemptEnded{attempt: a, result: result})
 	})
-	if err != nil { // no room in the pool: the worker is not to blame, so this is not ConnectFailed
+	if err != nil { // the pool had no room; ConnectFailed would count against the worker
 		c.endAttempt(a, worker.Result{Status: balancer.NotSent})
 		return
 	}
@@ -156,7 +156,7 @@
 	a.timeout = c.timers.add(a.deadline, attemptTimedOut{attempt: a})
 }
 
-// cancelAttempt carries out the balancer's Cancel.
+// cancelAttempt executes a Cancel action of the balancer.
 func (c *Core) cancelAttempt(cancel balancer.Cancel) {
 	r := c.requests[cancel.ID]
 	if r == nil || cancel.Attempt < 0 || cancel.Attempt >= len(r.attempts) {
@@ -165,7 +165,8 @@
 	c.stopAttempt(r.attempts[cancel.Attempt], balancer.Cancelled)
 }
 
-// stopAttempt stops waiting for an attempt. It ends with the status, or as not sent where the worker never saw it.
+// stopAttempt ends an attempt without waiting for its result. The attempt ends with the given status, or with NotSent if
+// nothing of it was written to the worker.
 func (c *Core) stopAttempt(a *attempt, status balancer.Status) {
 	switch a.state {
 	case attemptPreparing:
@@ -174,13 +175,13 @@
 		if written := a.pool.Cancel(a.pending); !written {
 			status = balancer.NotSent
 		}
-	default: // it has ended already
+	default: // the attempt has ended already
 		return
 	}
 	c.endAttempt(a, worker.Result{Status: status})
 }
 
-// endAttempt takes in the result of an attempt, unless the attempt has ended already.
+// endAttempt processes the result of an attempt. It does nothing if the attempt has ended already.
 func (c *Core) endAttempt(a *attempt, result worker.Result) {
 	if !a.setState(finalState(result.Status)) {
 		return
@@ -190,7 +191,7 @@
 	r := a.request
 	r.activeAttempts--
 	c.timers.remove(a.timeout)
-	writtenAt := c.recordLease(a, result)
+	writtenAt := c.renewLeaseFromAttempt(a, result)
 	if result.Status == balancer.OK {
 		c.answer(r, call.Answer{Outcome: call.Served, Body: result.Body})
 	}
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -12,7 +12,7 @@
 	"kitefall/internal/worker"
 )
 
-// recordingBalancer answers each kind of event with scripted actions and records all events.
+// recordingBalancer records all events and answers each RequestEvent with the actions of onRequest.
 type recordingBalancer struct {
 	events    []balancer.Event
 	onRequest func(balancer.RequestEvent) []balancer.Action
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// outcomes returns the statuses of the attempts that have ended.
+// outcomes returns the statuses of all recorded OutcomeEvents.
 func (b *recordingBalancer) outcomes() []balancer.Status {
 	var statuses []balancer.Status
 	for _, e := range b.events {
@@ -37,7 +37,7 @@
 	return statuses
 }
 
-func TestAttemptStateFollowsTheTable(t *testing.T) {
+func TestAttemptStateTransitions(t *testing.T) {
 	states := []attemptState{attemptPreparing, attemptInFlight, attemptNotRun, attemptMayHaveRun}
 	allowed := map[[2]attemptState]bool{
 		{attemptPreparing, attemptInFlight}:  true,
@@ -53,7 +53,7 @@
 			if want {
 				assert.Equal(t, to, a.state)
 			} else {
-				assert.Equal(t, from, a.state, "a refused transition changes nothing")
+				assert.Equal(t, from, a.state, "a transition that is not allowed must not change the state")
 			}
 		}
 	}
@@ -75,8 +75,9 @@
 	}
 }
 
-// A result that crosses the end of its attempt is ignored: the client has one answer and the balancer one outcome.
-func TestResultAfterTheEndOfItsAttemptIsIgnored(t *testing.T) {
+// A result or a timeout of an attempt that has already ended is ignored: the client gets one answer and the balancer one
+// outcome.
+func TestResultOfEndedAttemptIsIgnored(t *testing.T) {
 	c := newStoppedCore(t, 4, idempotentSettings())
 	c.config.Pool.MaxConns = 1
 	c.config.Pool.MaxStreams = 1
@@ -84,7 +85,7 @@
 		return []balancer.Action{balancer.Send{ID: r.ID, Worker: "s-1"}}
 	}}
 	c.balancer = scripted
-	c.listNow("s-1")
+	c.addReadyEndpoint("s-1")
 	var answers []call.Answer
 	submitted := &call.Call{Class: "consulta", Function: testFunction, Deadline: time.Now().Add(time.Hour),
 		Done: func(a call.Answer) { answers = append(answers, a) }}
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -11,8 +11,8 @@
 	"kitefall/internal/fakes"
 )
 
-// BenchmarkCoreRequest measures one request from Submit to its final answer: one that a worker on loopback serves, and
-// one that is past its deadline, which the balancer answers without a worker.
+// BenchmarkCoreRequest measures one request from Submit to its final answer, in two cases: a worker on loopback serves the
+// request, or its deadline has passed and the balancer rejects it without a worker.
 func BenchmarkCoreRequest(b *testing.B) {
 	settings := fakes.Settings()
 	settings.LoadOrders = false
@@ -31,7 +31,8 @@
 	})
 }
 
-// benchmarkRequests submits one request after the other, each with the given time left, and expects the outcome.
+// benchmarkRequests submits requests one at a time, each with the given time left to its deadline, and checks that each ends
+// with the wanted outcome.
 func benchmarkRequests(b *testing.B, core *dispatch.Core, timeLeft time.Duration, want call.Outcome) {
 	answered := make(chan call.Answer, 1)
 	body := []byte("payload")
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -1,12 +1,13 @@
 // Package dispatch forwards calls from the frontends to workers.
 //
-// A [Core] runs one event loop, and the goroutine of that loop alone owns the balancer, which takes all decisions.
-// Frontends, worker pools and endpoint discovery reach the loop by its queue. The loop never waits for a socket or a
-// disk. Each accepted call gets exactly one final answer, unless its client cancels it first.
+// A [Core] runs one event loop. Only the goroutine of the event loop uses the balancer, which makes all decisions.
+// Frontends, worker pools and endpoint discovery send events to the loop through its queue. The loop never waits for a
+// socket or a disk. Each accepted call gets exactly one final answer, unless its client cancels the call first.
 //
-// The files by concern: core.go has the exported API, events.go the event loop, actions.go the exchange with the
-// balancer, requests.go the requests in flight, attempts.go their attempts, loads.go the load orders, endpoints.go the
-// workers' connection pools and timers.go the timers of the loop.
+// Files: core.go has the exported API, events.go the event loop, actions.go the exchange with the balancer, requests.go
+// the requests in flight, attempts.go their attempts, loads.go the load orders, permits.go the checks of the balancer's
+// decisions, endpoints.go the workers' connection pools, timers.go the timers of the loop, clock.go the balancer's time
+// and lag.go the measurement of the loop's delays.
 package dispatch
 
 import (
@@ -21,56 +22,58 @@
 	"kitefall/internal/worker"
 )
 
-// queueSize is how many events may wait for the loop. Beyond it calls are rejected, and other senders wait.
+// queueSize is the maximum number of events that wait for the event loop. When the queue is full, new calls are rejected
+// and other senders block.
 const queueSize = 8192
 
-// ErrOverloaded means that a call was not accepted because too many calls, or too many bytes of their bodies, are in
-// flight. A retry does no harm.
+// ErrOverloaded means that a call was not accepted because the calls in flight or their bodies have reached a limit, or
+// because the event queue is full. A retry cannot run the call twice.
 var ErrOverloaded = errors.New("too many calls in flight")
 
 // Config configures a Core.
 type Config struct {
 	Settings     balancer.Settings
-	Seed         uint64        // of the balancer's random choices
-	Pool         worker.Config // for the connections to all workers
-	MaxInFlight  int           // calls in flight at a time
-	MaxBodyBytes int64         // bytes of the bodies of all calls in flight
+	Seed         uint64        // seed of the balancer's random choices
+	Pool         worker.Config // configuration of the connections to all workers
+	MaxInFlight  int           // maximum number of calls in flight
+	MaxBodyBytes int64         // maximum total size of the bodies of all calls in flight
 }
 
-// Core forwards calls to workers as the balancer decides. Run must be running for calls to be answered; all other
-// exported methods are safe for concurrent use.
+// Core forwards calls to workers as the balancer decides. Calls are answered only while Run is running. All other exported
+// methods are safe for concurrent use.
 type Core struct {
 	config  Config
 	queue   chan queuedEvent
 	stop    chan struct{} // closed by Stop
 	stopped chan struct{} // closed when Run has returned
 
-	inFlight          atomic.Int64 // calls accepted and not answered
-	inFlightBodyBytes atomic.Int64 // bytes of their bodies
+	inFlight          atomic.Int64 // number of calls accepted and neither answered nor cancelled
+	inFlightBodyBytes atomic.Int64 // total size of the bodies of the calls in flight
 	endpointsKnown    atomic.Bool
 
-	// All that follows belongs to the goroutine of Run.
+	// The following fields are used only by the goroutine of Run.
 
 	balancer       requestBalancer
 	clock          clock
 	permits        permits
 	clockSteps     *monotonic.StepDetector
-	balancerEvents []balancer.Event // to deliver; the first one is being handled
+	balancerEvents []balancer.Event // events to deliver to the balancer; the first one is being handled
 	lastID         balancer.RequestID
 	requests       map[balancer.RequestID]*request
 	endpoints      map[balancer.WorkerID]*endpoint
-	syncedAt       time.Duration              // when the poll of the last sync with discovery was sent, in the balancer's time
-	removed        map[balancer.WorkerID]bool // those of endpoints that were removed
+	syncedAt       time.Duration              // balancer time at which the poll of the last sync with discovery was sent
+	removed        map[balancer.WorkerID]bool // workers that were removed but are still in endpoints
 	startTimes     *balancer.StartTimes
 	loads          map[loadKey]*loadOrder
 	timers         timerQueue
 }
 
-// New returns a core that knows no workers yet. An error says what is wrong with the settings.
+// New returns a core that knows no workers yet. It returns an error if the settings are invalid.
 func New(config Config) (*Core, error) {
-	// The frontends decide whether a client is told Retry-After; the balancer always advises.
+	// The balancer always suggests a retry delay; the frontends decide whether to send it to the client as Retry-After.
 	config.Settings.SendRetryAfter = true
-	config.Settings.EndpointLeases = true // what discovery has to tell counts as told, whether it arrives or not
+	// A change of the endpoint list is binding even if its event never arrives, so list entries must expire.
+	config.Settings.EndpointLeases = true
 	b, err := balancer.New(config.Settings, config.Seed)
 	if err != nil {
 		return nil, err
@@ -94,28 +97,28 @@
 	return c, nil
 }
 
-// EndpointsKnown reports whether a list of workers has been taken in.
+// EndpointsKnown reports whether an update of the endpoint list has been processed.
 func (c *Core) EndpointsKnown() bool { return c.endpointsKnown.Load() }
 
-// InFlight returns the number of calls accepted and not yet answered.
+// InFlight returns the number of calls that were accepted and neither answered nor cancelled.
 func (c *Core) InFlight() int64 { return c.inFlight.Load() }
 
-// Handle identifies an accepted call, to cancel it by.
+// Handle identifies an accepted call. It is used to cancel the call.
 type Handle struct {
 	core     *Core
-	id       balancer.RequestID // belongs to the goroutine of Run; 0 until the call has been taken from the queue
-	finished atomic.Bool        // answered or cancelled: no attempt of the call may start any more
+	id       balancer.RequestID // used only by the goroutine of Run; 0 until the call has been taken from the queue
+	finished atomic.Bool        // the call is answered or cancelled: no attempt of it may start any more
 }
 
-// Submit accepts a call, which may start at once. With ErrOverloaded the call was not accepted, and its Done is not
-// called.
+// Submit accepts a call, which may start at once. If it returns ErrOverloaded, the call was not accepted and its Done is
+// not called.
 func (c *Core) Submit(submitted *call.Call) (*Handle, error) {
 	if !c.reserve(submitted) {
 		return nil, ErrOverloaded
 	}
 	h := &Handle{core: c}
 	select {
-	case c.queue <- queued(callSubmitted{call: submitted, handle: h}):
+	case c.queue <- newQueuedEvent(callSubmitted{call: submitted, handle: h}):
 		return h, nil
 	default:
 		c.release(submitted)
@@ -123,8 +126,8 @@
 	}
 }
 
-// reserve counts a call and its body as in flight and reports whether the limits allow it. They are checked here, ahead
-// of the queue: beyond them the program would run out of memory and lose every call in flight.
+// reserve counts a call and its body as in flight and reports whether they are within the limits. The limits are checked
+// before the call is queued: without them, the process could run out of memory and lose every call in flight.
 func (c *Core) reserve(submitted *call.Call) bool {
 	calls := c.inFlight.Add(1)
 	bodyBytes := c.inFlightBodyBytes.Add(int64(len(submitted.Body)))
@@ -141,22 +144,23 @@
 	c.inFlightBodyBytes.Add(-int64(len(submitted.Body)))
 }
 
-// Cancel tells the core that the client no longer waits: Done is not called any more, unless the call is being answered
-// in this moment. From the return of Cancel on no attempt starts, though the event loop may learn of it later.
+// Cancel cancels the call because its client no longer waits. Done is not called afterwards, unless the call is being
+// answered concurrently. Once Cancel has returned, no attempt of the call starts, even if the event loop has not processed
+// the cancellation yet.
 func (h *Handle) Cancel() {
 	h.finished.Store(true)
 	h.core.post(callCancelled{handle: h})
 }
 
-// UpdateEndpoints takes in an endpoint list or a change of it.
+// UpdateEndpoints queues a full endpoint list or a change of the list for the event loop.
 func (c *Core) UpdateEndpoints(update discovery.Update) {
 	c.post(endpointsUpdated{update: update})
 }
 
-// ConfirmEndpoints notes that the updates so far were all that discovery knew at a time.
+// ConfirmEndpoints states that the updates so far contain everything that discovery knew at the time asOf.
 func (c *Core) ConfirmEndpoints(asOf time.Time) { c.post(endpointsConfirmed{asOf: asOf}) }
 
-// Stop ends Run and waits for its return; it may be called once. Calls in flight remain unanswered.
+// Stop ends Run and waits until it has returned. It must be called at most once. Calls in flight remain unanswered.
 func (c *Core) Stop() {
 	close(c.stop)
 	<-c.stopped
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -19,7 +19,7 @@
 
 const testFunction = "7f3a9c21e0b4d655"
 
-// newStoppedCore returns a core whose event loop does not run: the test calls what the loop would.
+// newStoppedCore returns a core whose event loop does not run: the test calls the methods that the loop would call.
 func newStoppedCore(t *testing.T, maxConns int, settings balancer.Settings) *Core {
 	t.Helper()
 	c, err := New(Config{
@@ -32,12 +32,12 @@
 	return c
 }
 
-// listNow adds a worker at an address where nothing listens, as one that the list calls ready now.
-func (c *Core) listNow(id balancer.WorkerID) {
-	c.endpointAt(id, "127.0.0.1:1").lease.Listed(c.clock.balancerTime(time.Now()))
+// addReadyEndpoint adds a worker that the endpoint list names as ready now, at an address where nothing listens.
+func (c *Core) addReadyEndpoint(id balancer.WorkerID) {
+	c.ensureEndpoint(id, "127.0.0.1:1").lease.Listed(c.clock.balancerTime(time.Now()))
 }
 
-// idempotentSettings are settings with one class, whose requests may be repeated.
+// idempotentSettings returns settings with one class, whose requests may run more than once.
 func idempotentSettings() balancer.Settings {
 	return balancer.Settings{
 		DrainGrace: time.Second,
@@ -50,7 +50,8 @@
 	return discovery.Endpoint{Addr: "127.0.0.1:1", Worker: balancer.Worker{ID: id, Weight: 1}}
 }
 
-// In long operation workers are replaced by others all the time, and calls come and go: no state of them may remain.
+// Workers are replaced and calls are answered all the time. Keeping state of removed workers or answered calls would be a
+// memory leak.
 func TestNoStateRemainsOfRemovedWorkersAndAnsweredCalls(t *testing.T) {
 	c := newStoppedCore(t, 4, idempotentSettings())
 	for i := range 100 {
@@ -72,11 +73,12 @@
 		require.True(t, answered)
 	}
 	assert.Empty(t, c.requests)
-	assert.LessOrEqual(t, len(c.timers.heap), timersBefore+1, "the balancer's own timer")
+	assert.LessOrEqual(t, len(c.timers.heap), timersBefore+1, "at most the balancer's own timer may remain")
 }
 
-// That a pool has no room does not come from the worker. Reported as a failed connection, it got the worker ejected.
-func TestPoolWithoutRoomDoesNotCountAgainstWorker(t *testing.T) {
+// A full connection pool is not the worker's fault. When it was reported to the balancer as a failed connection, the worker
+// was ejected.
+func TestFullPoolDoesNotCountAgainstWorker(t *testing.T) {
 	c := newStoppedCore(t, 0, balancer.Settings{
 		DrainGrace:  time.Second,
 		MaxAttempts: 4,
@@ -88,27 +90,27 @@
 		submitted := &call.Call{Class: "reserva", Function: testFunction, Deadline: time.Now().Add(time.Hour),
 			Done: func(call.Answer) {}}
 		c.accept(submitted, &Handle{core: c})
-		assert.Len(t, c.requests[c.lastID].attempts, 1, "it is attempted at the worker")
+		assert.Len(t, c.requests[c.lastID].attempts, 1, "each call must be sent to the worker")
 	}
 }
 
-// The balancer learns of workers' starts in its own time: the list's clock may be any time away.
+// Start times of workers are passed to the balancer in its own time: the endpoint list's clock may differ by any amount.
 func TestStartsAreTranslatedForTheBalancer(t *testing.T) {
 	c := newStoppedCore(t, 4, idempotentSettings())
 	scripted := &recordingBalancer{}
 	c.balancer = scripted
-	old, young, ageless := newEndpoint("old"), newEndpoint("young"), newEndpoint("ageless")
+	old, young, noStart := newEndpoint("old"), newEndpoint("young"), newEndpoint("ageless")
 	old.ReportedStart = 400 * 24 * time.Hour
 	young.ReportedStart = old.ReportedStart + time.Minute
 	before := c.clock.balancerTime(time.Now())
-	c.updateEndpoints(discovery.Update{Endpoints: []discovery.Endpoint{old, young, ageless}})
+	c.updateEndpoints(discovery.Update{Endpoints: []discovery.Endpoint{old, young, noStart}})
 	workers := scripted.events[0].(balancer.EndpointsEvent).Workers
-	assert.GreaterOrEqual(t, workers[1].Started, before, "the latest may have started just now")
+	assert.GreaterOrEqual(t, workers[1].Started, before, "the latest start of the first list counts as a start at this moment")
 	assert.Equal(t, time.Minute, workers[1].Started-workers[0].Started)
 	assert.Zero(t, workers[2].Started)
 }
 
-// BenchmarkEndpointChange measures one change of a list with many workers, of which some were removed.
+// BenchmarkEndpointChange measures a change of one worker's state in an endpoint list with many workers.
 func BenchmarkEndpointChange(b *testing.B) {
 	for _, workers := range []int{200, 3200} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -12,23 +12,26 @@
 	"kitefall/internal/worker"
 )
 
-// workerStateLog throttles the line of workers that begin to drain, leave or return: a list may name thousands.
+// workerStateLog throttles the log line for workers that begin to drain, are removed or return: one endpoint list may
+// contain thousands of them.
 var workerStateLog = logthrottle.New()
 
-// leaseLog throttles the line of leases, and loggedWorkers is how many workers such a line names.
+// leaseLog throttles the log line for changes of leases.
 var leaseLog = logthrottle.New()
 
-const loggedWorkers = 4
+// maxLoggedWorkers is the maximum number of workers that one log line about leases names.
+const maxLoggedWorkers = 4
 
-// endpoint is a worker's address and the connection pool for it.
+// endpoint holds a worker's address, its connection pool, its state and its lease.
 type endpoint struct {
 	addr  string
 	pool  *worker.Pool
-	state permit.Worker // once removed, the endpoint stays until its pool is idle
+	state permit.Worker // state by the endpoint list; a removed endpoint is kept until its pool is idle
 	lease permit.Lease
 }
 
-// updateEndpoints takes in an endpoint list or a change of it. Where it names a worker twice, the last entry counts.
+// updateEndpoints applies a full endpoint list or a change of the list. If an update names a worker twice, the last entry
+// applies.
 func (c *Core) updateEndpoints(update discovery.Update) {
 	asOf := c.clock.balancerTime(time.Now())
 	if !update.AsOf.IsZero() {
@@ -53,45 +56,45 @@
 	c.endpointsKnown.Store(true)
 }
 
-// confirmEndpoints takes in that discovery knew nothing more at a time.
+// confirmEndpoints records that the updates so far contain everything that discovery knew at the time asOf.
 func (c *Core) confirmEndpoints(asOf time.Time) {
-	at := c.clock.balancerTime(asOf)
-	c.syncedAt = max(c.syncedAt, at)
-	c.notifyBalancer(balancer.EndpointsSyncedEvent{AsOf: at})
+	confirmedAt := c.clock.balancerTime(asOf)
+	c.syncedAt = max(c.syncedAt, confirmedAt)
+	c.notifyBalancer(balancer.EndpointsSyncedEvent{AsOf: confirmedAt})
 }
 
-// logLeases logs that leases of workers have ended or are live again.
+// logLeases logs and counts leases that have ended, are contested or were renewed.
 func logLeases(change balancer.LeasesChanged) {
 	metrics.Leases.AddMany("ended", change.Ended)
 	metrics.Leases.AddMany("contested", change.Contested)
 	metrics.Leases.AddMany("renewed", change.Renewed)
-	first := change.Workers[:min(len(change.Workers), loggedWorkers)]
+	first := change.Workers[:min(len(change.Workers), maxLoggedWorkers)]
 	leaseLog.Log(slog.LevelInfo, "core: leases of workers have changed", "ended", change.Ended, "contested", change.Contested,
 		"renewed", change.Renewed, "live", change.Live, "sync_age", change.SyncAge.Round(time.Millisecond), "first", first)
 }
 
-// translateStarts returns the starts of the workers in the balancer's time.
+// translateStarts converts the start times of the workers from the endpoint list's clock to the balancer's time.
 func (c *Core) translateStarts(endpoints []discovery.Endpoint) []time.Duration {
-	told := make([]balancer.ReportedStart, 0, len(endpoints))
+	reported := make([]balancer.ReportedStart, 0, len(endpoints))
 	for _, entry := range endpoints {
-		told = append(told, balancer.ReportedStart{ID: entry.ID, Time: entry.ReportedStart})
+		reported = append(reported, balancer.ReportedStart{ID: entry.ID, Time: entry.ReportedStart})
 	}
-	return c.startTimes.Translate(c.clock.balancerTime(time.Now()), told)
+	return c.startTimes.Translate(c.clock.balancerTime(time.Now()), reported)
 }
 
-// updateEndpoint brings the endpoint of one worker up to date with what was so at a time.
+// updateEndpoint applies one entry of the endpoint list, which was valid at the time asOf.
 func (c *Core) updateEndpoint(entry discovery.Endpoint, asOf time.Duration) {
-	e := c.endpointAt(entry.ID, entry.Addr)
+	e := c.ensureEndpoint(entry.ID, entry.Addr)
 	c.setEndpointState(entry.ID, e, entry.State.Permitted())
 	if e.state == permit.WorkerReady {
 		e.lease.Listed(asOf)
-		e.pool.MarkReady(c.clock.at(entry.Started))
+		e.pool.MarkReady(c.clock.systemTime(entry.Started))
 	} else {
 		e.pool.MarkUnavailable(e.state)
 	}
 }
 
-// setEndpointState notes the state of an endpoint, and whether it is among the removed ones.
+// setEndpointState sets the state of an endpoint and adds it to, or deletes it from, the removed workers.
 func (c *Core) setEndpointState(id balancer.WorkerID, e *endpoint, state permit.Worker) {
 	if e.state != state {
 		workerStateLog.Log(slog.LevelInfo, "core: worker changed its state", "worker", string(id), "from", e.state.String(),
@@ -105,22 +108,22 @@
 	}
 }
 
-// endpointAt returns the endpoint of a worker at an address, and makes it where there is none. A change of the list may
-// leave the address out: then the known one stays.
-func (c *Core) endpointAt(id balancer.WorkerID, addr string) *endpoint {
-	known := c.endpoints[id]
-	if known != nil && (addr == "" || addr == known.addr) {
-		return known
+// ensureEndpoint returns the endpoint of a worker at the given address and creates it if there is none. A change of the list
+// may leave the address empty; the worker's existing endpoint then stays.
+func (c *Core) ensureEndpoint(id balancer.WorkerID, addr string) *endpoint {
+	existing := c.endpoints[id]
+	if existing != nil && (addr == "" || addr == existing.addr) {
+		return existing
 	}
-	if known != nil { // the worker came back at another address; its attempts at the old one may still be answered
-		known.pool.MarkUnavailable(permit.WorkerIsRemoved)
+	if existing != nil { // the worker has a new address; its attempts at the old address may still be answered
+		existing.pool.MarkUnavailable(permit.WorkerIsRemoved)
 	}
 	e := &endpoint{addr: addr, pool: worker.NewPool(string(id), addr, &c.config.Pool)}
 	c.endpoints[id] = e
 	return e
 }
 
-// markAbsentRemoved marks the workers that a full list does not name as removed.
+// markAbsentRemoved marks all workers that are missing from a full list as removed.
 func (c *Core) markAbsentRemoved(listed map[balancer.WorkerID]bool) {
 	for id, e := range c.endpoints {
 		if !listed[id] {
@@ -130,8 +133,8 @@
 	}
 }
 
-// deleteRemovedEndpoints forgets removed workers whose pools are idle. Their ids do not come back, so endpoints kept
-// would only pile up.
+// deleteRemovedEndpoints deletes the endpoints of removed workers whose pools are idle. The ids of removed workers are not
+// used again, so endpoints that were kept would accumulate.
 func (c *Core) deleteRemovedEndpoints() {
 	for id := range c.removed {
 		if c.endpoints[id].pool.Idle() {
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -9,53 +9,56 @@
 	"kitefall/internal/worker"
 )
 
-// initialTimerWait is how long the loop's timer first runs where nothing is scheduled; when it fires, nothing happens.
+// initialTimerWait is the initial duration of the event loop's timer. If the timer fires while no event is due, the loop only
+// checks its timer queue.
 const initialTimerWait = time.Hour
 
-// event is something that the event loop handles in turn. It comes by the queue or from a timer.
+// event is an input of the event loop, from its queue or from a timer. The loop handles one event at a time.
 type event interface{ dispatchEvent() }
 
-// Events that come by the queue.
+// Events from the queue.
 type (
-	// callSubmitted hands in a call that has been reserved.
+	// callSubmitted submits a call that is already counted as in flight.
 	callSubmitted struct {
 		call   *call.Call
 		handle *Handle
 	}
-	// callCancelled means that the client of a call no longer waits.
+	// callCancelled means that a call was cancelled because its client no longer waits.
 	callCancelled struct{ handle *Handle }
-	// attemptPrepared ends the BeforeFirstAttempt that an attempt waited for; err is what that returned.
+	// attemptPrepared means that BeforeFirstAttempt has returned err; the attempt can be sent if err is nil.
 	attemptPrepared struct {
 		attempt *attempt
 		err     error
 	}
-	// attemptEnded is a pool's result of an attempt.
+	// attemptEnded delivers the result of an attempt from a worker's pool.
 	attemptEnded struct {
 		attempt *attempt
 		result  worker.Result
 	}
-	// loadEnded is a pool's result of a load order.
+	// loadEnded delivers the result of a load order from a worker's pool.
 	loadEnded struct {
 		order  *loadOrder
 		result worker.Result
 	}
-	// endpointsUpdated brings an endpoint list or a change of it.
+	// endpointsUpdated delivers a full endpoint list or a change of the list.
 	endpointsUpdated struct{ update discovery.Update }
-	// peerGone means that the process of a worker may have ended.
+	// peerGone means that the process of a worker may have ended: nothing listens at its address, or its last connection was
+	// closed or reset by the other side.
 	peerGone struct{ worker balancer.WorkerID }
-	// endpointsConfirmed means that the updates so far were all that discovery knew at a time.
+	// endpointsConfirmed means that the updates so far contain everything that discovery knew at the time asOf.
 	endpointsConfirmed struct{ asOf time.Time }
 )
 
-// Events that come from timers.
+// Events from timers.
 type (
-	// answerOverdue means that the balancer has left a request without an answer past its deadline.
+	// answerOverdue means that the balancer has not answered a request by its deadline plus fallbackGraceShare of the answer
+	// grace.
 	answerOverdue struct{ request *request }
-	// attemptTimedOut means that the time of an attempt is over.
+	// attemptTimedOut means that the deadline of an attempt has passed.
 	attemptTimedOut struct{ attempt *attempt }
-	// loadTimedOut means that the time of a load order is over.
+	// loadTimedOut means that the deadline of a load order has passed.
 	loadTimedOut struct{ order *loadOrder }
-	// balancerTimerFired means that a timer set by the balancer fired.
+	// balancerTimerFired means that a timer set by the balancer has fired.
 	balancerTimerFired struct{ id int64 }
 )
 
@@ -72,16 +75,16 @@
 func (loadTimedOut) dispatchEvent()       {}
 func (balancerTimerFired) dispatchEvent() {}
 
-// post queues an event. It waits for room in the queue, so the event loop itself must not call it. Once the core is
+// post queues an event. It blocks while the queue is full, so the event loop itself must not call it. Once the core is
 // stopped, the event may be dropped.
 func (c *Core) post(e event) {
 	select {
-	case c.queue <- queued(e):
+	case c.queue <- newQueuedEvent(e):
 	case <-c.stop:
 	}
 }
 
-// Run runs the event loop until Stop. It must be called once.
+// Run runs the event loop until Stop is called. It must be called exactly once.
 func (c *Core) Run() {
 	defer close(c.stopped)
 	wakeup := time.NewTimer(initialTimerWait)
@@ -92,7 +95,7 @@
 		}
 		select {
 		case e := <-c.queue:
-			c.noteLag(e.event, time.Since(e.at))
+			c.recordLag(e.event, time.Since(e.queuedAt))
 			c.handleTimed(e.event)
 		case <-wakeup.C:
 		case <-c.stop:
@@ -109,12 +112,12 @@
 		if due == nil {
 			return
 		}
-		c.noteLag(due.event, time.Since(due.due))
+		c.recordLag(due.event, time.Since(due.due))
 		c.handleTimed(due.event)
 	}
 }
 
-// handle carries out one event.
+// handle processes one event.
 func (c *Core) handle(e event) {
 	switch e := e.(type) {
 	case callSubmitted:
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -7,10 +7,10 @@
 	"kitefall/internal/balancer"
 )
 
-// injectedTimerID is the id of a balancer timer that the balancer itself never sets.
+// injectedTimerID is a timer id that the balancer itself never uses. It marks the timer events of Inject.
 const injectedTimerID = math.MinInt64
 
-// BalancerHook stands between a core and its balancer.
+// BalancerHook intercepts the events that a core sends to its balancer.
 type BalancerHook struct {
 	core     *Core
 	balancer requestBalancer
@@ -18,15 +18,16 @@
 	injected chan func() []balancer.Action
 }
 
-// HookBalancer puts a hook before the core's balancer, which passes each event to observe first. Call it before Run.
+// HookBalancer installs a hook that passes each event to observe before the core's balancer handles it. It must be called
+// before Run.
 func HookBalancer(core *Core, observe func(balancer.Event)) *BalancerHook {
 	hook := &BalancerHook{core: core, balancer: core.balancer, observe: observe, injected: make(chan func() []balancer.Action, 16)}
 	core.balancer = hook
 	return hook
 }
 
-// Inject has the event loop call decide, in turn, and carry out the actions that it returns as if they came from the
-// balancer.
+// Inject queues an event for which the event loop calls decide and executes the returned actions as if the balancer had
+// returned them.
 func (h *BalancerHook) Inject(decide func() []balancer.Action) {
 	h.injected <- decide
 	h.core.post(balancerTimerFired{id: injectedTimerID})
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -9,36 +9,37 @@
 	"kitefall/internal/metrics"
 )
 
-// lateEvent is the lag, and the time for one event, beyond which the log tells of it.
-const lateEvent = 20 * time.Millisecond
+// lateThreshold is the lag of an event, and the duration of handling it, above which a warning is logged.
+const lateThreshold = 20 * time.Millisecond
 
-// lagLog throttles the lines of a loop that is late: it is late with many events in a row.
+// lagLog throttles the warnings about a slow event loop: a slow loop is late with many events in a row.
 var lagLog = logthrottle.New()
 
-// queuedEvent is an event in the queue of the loop, with when it was put there.
+// queuedEvent is an event in the queue of the event loop.
 type queuedEvent struct {
-	event event
-	at    time.Time
+	event    event
+	queuedAt time.Time
 }
 
-func queued(e event) queuedEvent { return queuedEvent{event: e, at: time.Now()} }
+func newQueuedEvent(e event) queuedEvent { return queuedEvent{event: e, queuedAt: time.Now()} }
 
-// noteLag takes note of how long an event has waited for the loop: in its queue, or since its timer was due.
-func (c *Core) noteLag(e event, lag time.Duration) {
+// recordLag records how long an event has waited for the event loop: since it was queued, or since its timer was due. It
+// logs a warning if the lag exceeds lateThreshold.
+func (c *Core) recordLag(e event, lag time.Duration) {
 	metrics.EventLag.Observe(lag)
-	if lag > lateEvent {
+	if lag > lateThreshold {
 		c.logLate("core: the event loop is late", e, lag)
 	}
 }
 
-// handleTimed carries out one event and takes note of how long that took.
+// handleTimed handles one event and records the duration. It logs a warning if the duration exceeds lateThreshold.
 func (c *Core) handleTimed(e event) {
-	begun := time.Now()
+	started := time.Now()
 	c.handle(e)
-	spent := time.Since(begun)
-	metrics.EventTime.Observe(spent)
-	if spent > lateEvent {
-		c.logLate("core: one event took long", e, spent)
+	elapsed := time.Since(started)
+	metrics.EventTime.Observe(elapsed)
+	if elapsed > lateThreshold {
+		c.logLate("core: one event took long", e, elapsed)
 	}
 }
 
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -11,36 +11,36 @@
 	"kitefall/internal/worker"
 )
 
-// loadNotDoneLog throttles the line of load orders that failed or were not carried out.
-var loadNotDoneLog = logthrottle.New()
+// failedLoadLog throttles the log line for load orders that failed or were not sent.
+var failedLoadLog = logthrottle.New()
 
-// loadKey identifies a load order: there is one at a time for a function at a worker.
+// loadKey identifies a pending load order: there is at most one for each function at each worker.
 type loadKey struct {
 	worker   balancer.WorkerID
 	function balancer.FunctionID
 }
 
-// loadOrder is an order to a worker to load copies of a function.
+// loadOrder is an order to a worker to hold at least a number of loaded copies of a function.
 type loadOrder struct {
 	key      loadKey
 	created  time.Time
-	copies   int           // 0: it only asks, for a keepalive
-	proofAge time.Duration // of a keepalive, see balancer.Load
+	copies   int           // 0: the order only asks for the number of loaded copies, as a keepalive
+	proofAge time.Duration // greater than 0 for load orders that serve as keepalives, see balancer.Load
 
-	// Set once a pool has taken the order.
+	// The following fields are set once the worker's pool has accepted the order.
 
 	pool    *worker.Pool
 	pending *worker.PendingRequest
 	timeout *timer
 }
 
-// startLoad carries out the balancer's Load.
+// startLoad executes a Load action of the balancer.
 func (c *Core) startLoad(load balancer.Load) {
 	order := &loadOrder{key: loadKey{load.Worker, load.Function}, created: time.Now(), copies: load.Copies,
 		proofAge: load.ProofAge}
 	c.loads[order.key] = order
-	if reason := c.permitLoad(load, order.created); reason != permit.Allowed {
-		noteRefusal(reason, order.created, "load order", "worker", string(load.Worker), "function", string(load.Function))
+	if reason := c.checkLoad(load, order.created); reason != permit.Allowed {
+		recordRefusal(reason, order.created, "load order", "worker", string(load.Worker), "function", string(load.Function))
 		c.endLoad(order, worker.Result{Status: balancer.NotSent})
 		return
 	}
@@ -60,7 +60,7 @@
 	pending, err := e.pool.Load(outgoing, func(result worker.Result) {
 		c.post(loadEnded{order: order, result: result})
 	})
-	if err != nil { // no room in the pool, as for an attempt
+	if err != nil { // the pool had no room; ConnectFailed would count against the worker
 		c.endLoad(order, worker.Result{Status: balancer.NotSent})
 		return
 	}
@@ -69,7 +69,7 @@
 	order.timeout = c.timers.add(deadline, loadTimedOut{order: order})
 }
 
-// onLoadTimedOut stops waiting for a load order.
+// onLoadTimedOut ends a load order whose deadline has passed.
 func (c *Core) onLoadTimedOut(order *loadOrder) {
 	if !c.isCurrent(order) {
 		return
@@ -78,19 +78,19 @@
 	c.endLoad(order, worker.Result{Status: balancer.TimedOut})
 }
 
-// endLoad takes in the result of a load order, unless the order has ended or another one has replaced it.
+// endLoad processes the result of a load order. It does nothing if the order has ended already or was replaced by another.
 func (c *Core) endLoad(order *loadOrder, result worker.Result) {
 	if !c.isCurrent(order) {
 		return
 	}
 	delete(c.loads, order.key)
 	c.timers.remove(order.timeout)
-	order.count(result.Status)
+	order.recordStatus(result.Status)
 	if result.Status != balancer.OK {
-		loadNotDoneLog.Log(slog.LevelInfo, "core: load order not done", "worker", string(order.key.worker),
+		failedLoadLog.Log(slog.LevelInfo, "core: load order not done", "worker", string(order.key.worker),
 			"function", string(order.key.function), "status", result.Status.String())
 	}
-	writtenAt := c.recordKeepalive(order, result)
+	writtenAt := c.renewLeaseFromLoad(order, result)
 	c.notifyBalancer(balancer.LoadEndedEvent{
 		Worker:   order.key.worker,
 		Function: order.key.function,
@@ -103,8 +103,8 @@
 	})
 }
 
-// count counts the end of an order.
-func (o *loadOrder) count(status balancer.Status) {
+// recordStatus counts an ended order in the metrics of keepalives and load orders.
+func (o *loadOrder) recordStatus(status balancer.Status) {
 	switch {
 	case o.copies == 0:
 		metrics.Keepalives.Add("asked")
@@ -115,9 +115,10 @@
 	metrics.LoadOrders.Add(status.String())
 }
 
-// recordKeepalive renews a lease by a keepalive that was carried out. It returns when a load order was written, in the
-// balancer's time, where that is evidence; 0: it is not.
-func (c *Core) recordKeepalive(order *loadOrder, result worker.Result) (writtenAt time.Duration) {
+// renewLeaseFromLoad renews the lease of a worker if the order was a keepalive and the worker has executed it. It returns the
+// balancer time at which the order was written, or 0 if the result proves nothing about the worker: the order was not
+// answered, or the worker's pool has been replaced since.
+func (c *Core) renewLeaseFromLoad(order *loadOrder, result worker.Result) (writtenAt time.Duration) {
 	e := c.endpoints[order.key.worker]
 	if e == nil || e.pool != order.pool || result.WrittenAt.IsZero() {
 		return 0
@@ -129,10 +130,11 @@
 	return writtenAt
 }
 
-// isCurrent reports whether an order has neither ended nor been replaced.
+// isCurrent reports whether an order has neither ended nor been replaced by another.
 func (c *Core) isCurrent(order *loadOrder) bool { return c.loads[order.key] == order }
 
-// unload carries out the balancer's Unload. Nothing is reported back, not even that a pool has no room for it.
+// unload executes an Unload action of the balancer. No result is reported to the balancer, not even that the worker's pool
+// had no room for the order.
 func (c *Core) unload(unload balancer.Unload) {
 	if e := c.endpoints[unload.Worker]; e != nil {
 		e.pool.Unload(string(unload.Function), time.Now().Add(c.config.Settings.LoadTimeout))
--- a/internal/dispatch/loopback_test.go
+++ b/internal/dispatch/loopback_test.go
@@ -23,7 +23,7 @@
 		Deadline: time.Now().Add(4 * time.Second), Done: done}
 }
 
-// startCore starts a core that knows the workers, and stops it when the test ends.
+// startCore starts a core that knows the given workers and stops it when the test ends.
 func startCore(t *testing.T, settings balancer.Settings, workers ...*fakes.Worker) *dispatch.Core {
 	t.Helper()
 	core := fakes.NewCoreWithSettings(t, settings, workers...)
@@ -31,7 +31,7 @@
 	return core
 }
 
-// startHookedCore starts a core that knows one worker, with a hook before its balancer.
+// startHookedCore starts a core that knows one worker and has a BalancerHook. The core is stopped when the test ends.
 func startHookedCore(t *testing.T, settings balancer.Settings, pool worker.Config, w *fakes.Worker,
 	observe func(balancer.Event)) (*dispatch.Core, *dispatch.BalancerHook) {
 	t.Helper()
@@ -44,7 +44,7 @@
 	return core, hook
 }
 
-// submit hands in a call, which must be accepted.
+// submit submits a call and requires that the core accepts it.
 func submit(t *testing.T, core *dispatch.Core, submitted *call.Call) *dispatch.Handle {
 	t.Helper()
 	handle, err := core.Submit(submitted)
@@ -52,23 +52,23 @@
 	return handle
 }
 
-// The client cancels while its call is queued, and the event loop is late: no attempt of the call starts, though the loop
-// learns of the call before it learns of its end. Whether the settings allow to cancel attempts makes no difference.
+// A client cancels its call while the call is queued and the event loop is late. The loop processes the call before the
+// cancellation, but must not start an attempt of it, whether or not the settings allow attempts to be cancelled.
 func TestCallCancelledInTheQueueDoesNotStart(t *testing.T) {
 	for name, canCancel := range map[string]bool{"attempts can be cancelled": true, "attempts cannot be cancelled": false} {
 		t.Run(name, func(t *testing.T) {
 			w := fakes.NewWorker(t)
 			settings := fakes.Settings()
 			settings.CanCancel = canCancel
-			settings.LoadOrders = false // no wait for a load before the first attempt
+			settings.LoadOrders = false // the first attempt does not wait for a load
 			core, hook := startHookedCore(t, settings, fakes.PoolConfig(), w, func(balancer.Event) {})
 
 			resume := make(chan bool)
 			hook.Inject(func() []balancer.Action { <-resume; return nil })
-			cancelled := submit(t, core, newCall(1, "cancelled", func(call.Answer) { t.Error("answered, though its client had cancelled") }))
+			cancelled := submit(t, core, newCall(1, "cancelled", func(call.Answer) { t.Error("a cancelled call was answered") }))
 			submit(t, core, newCall(2, "waiting", func(call.Answer) {}))
 			firstBody := make(chan string, 1)
-			// Before the loop learns that the first call is cancelled.
+			// This action is queued before Cancel, so it is executed before the loop processes the cancellation.
 			hook.Inject(func() []balancer.Action { firstBody <- w.Next().Body; return nil })
 			cancelled.Cancel()
 			close(resume)
@@ -80,7 +80,7 @@
 	}
 }
 
-// A call whose BeforeFirstAttempt fails is rejected and does not reach a worker.
+// A call whose BeforeFirstAttempt fails is rejected and not sent to a worker.
 func TestCallThatCannotBePersistedIsRejected(t *testing.T) {
 	w := fakes.NewWorker(t)
 	core := startCore(t, fakes.Settings(), w)
@@ -93,8 +93,8 @@
 	assert.Zero(t, w.CallCount("x"))
 }
 
-// A call that is cancelled while its BeforeFirstAttempt runs does not reach a worker.
-func TestCallCancelledWhileItIsPersistedDoesNotStart(t *testing.T) {
+// A call that is cancelled while its BeforeFirstAttempt runs is not sent to a worker.
+func TestCallCancelledWhileBeingPersistedDoesNotStart(t *testing.T) {
 	for name, canCancel := range map[string]bool{"attempts can be cancelled": true, "attempts cannot be cancelled": false} {
 		t.Run(name, func(t *testing.T) {
 			w := fakes.NewWorker(t)
@@ -108,7 +108,7 @@
 				}
 			})
 			persisting, persisted := make(chan bool), make(chan bool)
-			submitted := newCall(1, "x", func(call.Answer) { t.Error("answered, though its client had cancelled") })
+			submitted := newCall(1, "x", func(call.Answer) { t.Error("a cancelled call was answered") })
 			submitted.BeforeFirstAttempt = func() error {
 				close(persisting)
 				<-persisted
@@ -120,14 +120,14 @@
 			close(persisted)
 			outcome := fakes.Receive(t, outcomes)
 			assert.Equal(t, balancer.NotSent, outcome.Status)
-			assert.True(t, outcome.Answered, "nobody waits for it any more")
+			assert.True(t, outcome.Answered, "the outcome must report that the client no longer waits for an answer")
 			assert.Zero(t, w.CallCount("x"))
 		})
 	}
 }
 
-// A call that another attempt has answered is finished also where the settings do not allow to cancel attempts: one that
-// still waits for a connection must not start.
+// Once an attempt has answered a call, the call is finished, even if the settings do not allow attempts to be cancelled.
+// Another attempt of the call that still waits for a connection must not start.
 func TestAnsweredCallStartsNoMoreAttempts(t *testing.T) {
 	w := fakes.NewWorker(t)
 	settings := fakes.Settings()
@@ -140,53 +140,55 @@
 	assert.True(t, handle.Finished())
 }
 
-// loadOrderer has a core send load orders to its one worker.
-type loadOrderer struct {
+// loadOrderSender makes a core send load orders to its only worker.
+type loadOrderSender struct {
 	hook  *dispatch.BalancerHook
 	id    balancer.WorkerID
 	ended chan balancer.LoadEndedEvent
 }
 
-func newLoadOrderer(t *testing.T, pool worker.Config, w *fakes.Worker) *loadOrderer {
+func newLoadOrderSender(t *testing.T, pool worker.Config, w *fakes.Worker) *loadOrderSender {
 	t.Helper()
-	orderer := &loadOrderer{id: fakes.Endpoints(w).Endpoints[0].ID, ended: make(chan balancer.LoadEndedEvent, 16)}
-	_, orderer.hook = startHookedCore(t, fakes.Settings(), pool, w, func(e balancer.Event) {
+	sender := &loadOrderSender{id: fakes.Endpoints(w).Endpoints[0].ID, ended: make(chan balancer.LoadEndedEvent, 16)}
+	_, sender.hook = startHookedCore(t, fakes.Settings(), pool, w, func(e balancer.Event) {
 		if ended, ok := e.(balancer.LoadEndedEvent); ok {
-			orderer.ended <- ended
+			sender.ended <- ended
 		}
 	})
-	return orderer
+	return sender
 }
 
-// order sends a load order and returns the status with which it ends.
-func (o *loadOrderer) order(startWithin time.Duration) balancer.Status {
-	o.hook.Inject(func() []balancer.Action {
-		return []balancer.Action{balancer.Load{Worker: o.id, Function: testFunction, Copies: 1, StartWithin: startWithin}}
+// send sends a load order, waits for its end and returns its status.
+func (s *loadOrderSender) send(startWithin time.Duration) balancer.Status {
+	s.hook.Inject(func() []balancer.Action {
+		return []balancer.Action{balancer.Load{Worker: s.id, Function: testFunction, Copies: 1, StartWithin: startWithin}}
 	})
-	return (<-o.ended).Status
+	return (<-s.ended).Status
 }
 
-// That a pool has no room for a load order does not come from the worker. Reported as a failed connection, it got the
-// worker ejected.
-func TestLoadOrderWithoutRoomDoesNotCountAgainstWorker(t *testing.T) {
+// A connection pool without room for a load order is not the worker's fault. When it was reported to the balancer as a failed
+// connection, the worker was ejected.
+func TestLoadOrderAtFullPoolDoesNotCountAgainstWorker(t *testing.T) {
 	pool := fakes.PoolConfig()
 	pool.MaxConns = 0
-	orderer := newLoadOrderer(t, pool, fakes.NewWorker(t))
-	assert.Equal(t, balancer.NotSent, orderer.order(0))
+	sender := newLoadOrderSender(t, pool, fakes.NewWorker(t))
+	assert.Equal(t, balancer.NotSent, sender.send(0))
 }
 
-// A load order starts within the time that the balancer's load budget counts with, or not at all.
-func TestLoadOrderStartsWithinItsTimeOrNotAtAll(t *testing.T) {
+// A load order is rejected if it cannot be sent within StartWithin: the balancer's load budget assumes that later orders do not
+// arrive.
+func TestLoadOrderIsRejectedAfterStartWithin(t *testing.T) {
 	w := fakes.NewWorker(t)
-	orderer := newLoadOrderer(t, fakes.PoolConfig(), w)
+	sender := newLoadOrderSender(t, fakes.PoolConfig(), w)
 	wantStatus := map[time.Duration]balancer.Status{1: balancer.Rejected, time.Minute: balancer.OK}
 	for startWithin, want := range wantStatus {
-		assert.Equal(t, want, orderer.order(startWithin), "start within %v", startWithin)
+		assert.Equal(t, want, sender.send(startWithin), "start within %v", startWithin)
 	}
 	assert.Len(t, w.LoadOrderTimes(), 1)
 }
 
-// A change of the endpoint list may leave out a worker's address: its connections stay, and with them what is in flight.
+// A change of the endpoint list may leave out a worker's address. The worker's connections then stay open, with the requests in
+// flight on them.
 func TestChangeWithoutAddressKeepsConnections(t *testing.T) {
 	w := fakes.NewWorker(t)
 	core := startCore(t, fakes.Settings(), w)
@@ -209,8 +211,8 @@
 	require.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 }
 
-// Where one update names a worker as draining and as ready, the last entry counts, in either order.
-func TestLastEntryOfAnUpdateCounts(t *testing.T) {
+// If one update names a worker both as draining and as ready, the last entry applies, in either order.
+func TestLastEntryOfAnUpdateApplies(t *testing.T) {
 	w := fakes.NewWorker(t)
 	core := startCore(t, fakes.Settings(), w)
 	ready := fakes.Endpoints(w).Endpoints[0]
@@ -232,8 +234,8 @@
 	}
 }
 
-// A full list where a change was expected removes the workers that it does not name, also while a call waits for its
-// connection there.
+// A full list that arrives in place of a change removes the workers that it does not name. Calls are then sent to the workers
+// that it names, or rejected if it names none.
 func TestFullListRemovesAbsentWorkers(t *testing.T) {
 	w, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	core := startCore(t, fakes.Settings(), w)
@@ -245,7 +247,7 @@
 	other.Next().OK("done")
 	assert.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 
-	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeFull}) // names no worker: calls are rejected
+	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeFull}) // the list names no worker: calls are rejected
 	submitted := newCall(2, "y", done)
 	submitted.Deadline = time.Now().Add(200 * time.Millisecond)
 	submit(t, core, submitted)
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -11,11 +11,12 @@
 	"kitefall/internal/worker"
 )
 
-// violationLog throttles the line of violations: a fault of the balancer could show with each request.
+// violationLog throttles the log line for violations: a fault of the balancer could cause one for each request.
 var violationLog = logthrottle.New()
 
-// permits checks at run time, with the core's own records, that what the balancer has chosen may begin. The balancer asks
-// package permit when it chooses; a choice that is refused here is not carried out, and counted.
+// permits holds the rules by which the core checks each decision of the balancer against the core's own records before
+// executing it. The balancer applies the rules of package permit too, when it decides. A decision that is refused by the
+// core is counted and not executed.
 type permits struct {
 	repeatable  map[string]bool // classes whose requests may run more than once
 	maxAttempts int
@@ -38,8 +39,8 @@
 	return p
 }
 
-// permitAttempt checks an attempt that is about to be handed to its worker's pool.
-func (c *Core) permitAttempt(a *attempt) permit.Reason {
+// checkAttempt checks whether an attempt may be handed to its worker's pool.
+func (c *Core) checkAttempt(a *attempt) permit.Reason {
 	r := a.request
 	start := permit.Start{
 		Worker:     c.endpointState(a.workerID),
@@ -63,9 +64,9 @@
 	return repeat.Check()
 }
 
-// permitLoad checks a load order that is about to be handed to its worker's pool, and takes it from the budget unless it
-// only asks.
-func (c *Core) permitLoad(load balancer.Load, now time.Time) permit.Reason {
+// checkLoad checks whether a load order may be handed to its worker's pool. An order for at least one copy is deducted from
+// the load budget; an order for 0 copies only asks for their number and is not.
+func (c *Core) checkLoad(load balancer.Load, now time.Time) permit.Reason {
 	start := permit.Start{Worker: c.endpointState(load.Worker), LeaseLeft: c.leaseLeft(load.Worker, now)}
 	if reason := start.Check(); reason != permit.Allowed || load.Copies == 0 {
 		return reason
@@ -73,7 +74,7 @@
 	return c.permits.loads.Take(c.clock.balancerTime(now))
 }
 
-// endpointState returns whether a worker takes anything new, by the last update of the endpoint list.
+// endpointState returns the state of a worker by the last update of the endpoint list. Unknown workers count as removed.
 func (c *Core) endpointState(id balancer.WorkerID) permit.Worker {
 	e := c.endpoints[id]
 	if e == nil {
@@ -82,7 +83,7 @@
 	return e.state
 }
 
-// leaseLeft returns how much of the lease of a worker is left; negative: it is over, or there is no such worker.
+// leaseLeft returns the remaining time of a worker's lease. It is negative if the lease has ended or the worker is unknown.
 func (c *Core) leaseLeft(id balancer.WorkerID, now time.Time) time.Duration {
 	e := c.endpoints[id]
 	if e == nil {
@@ -97,37 +98,39 @@
 	return now.Add(c.leaseLeft(id, now))
 }
 
-// recordLease learns from the end of an attempt whether its worker drains. It returns when the attempt was written, in the
-// balancer's time, where that is evidence; 0: it is not.
-func (c *Core) recordLease(a *attempt, result worker.Result) (writtenAt time.Duration) {
+// renewLeaseFromAttempt renews the lease of a worker if the result of an attempt shows that the worker accepted it: a worker
+// that has been draining for long accepts nothing. It returns the balancer time at which the attempt was written, or 0 if
+// the result proves nothing about the worker: the attempt was not answered, or the worker's pool has been replaced since.
+func (c *Core) renewLeaseFromAttempt(a *attempt, result worker.Result) (writtenAt time.Duration) {
 	e := c.endpoints[a.workerID]
 	if e == nil || e.pool != a.pool || result.WrittenAt.IsZero() {
 		return 0
 	}
 	writtenAt = c.clock.balancerTime(result.WrittenAt)
-	switch result.Status { // rejections are for the balancer to judge: a worker that rejects may be full
+	switch result.Status { // the balancer evaluates rejections: a worker that rejects may be full rather than draining
 	case balancer.OK, balancer.Miss, balancer.Failed:
 		e.lease.Accepted(writtenAt, c.clock.balancerTime(result.ConnectedSince), c.syncedAt)
 	}
 	return writtenAt
 }
 
-// isViolation reports whether what the balancer chose at a time, and was not permitted, is a fault of its choice. A lease may
-// end after the choice, but not sooner than the balancer leaves room for.
+// isViolation reports whether a refused decision, which the balancer made at chosenAt, was wrong when it was made. A lease may
+// end between the decision and the check, but the balancer chooses only workers whose lease lasts at least
+// LeaseChoiceMargin longer.
 func isViolation(reason permit.Reason, chosenAt time.Time) bool {
 	endedTooSoon := reason == permit.LeaseEnded && time.Since(chosenAt) < balancer.LeaseChoiceMargin
 	return reason.IsViolation() || endedTooSoon
 }
 
-// noteRefusal counts what was chosen at a time and is not permitted, and logs a violation: what names the order, and about
-// whom.
-func noteRefusal(reason permit.Reason, chosenAt time.Time, what string, attributes ...any) {
+// recordRefusal counts a refused decision that the balancer made at chosenAt. If the decision was a violation, it is also
+// logged, with kind (attempt or load order) and the log attributes given.
+func recordRefusal(reason permit.Reason, chosenAt time.Time, kind string, attributes ...any) {
 	metrics.Refusals.Add(reason.String())
 	if !isViolation(reason, chosenAt) {
 		return
 	}
 	metrics.Violations.Add(reason.String())
-	attributes = append([]any{"what", what, "reason", reason.String()}, attributes...)
+	attributes = append([]any{"what", kind, "reason", reason.String()}, attributes...)
 	violationLog.Log(slog.LevelError, "core: the balancer's choice would have broken a rule and was not carried out",
 		attributes...)
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -12,45 +12,45 @@
 	"kitefall/internal/metrics"
 )
 
-// notServedLog throttles the line of calls that were answered without being served: an overload causes any number.
+// notServedLog throttles the log line for calls that were answered without being served: an overload can cause any number.
 var notServedLog = logthrottle.New()
 
-// fallbackGraceShare is the share of the answer grace that the balancer has for its own answer after the deadline. The
-// rest is left for the core's answer in its place.
+// fallbackGraceShare is the share of the answer grace after a request's deadline in which the balancer may still answer the
+// request. After it, the core answers instead and has the rest of the grace to deliver its answer.
 const fallbackGraceShare = 0.5
 
-// request is an accepted call until it is closed and none of its attempts is active any more.
+// request is an accepted call. It is kept until it is closed and all its attempts have ended.
 type request struct {
 	id             balancer.RequestID
 	call           *call.Call
 	handle         *Handle
-	attempts       []*attempt // by number
-	activeAttempts int        // attempts that have not ended
-	prepared       bool       // BeforeFirstAttempt has succeeded, or there is none
+	attempts       []*attempt // indexed by attempt.number
+	activeAttempts int        // number of attempts that have not ended
+	prepared       bool       // BeforeFirstAttempt has succeeded or is not set
 	closed         bool       // answered, or cancelled by its client
-	overdue        *timer     // answers in the balancer's place
+	fallbackTimer  *timer     // fires answerOverdue, if the balancer has not answered by then
 }
 
-// logID returns the id of the call as the workers and the log write it.
+// logID returns the id of the call in the notation of the worker protocol and the log.
 func (r *request) logID() string { return fmt.Sprintf("%016x", r.call.ID) }
 
-// attemptList is the attempts of a request as a value for the log. It is put into words only if the line is written.
+// attemptList is a log value of the attempts of a request. It is formatted only if the log line is written.
 type attemptList []*attempt
 
-// LogValue lists the worker and the status of each attempt.
+// LogValue returns the worker and the status of each attempt.
 func (l attemptList) LogValue() slog.Value {
 	var parts []string
 	for _, a := range l {
-		end := "pending"
+		result := "pending"
 		if a.ended() {
-			end = a.status.String()
+			result = a.status.String()
 		}
-		parts = append(parts, string(a.workerID)+"="+end)
+		parts = append(parts, string(a.workerID)+"="+result)
 	}
 	return slog.StringValue(strings.Join(parts, " "))
 }
 
-// mayHaveRun reports whether a worker may have run an attempt of the request, or may still be running one.
+// mayHaveRun reports whether a worker may have run an attempt of the request or may still be running one.
 func (r *request) mayHaveRun() bool {
 	for _, a := range r.attempts {
 		if a.mayHaveRun() {
@@ -60,9 +60,9 @@
 	return false
 }
 
-// accept takes in a call that was submitted.
+// accept creates the request of a submitted call and passes it to the balancer.
 func (c *Core) accept(submitted *call.Call, handle *Handle) {
-	if handle.finished.Load() { // cancelled while it was queued
+	if handle.finished.Load() { // cancelled while the call was queued
 		c.release(submitted)
 		return
 	}
@@ -72,7 +72,7 @@
 	c.requests[r.id] = r
 	c.permits.loads.Earn(c.clock.balancerTime(time.Now()))
 	answerBy := submitted.Deadline.Add(time.Duration(fallbackGraceShare * float64(c.config.Settings.AnswerGrace)))
-	r.overdue = c.timers.add(answerBy, answerOverdue{request: r})
+	r.fallbackTimer = c.timers.add(answerBy, answerOverdue{request: r})
 	c.notifyBalancer(balancer.RequestEvent{
 		ID:           r.id,
 		Function:     balancer.FunctionID(submitted.Function),
@@ -86,7 +86,7 @@
 	})
 }
 
-// answer gives a request its final answer, unless it is closed already; nil is allowed.
+// answer gives a request its final answer and closes it. It does nothing if the request is nil or closed already.
 func (c *Core) answer(r *request, answer call.Answer) {
 	if r == nil || r.closed {
 		return
@@ -102,7 +102,7 @@
 	r.call.Done(answer)
 }
 
-// cancelRequest closes the request of a handle without an answer.
+// cancelRequest closes the request of a cancelled call without an answer.
 func (c *Core) cancelRequest(handle *Handle) {
 	r := c.requests[handle.id]
 	if r == nil || r.closed {
@@ -112,7 +112,7 @@
 	c.notifyBalancer(balancer.ClientGoneEvent{ID: r.id})
 }
 
-// onAnswerOverdue answers a request in the place of a balancer that stayed silent.
+// onAnswerOverdue answers a request as failed because the balancer has not answered it in time.
 func (c *Core) onAnswerOverdue(r *request) {
 	if r.closed {
 		return
@@ -122,16 +122,16 @@
 	c.notifyBalancer(balancer.ClientGoneEvent{ID: r.id})
 }
 
-// close marks a request as answered or cancelled. Its attempts may still be active.
+// close marks a request as answered or cancelled. Some of its attempts may not have ended yet.
 func (c *Core) close(r *request) {
 	r.closed = true
 	r.handle.finished.Store(true)
-	c.timers.remove(r.overdue)
+	c.timers.remove(r.fallbackTimer)
 	c.release(r.call)
 	c.removeIfDone(r)
 }
 
-// removeIfDone forgets a request that is closed and has no active attempt.
+// removeIfDone deletes a request that is closed and whose attempts have all ended.
 func (c *Core) removeIfDone(r *request) {
 	if r.closed && r.activeAttempts == 0 {
 		delete(c.requests, r.id)
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -11,9 +11,9 @@
 	"kitefall/internal/call"
 )
 
-// Beyond the limits a call is rejected at once, and what it had reserved is given back.
+// A call that exceeds a limit is rejected at once. Neither the call nor its body remains counted as in flight.
 func TestSubmitBeyondTheLimitsIsOverloaded(t *testing.T) {
-	c := newStoppedCore(t, 4, idempotentSettings()) // 10 calls, 1 MiB of bodies
+	c := newStoppedCore(t, 4, idempotentSettings()) // its limits are 10 calls in flight and 1 MiB of bodies
 	_, err := c.Submit(&call.Call{Body: make([]byte, 1<<20+1)})
 	require.ErrorIs(t, err, ErrOverloaded)
 	assert.Zero(t, c.InFlight())
@@ -28,8 +28,8 @@
 	assert.EqualValues(t, 10, c.InFlight())
 }
 
-// A balancer that stays silent past the deadline leaves no client without an answer.
-func TestOverdueRequestIsAnsweredInTheBalancersPlace(t *testing.T) {
+// If the balancer does not answer a request in time, the core answers it as failed, so that the client gets an answer.
+func TestOverdueRequestIsAnsweredByTheCore(t *testing.T) {
 	c := newStoppedCore(t, 4, idempotentSettings())
 	silent := &recordingBalancer{}
 	c.balancer = silent
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -8,34 +8,34 @@
 // notQueued is the heap index of a timer that has fired or was removed.
 const notQueued = -1
 
-// timer is an event that the loop is to handle at a time.
+// timer schedules an event for the event loop.
 type timer struct {
-	due   time.Time
+	due   time.Time // when the event is to be handled
 	event event
-	index int // in the heap, or notQueued
+	index int // position in the heap, or notQueued
 }
 
-// timerQueue holds the timers of the event loop, by the time at which they are due. Its zero value is empty.
+// timerQueue is a priority queue of the event loop's timers, ordered by due time. The zero value is an empty queue.
 type timerQueue struct {
 	heap timerHeap
 }
 
-// add schedules an event.
+// add schedules an event for the due time and returns its timer.
 func (q *timerQueue) add(due time.Time, e event) *timer {
 	t := &timer{due: due, event: e}
 	heap.Push(&q.heap, t)
 	return t
 }
 
-// remove takes a timer out, if it is still queued; nil is allowed. A timer left in place would keep its call and body
-// in memory until it is due.
+// remove removes a timer that is still queued. It does nothing for nil and for timers that have fired or were removed. A
+// timer left in the queue would keep its call and the call's body in memory until it is due.
 func (q *timerQueue) remove(t *timer) {
 	if t != nil && t.index != notQueued {
 		heap.Remove(&q.heap, t.index)
 	}
 }
 
-// next returns the timer that is due first, or nil where there is none. It stays queued.
+// next returns the timer with the earliest due time without removing it, or nil if the queue is empty.
 func (q *timerQueue) next() *timer {
 	if len(q.heap) == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	return q.heap[0]
 }
 
-// popDue takes out the timer that is due first, or returns nil where none is due yet.
+// popDue removes and returns the timer with the earliest due time, or returns nil if no timer is due yet.
 func (q *timerQueue) popDue() *timer {
 	next := q.next()
 	if next == nil || time.Now().Before(next.due) {
@@ -53,7 +53,7 @@
 	return next
 }
 
-// timerHeap implements heap.Interface and keeps the index of each timer up to date.
+// timerHeap implements heap.Interface, ordered by due time, and keeps the index of each timer up to date.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -75,7 +75,7 @@
 	old := *h
 	last := len(old) - 1
 	t := old[last]
-	old[last] = nil // for the garbage collector
+	old[last] = nil // allows garbage collection of the timer
 	*h = old[:last]
 	t.index = notQueued
 	return t
--- a/internal/dispatch/timers_test.go
+++ b/internal/dispatch/timers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestTimersFireInOrderOfTheirTimes(t *testing.T) {
+func TestTimersFireInOrderOfDueTime(t *testing.T) {
 	var q timerQueue
 	assert.Nil(t, q.next())
 	assert.Nil(t, q.popDue())
@@ -19,7 +19,7 @@
 	first := add(1, now.Add(-3*time.Second))
 	add(4, now.Add(time.Hour))
 	q.remove(removed)
-	q.remove(removed) // again, which does nothing
+	q.remove(removed) // removing a timer twice does nothing
 	q.remove(nil)
 
 	assert.Same(t, first, q.next())
@@ -28,6 +28,6 @@
 		fired = append(fired, due.event)
 	}
 	assert.Equal(t, []event{balancerTimerFired{id: 1}, balancerTimerFired{id: 3}}, fired)
-	q.remove(first) // it has fired, so this does nothing
-	assert.Equal(t, 1, len(q.heap), "one is not due yet")
+	q.remove(first) // removing a fired timer does nothing
+	assert.Equal(t, 1, len(q.heap), "only the timer that is not due yet must remain")
 }
