--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -9,44 +9,44 @@
 	"kitefall/internal/metrics"
 )
 
-// The log of silence is throttled, since a server can fall silent and return in turn.
+// Both log lines are throttled, since a discovery server can repeatedly go out of sync and come back.
 var (
-	silentLog = logthrottle.New()
-	freshLog  = logthrottle.New()
+	outOfSyncLog = logthrottle.New()
+	inSyncLog    = logthrottle.New()
 )
 
-// freshness keeps how old the last sync is. It belongs to the goroutine of Run.
-type freshness struct {
-	asOf   time.Time // when the poll of the last sync was sent; or when the watcher was made
-	silent bool      // the last sync is older than balancer.StaleSync, and that was logged
+// syncTracker tracks the time of the last sync with the discovery server. Only the goroutine of Run uses it.
+type syncTracker struct {
+	lastSync  time.Time // when the poll of the last sync was sent; before the first sync, when the watcher was created
+	outOfSync bool      // the last sync is older than balancer.StaleSync, and this was logged
 }
 
-// note takes in the end of a poll, and logs when discovery falls silent or is heard again.
-func (f *freshness) note(outcome pollOutcome, sent, now time.Time, revision int64) {
+// recordPoll records the outcome of a poll, and logs when discovery goes out of sync or is in sync again.
+func (t *syncTracker) recordPoll(outcome pollOutcome, sent, now time.Time, revision int64) {
 	metrics.Polls.Add(string(outcome))
 	if outcome.isSync() {
-		f.noteSync(sent, now, revision)
+		t.recordSync(sent, now, revision)
 		return
 	}
-	age := now.Sub(f.asOf)
+	age := now.Sub(t.lastSync)
 	metrics.SyncAge.Observe(age)
 	if age < balancer.StaleSync {
 		return
 	}
-	if !f.silent {
+	if !t.outOfSync {
 		metrics.Discovery.Add("silent")
 	}
-	f.silent = true
-	silentLog.Log(slog.LevelWarn, "discovery: out of sync, what is believed of workers expires", "rev", revision,
+	t.outOfSync = true
+	outOfSyncLog.Log(slog.LevelWarn, "discovery: out of sync, what is believed of workers expires", "rev", revision,
 		"outcome", string(outcome), "age", age.Round(time.Millisecond))
 }
 
-func (f *freshness) noteSync(sent, now time.Time, revision int64) {
-	metrics.SyncAge.Observe(now.Sub(f.asOf))
-	if f.silent {
+func (t *syncTracker) recordSync(sent, now time.Time, revision int64) {
+	metrics.SyncAge.Observe(now.Sub(t.lastSync))
+	if t.outOfSync {
 		metrics.Discovery.Add("heard_again")
-		freshLog.Log(slog.LevelInfo, "discovery: in sync again", "rev", revision, "after", now.Sub(f.asOf).Round(time.Millisecond))
+		inSyncLog.Log(slog.LevelInfo, "discovery: in sync again", "rev", revision, "after", now.Sub(t.lastSync).Round(time.Millisecond))
 	}
-	f.silent = false
-	f.asOf = sent
+	t.outOfSync = false
+	t.lastSync = sent
 }
--- a/internal/discovery/polloutcome.go
+++ b/internal/discovery/polloutcome.go
@@ -1,22 +1,23 @@
 package discovery
 
-// pollOutcome says how a poll ended, in metrics.
+// pollOutcome is the result of a poll, as the metrics name it.
 type pollOutcome string
 
-// The outcomes. The first two are a sync: the server has told everything that it knew when the poll was sent.
+// Poll outcomes. The first two are syncs: the server has sent every event that it knew of when the poll was sent.
 const (
-	pollEvents     pollOutcome = "events"      // new events, up to the last one that exists
-	pollNothingNew pollOutcome = "nothing_new" // there is no event after the last one known
-	pollIncomplete pollOutcome = "incomplete"  // the answer names a last event that has not come
-	pollBehind     pollOutcome = "behind"      // the server does not know the last event known here
-	pollEarly      pollOutcome = "early"       // nothing new before its time was over: the server does not wait for events
-	pollFailed     pollOutcome = "failed"      // no answer, or one that cannot be used
+	pollEvents     pollOutcome = "events"      // new events, up to the revision of the answer
+	pollNothingNew pollOutcome = "nothing_new" // no event is newer than the last known one
+	pollIncomplete pollOutcome = "incomplete"  // the answer's revision is newer than its last event
+	pollBehind     pollOutcome = "behind"      // the answer's revision is older than the last known event
+	pollEarly      pollOutcome = "early"       // nothing new, in less than earlyAnswer: the server does not hold polls
+	pollFailed     pollOutcome = "failed"      // no answer, or an invalid one
 )
 
-// isSync reports whether the poll has told all that its server knew.
+// isSync reports whether the poll returned every event that the server knew of.
 func (o pollOutcome) isSync() bool { return o == pollEvents || o == pollNothingNew }
 
-// isComplete reports whether an answer brings, with what is known, all events up to the last one that it names.
+// isComplete reports whether the answer's revision equals the highest revision among its events and the last known event.
+// Otherwise events are missing from the answer, or the server is behind.
 func (w *Watcher) isComplete(response WatchResponse) bool {
 	last := w.revision
 	for _, event := range response.Events {
@@ -25,8 +26,8 @@
 	return last == response.Revision
 }
 
-// outcome returns what an answer was worth once its events have been taken in. One without new events that is early is of a
-// server that does not look for them: it would wait.
+// outcome classifies an answer after its events have been applied. An early answer without new events is no sync: a server
+// that watches for events would have held the poll.
 func (w *Watcher) outcome(response WatchResponse, hasNew, isEarly bool) pollOutcome {
 	switch {
 	case response.Revision > w.revision:
--- a/internal/discovery/protocol.go
+++ b/internal/discovery/protocol.go
@@ -9,7 +9,7 @@
 	"kitefall/internal/logthrottle"
 )
 
-// States of a target (source: endpoint-list protocol). Any other one, among them "leaving", is taken for draining.
+// States of a target (source: endpoint-list protocol). Any other state, such as "leaving", is treated as draining.
 const (
 	stateActive = "active"
 	stateLeft   = "left"
@@ -21,56 +21,56 @@
 // skippedTargetLog is throttled, since the server can send any number of targets without a uid.
 var skippedTargetLog = logthrottle.New()
 
-// WatchResponse is an answer of the endpoint list's server to a poll; the configuration holds one of the same form with
-// the events of the start (source: endpoint-list protocol).
+// WatchResponse is the discovery server's answer to a poll. The configuration holds the initial events in the same format
+// (source: endpoint-list protocol).
 type WatchResponse struct {
-	// Revision is that of the last event that exists, which need not have come with this answer.
+	// Revision is the revision of the server's last event, which this answer does not necessarily contain.
 	Revision int64        `json:"rev"`
 	Events   []WatchEvent `json:"notices"`
 }
 
-// WatchEvent is one numbered change of the endpoint list, or the whole list (source: endpoint-list protocol).
+// WatchEvent is one revision of the endpoint list: a change, or the whole list (source: endpoint-list protocol).
 type WatchEvent struct {
 	Revision int64 `json:"rev"`
 	Pool     struct {
-		All     bool     `json:"all"` // Targets are all workers, not only those that have changed
+		All     bool     `json:"all"` // Targets lists all workers, not only the changed ones
 		Targets []Target `json:"targets"`
 	} `json:"pool"`
 }
 
-// Target is one worker as the endpoint list describes it (source: endpoint-list protocol).
+// Target is a worker's entry in the endpoint list (source: endpoint-list protocol).
 type Target struct {
 	UID          string   `json:"uid"`
-	Endpoint     string   `json:"endpoint"` // host:port; may be absent from a change
+	Endpoint     string   `json:"endpoint"` // host:port; a change may omit it
 	Zone         string   `json:"az"`
 	Model        string   `json:"model"`
 	Group        int      `json:"pod_group"`
 	State        string   `json:"state"`
 	CapacityHint *float64 `json:"capacity_hint"`
-	BootMS       int64    `json:"boot_ms"` // when it started, in Unix milliseconds; 0: long ago
+	BootMS       int64    `json:"boot_ms"` // start time of the worker, in Unix milliseconds; 0: long ago
 }
 
-// Endpoint is a worker as the balancer knows it, and the address it listens at. Worker.Started is not set: the list tells
-// the start by a clock of its own.
+// Endpoint is a worker in the balancer's representation, with the address at which the worker listens. Worker.Started is not
+// set, since the start time in the list comes from another clock.
 type Endpoint struct {
 	balancer.Worker
 	Addr          string        // host:port; may be empty in an update of scope balancer.ScopeDelta
-	ReportedStart time.Duration // since 1970 by the list's clock, which may differ from this machine's by any time; 0: long ago
+	ReportedStart time.Duration // since 1970 by the list's clock, which can be off from this machine's by any amount; 0: long ago
 }
 
-// Update is one event of the endpoint list, translated.
+// Update is one event of the endpoint list in the balancer's representation.
 type Update struct {
 	Scope     balancer.UpdateScope
 	Endpoints []Endpoint
-	AsOf      time.Time // when the poll was sent that it answers; zero: as of its arrival
+	AsOf      time.Time // when the poll that returned the event was sent; zero: when the event arrived
 }
 
-// pollURL is the address of a poll for the events after a revision, which the server may hold for the time of wait.
+// pollURL returns the URL of a poll for the events after revision. The server may hold the poll for up to wait.
 func pollURL(addr string, revision int64, wait time.Duration) string {
 	return fmt.Sprintf("http://%s/board/poll?watch=%d&linger=%d", addr, revision, wait.Milliseconds())
 }
 
-// update translates an event; fullScope is the scope of one that holds the whole list. Targets without a uid are left out.
+// update converts an event. An event with the whole list gets the scope fullScope. Targets without a uid are left out.
 func (e *WatchEvent) update(fullScope balancer.UpdateScope) Update {
 	update := Update{Scope: balancer.ScopeDelta}
 	if e.Pool.All {
@@ -82,13 +82,13 @@
 				"rev", e.Revision, "addr", target.Endpoint)
 			continue
 		}
-		update.Endpoints = append(update.Endpoints, target.translate())
+		update.Endpoints = append(update.Endpoints, target.endpoint())
 	}
 	return update
 }
 
-// translate returns the target in the balancer's terms.
-func (t *Target) translate() Endpoint {
+// endpoint converts a target.
+func (t *Target) endpoint() Endpoint {
 	worker := balancer.Worker{
 		ID:     balancer.WorkerID(t.UID),
 		Kind:   t.Model,
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list: it polls the platform's server for numbered events that tell of the
-// workers, and passes them on in the balancer's terms.
+// Package discovery watches the endpoint list: it long-polls the platform's discovery server for numbered events about
+// workers, and passes them on in the balancer's representation.
 package discovery
 
 import (
@@ -21,32 +21,33 @@
 )
 
 const (
-	// pollWait is how long the server may hold a poll; the protocol allows 5 s at most. It is short, since a server that
-	// hangs with its connections open is found out only by a poll that goes unanswered: with pollTimeout it bounds how
-	// old the list may be, and a worker that drains must get no new work 1 s after the event.
+	// pollWait is how long the server may hold a poll; the protocol allows 5 s at most. It is short because a server that
+	// hangs with its connections open is detected only when a poll times out: pollWait and pollTimeout bound the age of the
+	// list, and a draining worker must get no new work from 1 s after the event on.
 	pollWait = time.Second
 
-	// pollTimeout is how long a poll may take before it has failed.
+	// pollTimeout is how long after it was sent an unanswered poll counts as failed.
 	pollTimeout = pollWait + 400*time.Millisecond
 
-	// pollBackoff is the pause after a poll that failed or was answered early without new events, and maxPollBackoff what it
-	// grows to while that goes on. It is short, since a sync must be had long before what is believed expires; pollJitter is the
-	// part of it that is drawn, lest a fleet polls at the same moment when the server is back.
+	// pollBackoff is the pause after a poll that failed or was answered early without new events. It doubles up to
+	// maxPollBackoff while such polls repeat. It is short, since a sync must succeed long before the workers' leases expire.
+	// Each pause is extended by a random fraction of up to pollJitter, so that a fleet of dispatchers does not poll a recovered
+	// server all at the same moment.
 	pollBackoff    = 50 * time.Millisecond
 	maxPollBackoff = 400 * time.Millisecond
 	pollJitter     = 0.3
 
-	// earlyAnswer bounds the time within which an answer without new events counts as early.
+	// earlyAnswer is the time since the poll was sent within which an answer without new events counts as early.
 	earlyAnswer = pollWait / 2
 
 	maxResponseSize = 4 << 20 // bytes
 )
 
-// errNothingNew tells of an answer that came early and held no new events. Without a pause after it, a server that repeats
-// what is known would be polled in a busy loop.
-var errNothingNew = errors.New("poll was answered early without new events")
+// errEarlyAnswer is returned for an early answer without new events. It causes a pause; otherwise a server that repeats known
+// events would be polled in a busy loop.
+var errEarlyAnswer = errors.New("poll was answered early without new events")
 
-// The logs of polls are throttled, since a server can make them fail and succeed in turn.
+// Both log lines are throttled, since a server can make polls fail and succeed alternately.
 var (
 	pollFailedLog    = logthrottle.New()
 	pollRecoveredLog = logthrottle.New()
@@ -58,38 +59,38 @@
 type Watcher struct {
 	receiver Receiver
 	client   *http.Client
-	revision int64     // of the last event that was passed on
-	hasList  bool      // an event with the whole list was passed on
-	failing  bool      // the last poll failed
-	synced   freshness // how old the last sync is
+	revision int64 // of the last event that was passed on
+	hasList  bool  // an event with the whole list was passed on
+	failing  bool  // the last poll failed
+	syncs    syncTracker
 
 	mu          sync.Mutex
 	addr        string
-	addrChanged chan struct{} // closed when addr changes, and replaced
+	addrChanged chan struct{} // closed and replaced when addr changes
 }
 
-// Receiver takes in what a Watcher hears. It is called from the goroutine of Seed or Run.
+// Receiver receives the updates of a Watcher. It is called from the goroutine of Seed or Run.
 type Receiver interface {
-	// UpdateEndpoints takes in an endpoint list or a change of it.
+	// UpdateEndpoints is called with each new endpoint list or change to it.
 	UpdateEndpoints(update Update)
-	// ConfirmEndpoints takes in that the updates so far were all that discovery knew at a time.
+	// ConfirmEndpoints is called after a sync: the updates so far cover all events that discovery knew of at asOf.
 	ConfirmEndpoints(asOf time.Time)
 }
 
-// NewWatcher returns a watcher of the endpoint list at addr (host:port), whose connections take their descriptors from a
+// NewWatcher returns a watcher of the endpoint list at addr (host:port). Its connections take their file descriptors from
 // share.
 func NewWatcher(addr string, share *descriptors.Share, receiver Receiver) *Watcher {
-	transport := &http.Transport{ // without a proxy, whatever the environment says
+	transport := &http.Transport{ // no Proxy: the environment's proxy settings are ignored
 		DialContext:         share.DialContext,
 		MaxIdleConnsPerHost: 1,
 		MaxIdleConns:        1,
 	}
 	return &Watcher{addr: addr, receiver: receiver, client: &http.Client{Transport: transport},
-		addrChanged: make(chan struct{}), synced: freshness{asOf: time.Now()}}
+		addrChanged: make(chan struct{}), syncs: syncTracker{lastSync: time.Now()}}
 }
 
-// SetAddress has the watcher poll the server at addr from now on. The poll under way is abandoned, since the old server
-// may hold it and tell nothing more. Revisions go on from the last one.
+// SetAddress makes the watcher poll the server at addr from now on. The poll in progress is cancelled, since the old server
+// may hold it without ever sending another event. The new server is asked for the events after the last known revision.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,15 +99,15 @@
 	w.addrChanged = make(chan struct{})
 }
 
-// address returns the server's address, and a channel that is closed when it changes.
+// address returns the server's address, and a channel that is closed when the address changes.
 func (w *Watcher) address() (addr string, changed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addr, w.addrChanged
 }
 
-// Seed passes on the events that were known at the start. They may have missed changes of the last moment, so the whole list
-// among them has the scope balancer.ScopeStale.
+// Seed passes on the events of the configuration at startup. Later changes may be missing from them, so an event with the
+// whole list gets the scope balancer.ScopeStale.
 func (w *Watcher) Seed(known WatchResponse) { w.apply(known, balancer.ScopeStale, time.Now()) }
 
 // Run polls the server until ctx ends.
@@ -117,10 +118,10 @@
 		err := w.poll(ctx, addr, addrChanged)
 		if channel.IsClosed(addrChanged) {
 			pause = pollBackoff
-			continue // the new server is polled at once, and how the poll of the old one ended says nothing
+			continue // poll the new server at once, and ignore the outcome of the poll to the old server
 		}
 		if ctx.Err() == nil {
-			w.noteOutcome(err)
+			w.logOutcome(err)
 		}
 		if err == nil {
 			pause = pollBackoff
@@ -131,13 +132,13 @@
 	}
 }
 
-// jittered draws a pause of at least the one given.
+// jittered returns the pause extended by a random fraction of up to pollJitter.
 func jittered(pause time.Duration) time.Duration {
 	return pause + time.Duration(pollJitter*rand.Float64()*float64(pause))
 }
 
-// noteOutcome logs when polls begin to fail, and when they succeed again.
-func (w *Watcher) noteOutcome(err error) {
+// logOutcome logs when polls start to fail, and when they succeed again.
+func (w *Watcher) logOutcome(err error) {
 	failed := err != nil
 	if failed == w.failing {
 		return
@@ -150,7 +151,7 @@
 	}
 }
 
-// backOff waits for a time, or until the address changes or ctx ends.
+// backOff waits for the pause to pass, or until the address changes or ctx ends.
 func backOff(ctx context.Context, addrChanged <-chan struct{}, pause time.Duration) {
 	select {
 	case <-time.After(pause):
@@ -159,12 +160,12 @@
 	}
 }
 
-// poll asks the server at addr for new events, once, and passes them on. It is abandoned when ctx ends or addrChanged is
+// poll polls the server at addr once and passes on the new events. The poll is cancelled when ctx ends or addrChanged is
 // closed.
 func (w *Watcher) poll(ctx context.Context, addr string, addrChanged <-chan struct{}) error {
 	sent := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, sent.Add(pollTimeout))
-	defer cancel() // which ends the goroutine too
+	defer cancel() // also ends the goroutine below
 	go func() {
 		select {
 		case <-addrChanged:
@@ -175,28 +176,28 @@
 	response, err := w.fetch(ctx, pollURL(addr, w.revision, pollWait))
 	if err != nil {
 		if !channel.IsClosed(addrChanged) {
-			w.synced.note(pollFailed, sent, time.Now(), w.revision)
+			w.syncs.recordPoll(pollFailed, sent, time.Now(), w.revision)
 		}
 		return err
 	}
 	asOf := sent
-	if !w.isComplete(response) { // what it names may have changed by an event that has not come
-		asOf = w.synced.asOf
+	if !w.isComplete(response) { // an event that is still missing may have changed the same workers
+		asOf = w.syncs.lastSync
 	}
 	hasNew := w.apply(response, balancer.ScopeFull, asOf)
 	isEarly := !hasNew && time.Since(sent) < earlyAnswer
 	outcome := w.outcome(response, hasNew, isEarly)
-	w.synced.note(outcome, sent, time.Now(), w.revision)
+	w.syncs.recordPoll(outcome, sent, time.Now(), w.revision)
 	if outcome.isSync() {
 		w.receiver.ConfirmEndpoints(sent)
 	}
 	if isEarly {
-		return errNothingNew
+		return errEarlyAnswer
 	}
 	return nil
 }
 
-// fetch gets and decodes the server's answer.
+// fetch requests url and decodes the server's answer.
 func (w *Watcher) fetch(ctx context.Context, url string) (WatchResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -208,15 +209,15 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return WatchResponse{}, fmt.Errorf("status %s", answer.Status)
+		return WatchResponse{}, fmt.Errorf("unexpected HTTP status %s", answer.Status)
 	}
 	var response WatchResponse
 	err = json.NewDecoder(io.LimitReader(answer.Body, maxResponseSize)).Decode(&response)
 	return response, err
 }
 
-// apply passes on the events that are new, as of a time, and reports whether there were any; fullScope is the scope of whole
-// lists. The revision follows the events, not the answer: that may name an event which has not come.
+// apply passes on the new events with the time asOf, and reports whether there were any. Events with the whole list get the
+// scope fullScope. w.revision is set from the events, not from the answer's revision, whose event may still be missing.
 func (w *Watcher) apply(response WatchResponse, fullScope balancer.UpdateScope, asOf time.Time) (hasNew bool) {
 	for _, event := range response.Events {
 		if !w.isNew(&event) {
@@ -232,8 +233,8 @@
 	return hasNew
 }
 
-// isNew reports whether an event is to be passed on. A late answer may repeat events, and an old one taken again would
-// undo a newer one. A change means nothing before there is a list that it could change.
+// isNew reports whether an event is to be passed on. Known events are skipped: a late answer may repeat them, and applying an
+// old event again would undo a newer one. Changes that precede the first whole list are skipped, as they have no base.
 func (w *Watcher) isNew(event *WatchEvent) bool {
 	return event.Revision > w.revision && (w.hasList || event.Pool.All)
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -21,14 +21,14 @@
 const fullList = `{"rev":41,"notices":[{"rev":41,"pool":{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.9:4100",
 	"az":"east","model":"std","pod_group":2,"state":"active","capacity_hint":4,"boot_ms":7}]}}]}`
 
-// parse decodes an answer of the endpoint list's server.
+// parse decodes an answer of the discovery server.
 func parse(t *testing.T, response string) (parsed discovery.WatchResponse) {
 	t.Helper()
 	require.NoError(t, json.Unmarshal([]byte(response), &parsed))
 	return parsed
 }
 
-// newServer starts a server of the endpoint list.
+// newServer starts a discovery server that answers polls with the given handler.
 func newServer(t *testing.T, poll http.HandlerFunc) *httptest.Server {
 	t.Helper()
 	server := httptest.NewServer(poll)
@@ -36,19 +36,19 @@
 	return server
 }
 
-// address returns the host and port of a server.
+// address returns the host:port of a server.
 func address(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
-// polledRevision returns the revision that a poll names as the last one known.
+// polledRevision returns the last known revision that a poll sends.
 func polledRevision(r *http.Request) string { return r.URL.Query().Get("watch") }
 
-// waitLinger waits for as long as a poll may be held.
+// waitLinger sleeps for the time for which the server may hold the poll.
 func waitLinger(r *http.Request) {
 	linger, _ := time.ParseDuration(r.URL.Query().Get("linger") + "ms")
 	time.Sleep(linger)
 }
 
-// recorder keeps what a watcher passes on.
+// recorder is a Receiver that records its calls.
 type recorder struct {
 	updates   []discovery.Update
 	confirmed []time.Time
@@ -57,17 +57,17 @@
 func (r *recorder) UpdateEndpoints(update discovery.Update) { r.updates = append(r.updates, update) }
 func (r *recorder) ConfirmEndpoints(asOf time.Time)         { r.confirmed = append(r.confirmed, asOf) }
 
-// newSeededWatcher returns a watcher that knows fullList, and what it has passed on.
+// newSeededWatcher returns a watcher that was seeded with fullList, and the recorder of its updates.
 func newSeededWatcher(t *testing.T, server *httptest.Server) (*discovery.Watcher, *recorder) {
 	t.Helper()
-	heard := &recorder{}
-	watcher := discovery.NewWatcher(address(server), descriptors.NewShare(4), heard)
+	recorded := &recorder{}
+	watcher := discovery.NewWatcher(address(server), descriptors.NewShare(4), recorded)
 	watcher.Seed(parse(t, fullList))
-	return watcher, heard
+	return watcher, recorded
 }
 
-// A poll fails once, then the answer repeats an event that was passed on already: polls must go on, and the list must not
-// go back.
+// After a failed poll the watcher must poll again. An event that the answer repeats must be skipped, as applying an old event
+// would restore an outdated state.
 func TestPollsContinueAfterAFailureAndSkipOldEvents(t *testing.T) {
 	answers := []string{"", `{"rev":42,"notices":[
 		{"rev":41,"pool":{"targets":[{"uid":"s-1","state":"left"}]}},
@@ -86,11 +86,11 @@
 		}
 		answers = answers[min(1, len(answers)):]
 	})
-	watcher, heard := newSeededWatcher(t, server)
+	watcher, recorded := newSeededWatcher(t, server)
 	watcher.Run(ctx)
 	assert.Equal(t, []string{"41", "41", "42"}, []string{<-revisions, <-revisions, <-revisions})
-	require.Len(t, heard.updates, 2)
-	seeded, changed := heard.updates[0], heard.updates[1]
+	require.Len(t, recorded.updates, 2)
+	seeded, changed := recorded.updates[0], recorded.updates[1]
 	assert.Equal(t, balancer.ScopeStale, seeded.Scope)
 	assert.Equal(t, discovery.Endpoint{Addr: "10.1.0.9:4100", Worker: balancer.Worker{ID: "s-1", Kind: "std", Zone: "east",
 		Cell: 2, Weight: 4}, ReportedStart: 7 * time.Millisecond}, seeded.Endpoints[0])
@@ -99,7 +99,7 @@
 		[]balancer.WorkerState{changed.Endpoints[0].State, changed.Endpoints[1].State})
 }
 
-// The address changes while the old server holds a poll and never answers it: the new server is polled at once, from the
+// If the address changes while the old server holds a poll and never answers, the new server must be polled at once, from the
 // same revision on.
 func TestNewAddressIsPolledAtOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -110,7 +110,7 @@
 		<-r.Context().Done()
 	})
 	revision := make(chan string, 1)
-	successor := newServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	replacement := newServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		revision <- polledRevision(r)
 		cancel()
 	})
@@ -121,15 +121,15 @@
 		watcher.Run(ctx)
 	}()
 	<-held
-	watcher.SetAddress(address(successor))
+	watcher.SetAddress(address(replacement))
 	assert.Equal(t, "41", <-revision)
 	<-ended
 }
 
-// A server that repeats what is known, at once and without end, is polled again after a pause; one that names a last
-// revision without its event is polled for that event again. A target without a uid is left out.
+// A server that keeps repeating known events without waiting must be polled only after a pause, not in a busy loop. If the
+// answer's revision is newer than its events, the missing events must be polled for. Targets without a uid are left out.
 func TestBackoffAfterEarlyAnswersWithoutNewEvents(t *testing.T) {
-	const answered = 4 // polls before ctx ends
+	const answered = 4 // polls that are answered before ctx ends
 	polledAt := make(chan time.Time, answered+1)
 	revisions := make(chan string, answered+1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,7 +149,7 @@
 		polledAt <- time.Now()
 		revisions <- polledRevision(r)
 	})
-	watcher, heard := newSeededWatcher(t, server)
+	watcher, recorded := newSeededWatcher(t, server)
 	watcher.Run(ctx)
 	require.Len(t, polledAt, answered+1)
 	previous := <-polledAt
@@ -160,42 +160,42 @@
 	}
 	assert.Equal(t, []string{"41", "41", "41", "41", "42"},
 		[]string{<-revisions, <-revisions, <-revisions, <-revisions, <-revisions})
-	require.Len(t, heard.updates, 2)
-	changed := heard.updates[1]
+	require.Len(t, recorded.updates, 2)
+	changed := recorded.updates[1]
 	require.Len(t, changed.Endpoints, 1)
 	assert.Equal(t, balancer.WorkerID("s-1"), changed.Endpoints[0].ID)
 }
 
-// A change means nothing before there is a list that it could change.
+// Changes that precede the first whole list have no base and must be skipped.
 func TestChangesAheadOfTheFirstFullListAreSkipped(t *testing.T) {
-	heard := &recorder{}
-	watcher := discovery.NewWatcher("", descriptors.NewShare(4), heard)
+	recorded := &recorder{}
+	watcher := discovery.NewWatcher("", descriptors.NewShare(4), recorded)
 	watcher.Seed(parse(t, `{"rev":3,"notices":[{"rev":1,"pool":{"targets":[{"uid":"s-1","state":"active"}]}}]}`))
-	assert.Empty(t, heard.updates)
+	assert.Empty(t, recorded.updates)
 	watcher.Seed(parse(t, `{"rev":3,"notices":[{"rev":2,"pool":{"all":true,"targets":[{"uid":"s-2","state":"left"}]}}]}`))
-	require.Len(t, heard.updates, 1)
-	assert.WithinDuration(t, time.Now(), heard.updates[0].AsOf, time.Minute)
-	heard.updates[0].AsOf = time.Time{}
+	require.Len(t, recorded.updates, 1)
+	assert.WithinDuration(t, time.Now(), recorded.updates[0].AsOf, time.Minute)
+	recorded.updates[0].AsOf = time.Time{}
 	assert.Equal(t, []discovery.Update{{Scope: balancer.ScopeStale, Endpoints: []discovery.Endpoint{
-		{Worker: balancer.Worker{ID: "s-2", Weight: 1, State: balancer.Removed}}}}}, heard.updates)
-	assert.Empty(t, heard.confirmed, "the list of the start is not confirmed by anybody")
+		{Worker: balancer.Worker{ID: "s-2", Weight: 1, State: balancer.Removed}}}}}, recorded.updates)
+	assert.Empty(t, recorded.confirmed, "no server has confirmed the seeded list")
 }
 
-// Only an answer that leaves nothing out is a sync: not one of a server that is behind, or that names an event which has not come.
-// A sync is as of the moment at which its poll was sent.
+// Only a complete answer is a sync: not an answer from a server with an older revision, and not an answer whose last event is
+// missing. The time of a sync is when its poll was sent.
 func TestOnlyCompleteAnswersAreASync(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
 		isSync bool
 	}{
-		"nothing new":     {`{"rev":41,"notices":[]}`, true}, // after the time that the poll gives
-		"early":           {`{"rev":41,"notices":[]}`, false},
-		"early, repeated": {fullList, false},
-		"a new event":     {`{"rev":42,"notices":[{"rev":42,"pool":{"targets":[{"uid":"s-1","state":"leaving"}]}}]}`, true},
-		"behind":          {`{"rev":40,"notices":[]}`, false},
-		"an old list":     {`{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[]}}]}`, false},
-		"an event is due": {`{"rev":43,"notices":[{"rev":42,"pool":{"targets":[{"uid":"s-1","state":"leaving"}]}}]}`, false},
-		"cut off":         {`{"rev":41,`, false},
+		"nothing new":          {`{"rev":41,"notices":[]}`, true}, // answered after the poll's linger time
+		"early":                {`{"rev":41,"notices":[]}`, false},
+		"early, repeated list": {fullList, false},
+		"a new event":          {`{"rev":42,"notices":[{"rev":42,"pool":{"targets":[{"uid":"s-1","state":"leaving"}]}}]}`, true},
+		"older revision":       {`{"rev":40,"notices":[]}`, false},
+		"older list":           {`{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":[]}}]}`, false},
+		"missing last event":   {`{"rev":43,"notices":[{"rev":42,"pool":{"targets":[{"uid":"s-1","state":"leaving"}]}}]}`, false},
+		"truncated JSON":       {`{"rev":41,`, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -211,26 +211,27 @@
 				}
 				w.Write([]byte(test.answer))
 			})
-			watcher, heard := newSeededWatcher(t, server)
-			begin := time.Now()
+			watcher, recorded := newSeededWatcher(t, server)
+			start := time.Now()
 			watcher.Run(ctx)
 			if !test.isSync {
-				assert.Empty(t, heard.confirmed)
-				for _, update := range heard.updates[1:] {
-					assert.True(t, update.AsOf.Before(begin), "what it names may have changed since")
+				assert.Empty(t, recorded.confirmed)
+				for _, update := range recorded.updates[1:] {
+					assert.True(t, update.AsOf.Before(start), "missing events may have changed the workers since the last sync")
 				}
 				return
 			}
-			require.Len(t, heard.confirmed, 1)
-			assert.WithinRange(t, heard.confirmed[0], begin, time.Now())
-			for _, update := range heard.updates[1:] {
-				assert.Equal(t, heard.confirmed[0], update.AsOf)
+			require.Len(t, recorded.confirmed, 1)
+			assert.WithinRange(t, recorded.confirmed[0], start, time.Now())
+			for _, update := range recorded.updates[1:] {
+				assert.Equal(t, recorded.confirmed[0], update.AsOf)
 			}
 		})
 	}
 }
 
-// While polls fail the pauses between them grow up to a bound, so that a fleet does not wear down a server that comes back.
+// While polls fail, the pauses between them must grow up to a limit, so that a fleet of dispatchers does not overload a
+// recovering server.
 func TestPausesGrowWhilePollsFail(t *testing.T) {
 	const polls = 6
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,23 +9,25 @@
 
 const ms = time.Millisecond
 
-// The pages' limits: an evacuated process holds none after 4 s, and one that is told to end is done before the earliest
-// SIGKILL, whatever its deadlines are.
-func TestSchedulesKeepThePagesLimits(t *testing.T) {
+// Limits of the client protocol and the operations page: 4 s after the start of an evacuation the process holds no connection
+// that is idle or had a request in the last 2 s. A process that received SIGTERM is done before the earliest SIGKILL, whatever
+// the deadlines of its classes are.
+func TestSchedulesMeetTheProtocolLimits(t *testing.T) {
 	assert.Less(t, Evacuation().CloseBy, 4*time.Second)
-	assert.Less(t, Evacuation().KeepUnusedSince, 2*time.Second)
-	for _, test := range []struct{ longest, kill time.Duration }{
+	assert.Less(t, Evacuation().ExemptIfIdleSince, 2*time.Second)
+	for _, test := range []struct{ longestDeadline, earliestKill time.Duration }{
 		{100 * ms, 800 * ms},
 		{600 * ms, 1300 * ms},
 		{3 * time.Second, 3700 * ms},
 		{5 * time.Second, 3700 * ms},
 		{0, 3700 * ms},
 	} {
-		s := Termination(test.longest)
-		assert.Less(t, s.CloseBy, test.kill)
+		s := Termination(test.longestDeadline)
+		assert.Less(t, s.CloseBy, test.earliestKill)
 		assert.Less(t, s.AnswerBy, s.CloseBy)
 	}
-	// What comes while clients still make connections, 0.6 s after SIGTERM at the latest, is not cut short.
+	// Clients open connections until 0.6 s after SIGTERM. A request with a deadline of 1 s that arrives by then must not be
+	// failed more than 100 ms before its deadline.
 	assert.GreaterOrEqual(t, Termination(time.Second).AnswerBy, 600*ms+time.Second-100*ms)
 }
 
@@ -38,11 +40,11 @@
 	assert.False(t, s.Admits(2*time.Second, 1))
 }
 
-func TestJudge(t *testing.T) {
-	s := Schedule{Linger: 700 * ms, AnswerBy: 2 * time.Second, KeepUnusedSince: time.Second, CloseBy: 3 * time.Second}
+func TestActionFor(t *testing.T) {
+	s := Schedule{Linger: 700 * ms, AnswerBy: 2 * time.Second, ExemptIfIdleSince: time.Second, CloseBy: 3 * time.Second}
 	for _, test := range []struct {
 		elapsed, lastRequest, accepted time.Duration
-		want                           Verdict
+		want                           Action
 	}{
 		{0, 0, 0, Keep},
 		{700 * ms, 0, 0, CloseIfIdle},
@@ -52,62 +54,63 @@
 		{2 * time.Second, 999 * ms, 0, CloseIfIdle},
 		{3 * time.Second, 1500 * ms, 0, Close},
 		{time.Hour, -time.Second, -time.Minute, CloseIfIdle},
-		{time.Hour, time.Hour, time.Hour, AnswerAndClose}, // made long after all others are gone
+		{time.Hour, time.Hour, time.Hour, AnswerAndClose}, // accepted long after all other connections were closed
 		{time.Hour + time.Second, time.Hour, time.Hour, Close},
 	} {
-		assert.Equal(t, test.want, s.Judge(test.elapsed, Use{test.accepted, test.lastRequest}), "%+v", test)
+		assert.Equal(t, test.want, s.ActionFor(test.elapsed, ConnTimes{test.accepted, test.lastRequest}), "%+v", test)
 	}
-	assert.Equal(t, Close, Termination(time.Second).Judge(time.Hour, Use{-time.Hour, -time.Hour}), "at the end of the process none is spared")
+	assert.Equal(t, Close, Termination(time.Second).ActionFor(time.Hour, ConnTimes{-time.Hour, -time.Hour}), "no connection is exempt")
 }
 
-// SIGTERM during an evacuation does not put off what the operators asked for.
-func TestTerminationKeepsTheEvacuation(t *testing.T) {
-	begun := time.Now()
+// SIGTERM during an evacuation must not extend the time limits of the evacuation.
+func TestTerminationKeepsTheEvacuationLimits(t *testing.T) {
+	start := time.Now()
 	s := New(Evacuation(), Termination(3*time.Second))
-	s.Evacuate(begun)
-	s.Terminate(begun.Add(3 * time.Second))
-	at := begun.Add(Evacuation().CloseBy)
-	assert.Equal(t, Close, s.Judge(at, begun, at))
-	assert.Equal(t, CloseIfIdle, s.Judge(at, begun, begun), "one that the evacuation spares")
-	assert.False(t, s.Admits(at, at.Add(ms)))
+	s.Evacuate(start)
+	s.Terminate(start.Add(3 * time.Second))
+	closeBy := start.Add(Evacuation().CloseBy)
+	assert.Equal(t, Close, s.Judge(closeBy, start, closeBy))
+	assert.Equal(t, CloseIfIdle, s.Judge(closeBy, start, start), "exempt from CloseBy of the evacuation")
+	assert.False(t, s.Admits(closeBy, closeBy.Add(ms)))
 }
 
-// callsOf lists what can be told to a state, by name.
-var callsOf = map[string]func(*State, time.Time){
+// transitions holds the methods that change the phase of a state, by name.
+var transitions = map[string]func(*State, time.Time){
 	"evacuate":  func(s *State, now time.Time) { s.Evacuate(now) },
 	"rejoin":    func(s *State, _ time.Time) { s.Rejoin() },
 	"terminate": func(s *State, now time.Time) { s.Terminate(now) },
 }
 
-// Every order of four calls: the phase is that of the last call that counts, and the time that of the call that began it.
-func TestEveryOrderOfCalls(t *testing.T) {
-	begin := time.Now()
-	var play func(done []string)
-	play = func(done []string) {
-		checkOrder(t, begin, done)
-		if len(done) == 4 {
+// Checks every sequence of up to four calls: a call that is not allowed in the current phase has no effect, and the schedule
+// runs from the call that entered the phase.
+func TestEverySequenceOfCalls(t *testing.T) {
+	start := time.Now()
+	var extend func(calls []string)
+	extend = func(calls []string) {
+		checkSequence(t, start, calls)
+		if len(calls) == 4 {
 			return
 		}
-		for name := range callsOf {
-			play(append(done[:len(done):len(done)], name))
+		for name := range transitions {
+			extend(append(calls[:len(calls):len(calls)], name))
 		}
 	}
-	play(nil)
+	extend(nil)
 }
 
-func checkOrder(t *testing.T, begin time.Time, calls []string) {
+func checkSequence(t *testing.T, start time.Time, calls []string) {
 	t.Helper()
 	s := New(Evacuation(), Termination(time.Second))
-	want, since, alsoEvacuating := Serving, begin, false
+	want, since, whileEvacuating := Serving, start, false
 	for i, name := range calls {
-		now := begin.Add(time.Duration(i) * time.Second)
+		now := start.Add(time.Duration(i) * time.Second)
 		changed := s.Changed()
 		before := want
-		callsOf[name](s, now)
+		transitions[name](s, now)
 		switch {
 		case want == Terminating:
 		case name == "terminate":
-			alsoEvacuating = want == Evacuating
+			whileEvacuating = want == Evacuating
 			want, since = Terminating, now
 		case name == "evacuate" && want == Serving:
 			want, since = Evacuating, now
@@ -115,17 +118,17 @@
 			want = Serving
 		}
 		_, stillOpen := <-closedOrDefault(changed)
-		assert.Equal(t, before == want, stillOpen, "%v: a change is told, and nothing else", calls)
+		assert.Equal(t, before == want, stillOpen, "%v: the channel is closed exactly if the phase changed", calls)
 	}
 	assert.Equal(t, want, s.Phase(), "%v", calls)
-	later := since.Add(700 * ms)
-	assert.Equal(t, want == Serving, s.Judge(later, later, later) == Keep, "%v", calls)
-	assert.Equal(t, want == Serving, s.Admits(later, later.Add(time.Hour)), "%v", calls)
-	early := s.Judge(since.Add(700*ms-1), since, since)
-	assert.Equal(t, !alsoEvacuating, early == Keep, "%v: the time begins with the call that counts", calls)
+	lingerEnd := since.Add(700 * ms)
+	assert.Equal(t, want == Serving, s.Judge(lingerEnd, lingerEnd, lingerEnd) == Keep, "%v", calls)
+	assert.Equal(t, want == Serving, s.Admits(lingerEnd, lingerEnd.Add(time.Hour)), "%v", calls)
+	actionDuringLinger := s.Judge(since.Add(700*ms-1), since, since)
+	assert.Equal(t, !whileEvacuating, actionDuringLinger == Keep, "%v: schedule runs from the call that entered the phase", calls)
 }
 
-// closedOrDefault returns the channel if it is closed, else one with a value.
+// closedOrDefault returns the channel if it is closed, otherwise a channel that holds a value.
 func closedOrDefault(channel <-chan struct{}) <-chan struct{} {
 	select {
 	case <-channel:
--- a/internal/drain/schedule.go
+++ b/internal/drain/schedule.go
@@ -1,44 +1,43 @@
-// Package drain decides how a process sends its clients away, on a call of the operators (evacuation) or
-// because it is told to end (termination). It is the one place for what may still be taken and when a
-// client's connection has to go. The frontend asks it for each request and each connection, and does what it
-// says.
+// Package drain decides how a process drains its clients: at the request of operators (evacuation), or on
+// SIGTERM or an interrupt (termination). It alone decides which requests are still accepted and when a
+// client's connection is closed. The frontend consults it for each request and each connection.
 //
-// The package does no I/O and reads no clock: it is told the time. Times are those of the monotonic clock.
+// The package does no I/O and reads no clock: callers pass the time, as read from the monotonic clock.
 //
-// Source: client protocol (figures) and operation page (sending clients away).
+// Source: client protocol (limits) and operations page (sending clients away).
 package drain
 
 import "time"
 
-// Schedule bounds how clients are sent away. All times are spans since the call.
+// Schedule sets the time limits of a drain. All durations run from the start of the drain.
 type Schedule struct {
-	// Linger is how long everything is taken as before, and idle connections stay open: clients notice late that
-	// the process is not ready, and a connection that was closed sooner would only be made again.
+	// Linger is how long new connections and all requests are still accepted, and idle connections stay open.
+	// Clients notice late that the process is not ready, and would reopen a connection that is closed sooner.
 	Linger time.Duration
-	// AnswerBy is when all that was taken is answered.
+	// AnswerBy is when all accepted requests have been answered.
 	AnswerBy time.Duration
-	// KeepUnusedSince spares connections at AnswerBy on which no request came after this: they end after their
-	// last answer. With 0 none is spared.
-	KeepUnusedSince time.Duration
-	// CloseBy is when the last connection is closed that is not spared. One that is made later has as long for
-	// itself as there is from AnswerBy to CloseBy.
+	// ExemptIfIdleSince exempts connections whose last request came before this time from the limits AnswerBy
+	// and CloseBy: they are closed once they are idle. 0: no connection is exempt.
+	ExemptIfIdleSince time.Duration
+	// CloseBy is when all connections that are not exempt are closed. A connection that is accepted later is
+	// closed CloseBy - AnswerBy after it was accepted.
 	CloseBy time.Duration
 }
 
-// The figures of the pages.
+// Limits from the client protocol and the operations page.
 const (
 	linger = 700 * time.Millisecond
-	// maxCountedDeadline is the most that a deadline counts for the earliest SIGKILL, and killDelay what comes
-	// on top.
+	// The earliest SIGKILL comes killDelay after the longest deadline of a class, of which at most
+	// maxCountedDeadline counts. Both run from SIGTERM.
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
-	// holdsNoneAfter is when an evacuated process must hold no connection that is idle, or had a request in
-	// recentRequest.
-	holdsNoneAfter = 4 * time.Second
-	recentRequest  = 2 * time.Second
+	// From evacuationLimit after the start of an evacuation, the process must hold no connection that is idle
+	// or had a request within the last recentRequest.
+	evacuationLimit = 4 * time.Second
+	recentRequest   = 2 * time.Second
 )
 
-// How long before the pages' limits the process is done, for what a busy machine adds.
+// Safety margins before the limits above, for delays on a busy machine.
 const (
 	answerMargin         = 150 * time.Millisecond
 	closeMargin          = 75 * time.Millisecond
@@ -47,8 +46,8 @@
 	recentRequestMargin  = 100 * time.Millisecond
 )
 
-// Termination returns the schedule after SIGTERM, where the longest deadline of a class is as given; 0: it is
-// not known. It ends before the earliest SIGKILL.
+// Termination returns the schedule that starts at SIGTERM and ends before the earliest SIGKILL.
+// longestDeadline is the longest deadline of a class; 0: unknown.
 func Termination(longestDeadline time.Duration) Schedule {
 	if longestDeadline <= 0 || longestDeadline > maxCountedDeadline {
 		longestDeadline = maxCountedDeadline
@@ -57,48 +56,49 @@
 	return Schedule{Linger: linger, AnswerBy: kill - answerMargin, CloseBy: kill - closeMargin}
 }
 
-// Evacuation returns the schedule after the operators' call.
+// Evacuation returns the schedule that starts when operators request an evacuation.
 func Evacuation() Schedule {
 	return Schedule{
-		Linger:          linger,
-		AnswerBy:        holdsNoneAfter - evacuateAnswerMargin,
-		KeepUnusedSince: holdsNoneAfter - recentRequest - recentRequestMargin,
-		CloseBy:         holdsNoneAfter - evacuateCloseMargin,
+		Linger:            linger,
+		AnswerBy:          evacuationLimit - evacuateAnswerMargin,
+		ExemptIfIdleSince: evacuationLimit - recentRequest - recentRequestMargin,
+		CloseBy:           evacuationLimit - evacuateCloseMargin,
 	}
 }
 
-// Admits reports whether a request is taken that comes when so much time has passed, and whose client waits
-// for so long. One that is not would have to be answered before its time, or keep its connection in use until
-// the last moment.
+// Admits reports whether to accept a request that arrives elapsed after the start of the drain and whose
+// deadline is timeLeft away. A request with a deadline after AnswerBy would have to be failed before its
+// deadline, or would keep its connection in use until the last moment.
 func (s Schedule) Admits(elapsed, timeLeft time.Duration) bool {
 	return elapsed < s.Linger || elapsed+timeLeft <= s.AnswerBy
 }
 
-// Verdict is what is to be done with a client's connection. A higher one takes precedence.
-type Verdict int
+// Action is what to do with a client's connection. A higher value takes precedence.
+type Action int
 
-// The verdicts.
+// Actions.
 const (
-	Keep           Verdict = iota // leave it alone
-	CloseIfIdle                   // close it if nothing is in use on it
-	AnswerAndClose                // answer what is open on it at once, then close it
-	Close                         // close it, whatever is in use on it
+	Keep           Action = iota // leave the connection open
+	CloseIfIdle                  // close the connection if nothing is in use on it
+	AnswerAndClose               // fail the open requests of the connection at once, then close it
+	Close                        // close the connection even if it is in use
 )
 
-// Use is when a connection was made, and when the last request came on it: since the call; negative: before.
-type Use struct {
+// ConnTimes holds when a connection was accepted and when its last request arrived. Both run from the start
+// of the drain; negative: before it.
+type ConnTimes struct {
 	Accepted    time.Duration
-	LastRequest time.Duration // Accepted, where none has come
+	LastRequest time.Duration // Accepted, if no request has arrived
 }
 
-// Judge returns what is to be done with a connection when so much time has passed.
-func (s Schedule) Judge(elapsed time.Duration, use Use) Verdict {
-	spared := s.KeepUnusedSince > 0 && use.LastRequest < s.KeepUnusedSince
-	closeBy := max(s.CloseBy, use.Accepted+s.CloseBy-s.AnswerBy)
+// ActionFor returns what to do with a connection when elapsed has passed since the start of the drain.
+func (s Schedule) ActionFor(elapsed time.Duration, conn ConnTimes) Action {
+	exempt := s.ExemptIfIdleSince > 0 && conn.LastRequest < s.ExemptIfIdleSince
+	closeBy := max(s.CloseBy, conn.Accepted+s.CloseBy-s.AnswerBy)
 	switch {
 	case elapsed < s.Linger:
 		return Keep
-	case spared || elapsed < s.AnswerBy:
+	case exempt || elapsed < s.AnswerBy:
 		return CloseIfIdle
 	case elapsed < closeBy:
 		return AnswerAndClose
--- a/internal/drain/state.go
+++ b/internal/drain/state.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Phase says whether clients are being sent away.
+// Phase is whether and why a process drains its clients.
 type Phase int
 
-// The phases. From Terminating there is no way back.
+// Phases. Terminating is final.
 const (
-	Serving     Phase = iota // they are not
-	Evacuating               // told by the operators; they may have the process take clients again
-	Terminating              // told to end
+	Serving     Phase = iota // clients are served as usual
+	Evacuating               // draining at the request of operators, who can cancel it with Rejoin
+	Terminating              // draining after SIGTERM or an interrupt
 )
 
 var phaseNames = [...]string{Serving: "serving", Evacuating: "evacuating", Terminating: "terminating"}
@@ -22,103 +22,103 @@
 // String returns the name of the phase in log lines.
 func (p Phase) String() string { return phaseNames[p] }
 
-// situation is a phase and the schedules that are under way. It is never changed.
-type situation struct {
-	phase    Phase
-	underWay []runningSchedule
-	changed  chan struct{} // closed when another situation takes its place
+// snapshot holds a phase and the schedules in progress. It is immutable.
+type snapshot struct {
+	phase   Phase
+	running []runningSchedule
+	changed chan struct{} // closed when this snapshot is replaced
 }
 
-// runningSchedule is a schedule that has begun.
+// runningSchedule is a schedule in progress.
 type runningSchedule struct {
 	Schedule
-	begun time.Time
+	start time.Time
 }
 
-// State holds whether a process sends its clients away. It is safe for concurrent use, and none of its
-// methods waits.
+// State holds the drain phase of a process and the schedules in progress. It is safe for concurrent use, and
+// none of its methods waits for an event.
 type State struct {
 	evacuation  Schedule
 	termination Schedule
 
-	changing sync.Mutex // held to replace current
-	current  atomic.Pointer[situation]
+	updating sync.Mutex // held while current is replaced
+	current  atomic.Pointer[snapshot]
 }
 
-// New returns the state of a process that serves, with the schedules by which it would send its clients away.
+// New returns a state in the phase Serving, with the schedules for an evacuation and a termination.
 func New(evacuation, termination Schedule) *State {
 	s := &State{evacuation: evacuation, termination: termination}
-	s.current.Store(&situation{changed: make(chan struct{})})
+	s.current.Store(&snapshot{changed: make(chan struct{})})
 	return s
 }
 
-// Evacuate begins to send the clients away, unless that has begun already. It returns the phase from now on.
+// Evacuate starts an evacuation, unless a drain is in progress. It returns the resulting phase.
 func (s *State) Evacuate(now time.Time) Phase {
-	s.changing.Lock()
-	defer s.changing.Unlock()
+	s.updating.Lock()
+	defer s.updating.Unlock()
 	if s.Phase() == Serving {
-		s.replaceLocked(&situation{phase: Evacuating, underWay: []runningSchedule{{s.evacuation, now}}})
+		s.replaceLocked(&snapshot{phase: Evacuating, running: []runningSchedule{{s.evacuation, now}}})
 	}
 	return s.Phase()
 }
 
-// Rejoin has an evacuated process take clients again. It returns the phase from now on.
+// Rejoin ends an evacuation, so that the process serves clients again. It returns the resulting phase.
 func (s *State) Rejoin() Phase {
-	s.changing.Lock()
-	defer s.changing.Unlock()
+	s.updating.Lock()
+	defer s.updating.Unlock()
 	if s.Phase() == Evacuating {
-		s.replaceLocked(&situation{phase: Serving})
+		s.replaceLocked(&snapshot{phase: Serving})
 	}
 	return s.Phase()
 }
 
-// Terminate begins to send the clients away for good, unless that has begun already. An evacuation that is
-// under way goes on beside it: both have to be kept.
+// Terminate starts the final drain, unless it has started already. The schedule of an evacuation in progress
+// stays in force: the limits of both schedules must be met.
 func (s *State) Terminate(now time.Time) {
-	s.changing.Lock()
-	defer s.changing.Unlock()
+	s.updating.Lock()
+	defer s.updating.Unlock()
 	if s.Phase() != Terminating {
-		underWay := append(slices.Clone(s.current.Load().underWay), runningSchedule{s.termination, now})
-		s.replaceLocked(&situation{phase: Terminating, underWay: underWay})
+		running := append(slices.Clone(s.current.Load().running), runningSchedule{s.termination, now})
+		s.replaceLocked(&snapshot{phase: Terminating, running: running})
 	}
 }
 
-// replaceLocked changes the situation. The caller holds s.changing.
-func (s *State) replaceLocked(next *situation) {
+// replaceLocked replaces the current snapshot. The caller holds s.updating.
+func (s *State) replaceLocked(next *snapshot) {
 	next.changed = make(chan struct{})
 	previous := s.current.Swap(next)
 	close(previous.changed)
 }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (s *State) Phase() Phase { return s.current.Load().phase }
 
 // Changed returns a channel that is closed at the next change of the phase.
 func (s *State) Changed() <-chan struct{} { return s.current.Load().changed }
 
-// Admits reports whether a request is taken that comes now and whose client waits until a deadline.
+// Admits reports whether to accept a request that arrives at now and has the given deadline.
 func (s *State) Admits(now, deadline time.Time) bool {
-	for _, schedule := range s.current.Load().underWay {
-		if !schedule.Admits(now.Sub(schedule.begun), deadline.Sub(now)) {
+	for _, schedule := range s.current.Load().running {
+		if !schedule.Admits(now.Sub(schedule.start), deadline.Sub(now)) {
 			return false
 		}
 	}
 	return true
 }
 
-// Judge returns what is to be done now with a connection that was made at a time, and on which the last
-// request came at another.
-func (s *State) Judge(now, accepted, lastRequest time.Time) Verdict {
-	verdict := Keep
-	for _, schedule := range s.current.Load().underWay {
-		use := Use{Accepted: accepted.Sub(schedule.begun), LastRequest: lastRequest.Sub(schedule.begun)}
-		verdict = max(verdict, schedule.Judge(now.Sub(schedule.begun), use))
+// Judge returns what to do at now with a connection that was accepted at accepted and whose last request
+// arrived at lastRequest.
+func (s *State) Judge(now, accepted, lastRequest time.Time) Action {
+	action := Keep
+	for _, schedule := range s.current.Load().running {
+		times := ConnTimes{Accepted: accepted.Sub(schedule.start), LastRequest: lastRequest.Sub(schedule.start)}
+		action = max(action, schedule.ActionFor(now.Sub(schedule.start), times))
 	}
-	return verdict
+	return action
 }
 
 // Evacuation returns the schedule of an evacuation.
 func (s *State) Evacuation() Schedule { return s.evacuation }
 
-// Linger returns how long after SIGTERM new connections are still taken.
+// Linger returns how long after SIGTERM new connections are still accepted.
 func (s *State) Linger() time.Duration { return s.termination.Linger }
