--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -9,38 +9,38 @@
 	"kitefall/internal/metrics"
 )
 
-// openDescriptors lists the descriptors of this process (source: proc(5)).
+// openDescriptors is the directory that lists the open descriptors of this process (source: proc(5)).
 const openDescriptors = "/proc/self/fd"
 
-// violationUnaccounted names descriptors that are open beyond the budget, in metrics.
+// violationUnaccounted is the metrics label for more open descriptors than the budget allows.
 const violationUnaccounted = "descriptors_beyond_budget"
 
-// unaccountedLog is throttled, since a leak is seen again and again.
+// unaccountedLog is throttled, since every check reports a leak again.
 var unaccountedLog = logthrottle.New()
 
-// Budget is all shares of a process. It is safe for concurrent use.
+// Budget holds all descriptor shares of a process. It is safe for concurrent use.
 type Budget struct {
-	Clients   *Share
-	Workers   *Share
-	Discovery *Share
-	Operators *Share
-	Devices   *Share
-	ownFiles  int
+	Clients        *Share
+	Workers        *Share
+	Discovery      *Share
+	Operators      *Share
+	Devices        *Share
+	ownDescriptors int
 }
 
-// NewBudget returns the budget for shares.
+// NewBudget returns a budget with shares of the given sizes, all unused.
 func NewBudget(s Shares) *Budget {
 	return &Budget{
-		Clients:   NewShare(s.Clients),
-		Workers:   NewShare(s.Workers),
-		Discovery: NewShare(s.Discovery),
-		Operators: NewShare(s.Operators),
-		Devices:   NewShare(s.Devices),
-		ownFiles:  ownFiles(s.Devices),
+		Clients:        NewShare(s.Clients),
+		Workers:        NewShare(s.Workers),
+		Discovery:      NewShare(s.Discovery),
+		Operators:      NewShare(s.Operators),
+		Devices:        NewShare(s.Devices),
+		ownDescriptors: ownDescriptors(s.Devices),
 	}
 }
 
-// Granted returns how many descriptors are in use of all shares.
+// Granted returns the number of descriptors in use over all shares.
 func (b *Budget) Granted() int {
 	granted := 0
 	for _, share := range []*Share{b.Clients, b.Workers, b.Discovery, b.Operators, b.Devices} {
@@ -49,19 +49,19 @@
 	return granted
 }
 
-// Check compares the descriptors that are open with those that were granted, and counts a violation where more are open than
-// the process itself may have beside them.
+// Check compares the number of open descriptors with the number granted. It counts a violation if more are
+// open than those granted plus those reserved for the process itself.
 func (b *Budget) Check() {
 	entries, err := os.ReadDir(openDescriptors)
 	if err != nil {
-		return // this system does not tell
+		return // the system does not list open descriptors
 	}
 	b.compare(len(entries))
 }
 
 func (b *Budget) compare(open int) {
 	granted := b.Granted()
-	if open <= granted+b.ownFiles {
+	if open <= granted+b.ownDescriptors {
 		return
 	}
 	metrics.Violations.Add(violationUnaccounted)
@@ -69,7 +69,7 @@
 		"shares", b.String())
 }
 
-// String returns what is in use of each share, for the log.
+// String returns the use and the limit of each share, for the log.
 func (b *Budget) String() string {
 	return fmt.Sprintf("clients=%d/%d workers=%d/%d discovery=%d/%d operators=%d/%d devices=%d/%d",
 		b.Clients.InUse(), b.Clients.Limit(), b.Workers.InUse(), b.Workers.Limit(), b.Discovery.InUse(), b.Discovery.Limit(),
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -13,15 +13,15 @@
 	"kitefall/internal/metrics"
 )
 
-// Whatever the limit, the shares and what the process itself needs stay within it, and nobody is left without.
+// The shares plus the descriptors of the process itself must not exceed the limit, and no share may be empty.
 func TestSharesStayWithinTheLimit(t *testing.T) {
 	for _, limit := range []int{48, 64, 96, 192, 256, 384, 576, 1024, 4096} {
 		for _, devices := range []int{0, 128} {
 			if devices > 0 && limit < 192 {
-				continue // too few for the invoke API
+				continue // too few descriptors for the invoke API
 			}
 			s := Divide(limit, devices)
-			assert.LessOrEqual(t, s.Total()+ownFiles(devices), limit, "%d: %+v", limit, s)
+			assert.LessOrEqual(t, s.Total()+ownDescriptors(devices), limit, "%d: %+v", limit, s)
 			for _, share := range []int{s.Clients, s.Workers, s.Discovery, s.Operators} {
 				assert.Positive(t, share, "%d: %+v", limit, s)
 			}
@@ -30,14 +30,14 @@
 	assert.Equal(t, Shares{Clients: 1, Workers: 1, Discovery: 4, Operators: 2}, Divide(1, 0))
 }
 
-func TestShareGivesNoMoreThanItHas(t *testing.T) {
+func TestShareGrantsAtMostItsLimit(t *testing.T) {
 	s := NewShare(10)
-	var taken sync.WaitGroup
+	var acquirers sync.WaitGroup
 	granted := make(chan bool, 40)
 	for range cap(granted) {
-		taken.Go(func() { granted <- s.TryAcquire() })
+		acquirers.Go(func() { granted <- s.TryAcquire() })
 	}
-	taken.Wait()
+	acquirers.Wait()
 	close(granted)
 	count := 0
 	for ok := range granted {
@@ -52,9 +52,9 @@
 }
 
 func TestReleasingTwiceIsCounted(t *testing.T) {
-	before := metrics.Violations.Get(violationReleased)
+	before := metrics.Violations.Get(violationDoubleRelease)
 	NewShare(1).Release()
-	assert.Equal(t, before+1, metrics.Violations.Get(violationReleased))
+	assert.Equal(t, before+1, metrics.Violations.Get(violationDoubleRelease))
 }
 
 func TestDialHoldsADescriptorUntilClosed(t *testing.T) {
@@ -74,18 +74,18 @@
 	ln.Close()
 	_, err = s.DialContext(ctx, "tcp", ln.Addr().String())
 	assert.Error(t, err)
-	assert.Zero(t, s.InUse(), "a dial that fails gives it back")
+	assert.Zero(t, s.InUse(), "a failed dial releases its descriptor")
 }
 
 func TestListenerHoldsADescriptorForEachConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := NewShare(1)
-	shared := s.Listener(ln)
-	defer shared.Close()
+	limited := s.Listener(ln)
+	defer limited.Close()
 	accepted := make(chan net.Conn)
 	go func() {
-		for conn, err := shared.Accept(); err == nil; conn, err = shared.Accept() {
+		for conn, err := limited.Accept(); err == nil; conn, err = limited.Accept() {
 			accepted <- conn
 		}
 	}()
@@ -105,9 +105,9 @@
 	b := NewBudget(Shares{Clients: 5, Workers: 5})
 	require.True(t, b.Clients.TryAcquire())
 	before := metrics.Violations.Get(violationUnaccounted)
-	b.compare(1 + runtimeShare)
+	b.compare(1 + runtimeDescriptors)
 	assert.Equal(t, before, metrics.Violations.Get(violationUnaccounted))
-	b.compare(1 + runtimeShare + 1)
+	b.compare(1 + runtimeDescriptors + 1)
 	assert.Equal(t, before+1, metrics.Violations.Get(violationUnaccounted))
 	assert.Contains(t, b.String(), "clients=1/5 workers=0/5")
 }
--- a/internal/descriptors/share.go
+++ b/internal/descriptors/share.go
@@ -12,28 +12,29 @@
 	"kitefall/internal/metrics"
 )
 
-// ErrNone means that no descriptor was left of a share. Nobody else is to blame for it.
-var ErrNone = errors.New("no descriptor is left")
+// ErrNone means that a share has no free descriptor. The shortage is in this process, not at the peer.
+var ErrNone = errors.New("no file descriptor is left in the share")
 
-// Share is the descriptors of one holder. It is safe for concurrent use, and none of its methods waits.
+// Share limits and counts the file descriptors of one holder. It is safe for concurrent use. None of its
+// methods waits for a free descriptor, but the listener that Listener returns does.
 type Share struct {
 	limit int
 	used  atomic.Int64
 }
 
-// NewShare returns a share of so many descriptors, none of them in use.
+// NewShare returns a share of limit descriptors, all unused.
 func NewShare(limit int) *Share { return &Share{limit: limit} }
 
-// Limit returns how many descriptors the share has.
+// Limit returns the number of descriptors in the share.
 func (s *Share) Limit() int { return s.limit }
 
-// InUse returns how many are in use.
+// InUse returns the number of descriptors in use.
 func (s *Share) InUse() int { return int(s.used.Load()) }
 
-// HasRoom reports whether a descriptor is left, which another may take at any moment.
+// HasRoom reports whether a descriptor is free. Another goroutine may take it at any moment.
 func (s *Share) HasRoom() bool { return s.used.Load() < int64(s.limit) }
 
-// TryAcquire takes one descriptor and reports whether there was one left.
+// TryAcquire takes one descriptor if one is free, and reports whether it did.
 func (s *Share) TryAcquire() bool {
 	for {
 		used := s.used.Load()
@@ -46,18 +47,18 @@
 	}
 }
 
-// Release gives a descriptor back that was taken. It must be called once the descriptor is closed, not before.
+// Release returns an acquired descriptor to the share. It must not be called before the descriptor is closed.
 func (s *Share) Release() {
 	if s.used.Add(-1) < 0 {
-		metrics.Violations.Add(violationReleased)
+		metrics.Violations.Add(violationDoubleRelease)
 	}
 }
 
-// violationReleased names descriptors that were given back twice, in metrics.
-const violationReleased = "descriptor_released_twice"
+// violationDoubleRelease is the metrics label for descriptors that were released twice.
+const violationDoubleRelease = "descriptor_released_twice"
 
-// DialContext connects as net.Dialer does, with a descriptor of the share, which the connection gives back when it is closed.
-// With none left it fails with ErrNone at once.
+// DialContext connects like net.Dialer, with a descriptor of the share that is released when the connection
+// is closed. If no descriptor is free, it fails at once with ErrNone.
 func (s *Share) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	if !s.TryAcquire() {
 		metrics.Shortages.Add("discovery")
@@ -69,23 +70,24 @@
 		s.Release()
 		return nil, err
 	}
-	return &sharedConn{Conn: conn, share: s}, nil
+	return &countedConn{Conn: conn, share: s}, nil
 }
 
-// Listener returns a listener that accepts as ln does, but waits until a descriptor of the share is left. It must be the only
-// one who takes of the share.
+// Listener returns a listener that accepts connections of ln, and waits while all descriptors of the share
+// are in use. Nothing else may take descriptors from the share.
 func (s *Share) Listener(ln net.Listener) net.Listener {
-	return &sharedListener{Listener: netutil.LimitListener(ln, s.limit), share: s}
+	return &limitedListener{Listener: netutil.LimitListener(ln, s.limit), share: s}
 }
 
-// sharedListener accepts connections that each hold a descriptor of a share, and no more than the share has.
-type sharedListener struct {
+// limitedListener accepts connections that each hold a descriptor of a share, and at most as many as the
+// share has.
+type limitedListener struct {
 	net.Listener
 	share *Share
 }
 
-// Accept waits for the next connection and a descriptor for it.
-func (l *sharedListener) Accept() (net.Conn, error) {
+// Accept waits for a free descriptor and the next connection.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -94,19 +96,19 @@
 		conn.Close()
 		return nil, ErrNone
 	}
-	return &sharedConn{Conn: conn, share: l.share}, nil
+	return &countedConn{Conn: conn, share: l.share}, nil
 }
 
-// sharedConn is a connection that holds a descriptor of a share.
-type sharedConn struct {
+// countedConn is a connection that holds a descriptor of a share.
+type countedConn struct {
 	net.Conn
 	share   *Share
 	release sync.Once
 }
 
-// Close closes the connection and gives its descriptor back. It may be called more than once.
-func (c *sharedConn) Close() error {
-	err := c.Conn.Close() // which waits until the descriptor is closed
+// Close closes the connection and releases its descriptor. It may be called more than once.
+func (c *countedConn) Close() error {
+	err := c.Conn.Close() // returns after the descriptor is closed
 	c.release.Do(c.share.Release)
 	return err
 }
--- a/internal/descriptors/shares.go
+++ b/internal/descriptors/shares.go
@@ -1,32 +1,36 @@
-// Package descriptors divides the file descriptors that the process may hold among those who need them. Each
-// holder has a share that nobody else can take, so that clients, workers, discovery and operators cannot keep
-// each other out, however long the endpoint list and however many clients there are. What waits for a place,
-// or closes something to get one, is the holder's business; this package only says how many there are, and
-// counts.
+// Package descriptors divides the process's limit of file descriptors into shares, one for each kind of
+// connection. A share is reserved for its holder, so that clients, workers, discovery and operators cannot
+// starve each other, however long the endpoint list is and however many clients connect. Waiting for a free
+// descriptor, or closing a connection to free one, is up to the holder; this package sets the size of each
+// share and counts its use.
 package descriptors
 
-// How a limit is divided.
+// Division of the limit.
 const (
-	// clientPart is the part for connections of clients. By the client protocol they hold a third at most.
-	clientPart = 0.34
-	// workerPart is the part for connections to workers.
-	workerPart = 0.4
-	// operatorPart is the part for connections of operators, within bounds.
-	operatorPart = 1.0 / 16
-	minOperators = 2
-	maxOperators = 32
-	// devicePart bounds the part for connections of the invoke API, where that is on.
-	devicePart = 1.0 / 8
-	// discoveryShare is for polls of the endpoint list: the present one, and those that are being given up.
+	// clientFraction is the fraction for client connections. By the client protocol clients hold at most a
+	// third.
+	clientFraction = 0.34
+	// workerFraction is the maximum fraction for connections to workers.
+	workerFraction = 0.4
+	// operatorFraction is the fraction for connections of operators, at least minOperators and at most
+	// maxOperators descriptors.
+	operatorFraction = 1.0 / 16
+	minOperators     = 2
+	maxOperators     = 32
+	// invokeFraction is the maximum fraction for connections of the invoke API, if it is enabled.
+	invokeFraction = 1.0 / 8
+	// discoveryShare is for polls of the endpoint list: the current poll and cancelled polls that still hold
+	// a connection.
 	discoveryShare = 4
-	// runtimeShare is for what the process itself needs: standard streams, listeners, the poller, files that are
-	// read, and one connection that was accepted before there is a place for it.
-	runtimeShare = 16
-	// storeShare is for the files of the invoke API's store and its sockets beside those of its clients.
-	storeShare = 32
+	// runtimeDescriptors is for the process itself: standard streams, listeners, the poller, files being read,
+	// and one connection that was accepted before a descriptor of its share is free.
+	runtimeDescriptors = 16
+	// storeDescriptors is for the files of the invoke API's store, and for sockets of the invoke API other than
+	// client connections.
+	storeDescriptors = 32
 )
 
-// Shares is how many descriptors each holder may have. The parts of the process itself are not in it.
+// Shares holds the number of descriptors in each share, without those of the process itself.
 type Shares struct {
 	Clients   int // connections of the platform's clients
 	Workers   int // connections to all workers
@@ -35,27 +39,27 @@
 	Devices   int // connections of the invoke API's clients
 }
 
-// Divide returns the shares of a limit. The invoke API wants devices connections; 0: it is off. Every share
-// has one descriptor at least.
+// Divide divides limit into shares. devices is the number of connections configured for the invoke API; 0:
+// the API is disabled. Every other share has at least one descriptor.
 func Divide(limit, devices int) Shares {
 	s := Shares{
-		Clients:   max(1, int(clientPart*float64(limit))),
+		Clients:   max(1, int(clientFraction*float64(limit))),
 		Discovery: discoveryShare,
-		Operators: min(max(minOperators, int(operatorPart*float64(limit))), maxOperators),
-		Devices:   min(devices, int(devicePart*float64(limit))),
+		Operators: min(max(minOperators, int(operatorFraction*float64(limit))), maxOperators),
+		Devices:   min(devices, int(invokeFraction*float64(limit))),
 	}
-	left := limit - s.Clients - s.Discovery - s.Operators - s.Devices - ownFiles(devices)
-	s.Workers = max(1, min(left, int(workerPart*float64(limit))))
+	remaining := limit - s.Clients - s.Discovery - s.Operators - s.Devices - ownDescriptors(devices)
+	s.Workers = max(1, min(remaining, int(workerFraction*float64(limit))))
 	return s
 }
 
-// ownFiles returns how many descriptors the process itself may have, where the invoke API wants devices
-// connections.
-func ownFiles(devices int) int {
+// ownDescriptors returns the number of descriptors reserved for the process itself. devices is the number of
+// connections configured for the invoke API; 0: the API is disabled.
+func ownDescriptors(devices int) int {
 	if devices == 0 {
-		return runtimeShare
+		return runtimeDescriptors
 	}
-	return runtimeShare + storeShare
+	return runtimeDescriptors + storeDescriptors
 }
 
 // Total returns the sum of all shares.
--- a/internal/gatedconn/conn.go
+++ b/internal/gatedconn/conn.go
@@ -1,8 +1,8 @@
-// Package gatedconn has network connections on which reading can be stopped at a moment when nothing of the peer would be
-// lost. Whoever closes a connection because nothing is in use on it decides so first, and closes a moment later; what the
-// reader takes from the system meanwhile would be read and never answered. A connection of this package takes bytes from the
-// system, and tells of them, in one step with regard to that decision: either the decision sees them, or they stay unread,
-// and the system answers the peer with a reset, so that it knows that they had no effect.
+// Package gatedconn provides network connections on which reading can be stopped without losing data from the peer. An idle
+// connection is closed a moment after the decision to close it. Bytes that the reader takes from the kernel in between would
+// be read but never answered. A Conn therefore reads bytes and passes them to an observer in one step, under a mutex that
+// is also held during the decision. Either the decision takes the bytes into account, or they stay unread in the kernel. In the
+// latter case closing the connection sends a reset, which tells the peer that the bytes had no effect.
 package gatedconn
 
 import (
@@ -16,27 +16,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// Observer is told of all bytes that were read, in their order. Its error ends the reading and is returned by Read. It is
-// called by the goroutine that reads and must not call the connection.
+// Observer is called with all bytes that are read, in order. If it returns an error, Read returns that error instead of the
+// bytes. It is called from the goroutine that calls Read, and must not call methods of the connection.
 type Observer func(data []byte) error
 
-// Conn is a connection whose reading can be stopped. Read may be called by one goroutine at a time; all other methods by any.
+// Conn is a connection on which reading can be stopped. Read may be called by one goroutine at a time. All other methods are
+// safe for concurrent use.
 type Conn struct {
 	net.Conn
-	raw     syscall.RawConn // nil: there is no socket
+	raw     syscall.RawConn // nil: the connection has no socket
 	observe Observer
 
-	mu      sync.Mutex // held while bytes are taken from the system and observed
+	mu      sync.Mutex // held while bytes are read and observed, and while StopReadingIf decides
 	stopped bool
 }
 
-// New returns a connection over another, whose bytes are told to an observer as they are read. Over one that is no socket,
-// such as net.Pipe, bytes that cross the decision are read and dropped.
+// New wraps conn and passes all bytes that are read to observe. If conn is not a socket, such as a net.Pipe, bytes that arrive
+// after StopReadingIf has stopped reading are read and dropped.
 func New(conn net.Conn, observe Observer) *Conn {
 	return &Conn{Conn: conn, raw: rawConn(conn), observe: observe}
 }
 
-// rawConn returns the socket of a connection; nil if it has none.
+// rawConn returns the socket of a connection, or nil if it has none.
 func rawConn(conn net.Conn) syscall.RawConn {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -49,8 +50,8 @@
 	return raw
 }
 
-// Read reads as net.Conn does, and has the observer told before it returns. After StopReadingIf has stopped it, it fails with
-// net.ErrClosed, at the latest when the connection is closed.
+// Read reads like net.Conn and calls the observer before it returns. Once StopReadingIf has stopped reading, Read fails with
+// net.ErrClosed. A Read that is waiting for data then fails when data arrives, or at the latest when the connection is closed.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
@@ -61,7 +62,7 @@
 	var n int
 	var err error
 	waitErr := c.raw.Read(func(descriptor uintptr) (done bool) {
-		n, done, err = c.takeAvailable(int(descriptor), buffer)
+		n, done, err = c.readAvailable(int(descriptor), buffer)
 		return done
 	})
 	if waitErr != nil {
@@ -83,7 +84,7 @@
 	return c.observeLocked(buffer[:n])
 }
 
-// observeLocked tells the observer of bytes and returns what Read does. The caller holds c.mu.
+// observeLocked passes data to the observer and returns the results of Read. The caller holds c.mu.
 func (c *Conn) observeLocked(data []byte) (int, error) {
 	if err := c.observe(data); err != nil {
 		return 0, err
@@ -91,8 +92,9 @@
 	return len(data), nil
 }
 
-// takeAvailable takes what the system has, and reports with done that there was something, or that there will be nothing.
-func (c *Conn) takeAvailable(descriptor int, buffer []byte) (n int, done bool, err error) {
+// readAvailable reads the bytes that the kernel holds, without waiting. done is false if there are none yet, and true once bytes
+// were read, the stream has ended, or reading has failed or was stopped.
+func (c *Conn) readAvailable(descriptor int, buffer []byte) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
@@ -114,7 +116,7 @@
 	return n, true, err
 }
 
-// readError returns an error of the system as net.Conn does.
+// readError wraps an error of the read system call as net.Conn does.
 func (c *Conn) readError(err error) error {
 	return &net.OpError{
 		Op:     "read",
@@ -125,20 +127,20 @@
 	}
 }
 
-// StopReadingIf asks whether nothing is in use, while no byte is read, and has Read fail from then on if so. unused is told
-// whether the system holds bytes that were not read yet. It returns what unused returned.
-func (c *Conn) StopReadingIf(unused func(unread bool) bool) bool {
+// StopReadingIf calls isIdle while no bytes can be read, and makes Read fail from then on if isIdle returns true. The argument
+// of isIdle is whether the kernel holds unread bytes. StopReadingIf returns the result of isIdle.
+func (c *Conn) StopReadingIf(isIdle func(unread bool) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !unused(c.HasUnread()) {
+	if !isIdle(c.HasUnread()) {
 		return false
 	}
 	c.stopped = true
 	return true
 }
 
-// HasUnread reports whether the system holds bytes of the peer that were not read yet. Closing the connection would throw
-// them away. Where the system does not tell, it reports false.
+// HasUnread reports whether the kernel holds bytes from the peer that have not been read. Closing the connection would discard
+// them. If the kernel does not provide this, HasUnread returns false.
 func (c *Conn) HasUnread() bool {
 	if c.raw == nil {
 		return false
--- a/internal/gatedconn/conn_test.go
+++ b/internal/gatedconn/conn_test.go
@@ -15,18 +15,18 @@
 	"kitefall/internal/tcptest"
 )
 
-// pair returns a client's connection over loopback and the gated side of it, which tells an observer what is read.
-func pair(t *testing.T, observe Observer) (client net.Conn, gated *Conn) {
+// newPair returns both ends of a loopback connection: the client's, and the server's as a Conn with the given observer.
+func newPair(t *testing.T, observe Observer) (client net.Conn, gated *Conn) {
 	t.Helper()
 	client, accepted := tcptest.Pair(t)
 	return client, New(accepted, observe)
 }
 
-func ignore([]byte) error { return nil }
+func ignoreBytes([]byte) error { return nil }
 
-func TestReadTellsTheObserverFirst(t *testing.T) {
+func TestReadCallsTheObserverFirst(t *testing.T) {
 	var observed string
-	client, gated := pair(t, func(data []byte) error {
+	client, gated := newPair(t, func(data []byte) error {
 		observed += string(data)
 		return nil
 	})
@@ -44,18 +44,18 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-func TestReadEndsWithTheObserversError(t *testing.T) {
-	refused := errors.New("refused")
-	client, gated := pair(t, func([]byte) error { return refused })
+func TestReadReturnsTheObserversError(t *testing.T) {
+	errObserver := errors.New("refused")
+	client, gated := newPair(t, func([]byte) error { return errObserver })
 	_, err := io.WriteString(client, "x")
 	require.NoError(t, err)
 	n, err := gated.Read(make([]byte, 8))
 	assert.Zero(t, n)
-	assert.Equal(t, refused, err)
+	assert.Equal(t, errObserver, err)
 }
 
-func TestReadKeepsDeadlinesAndClose(t *testing.T) {
-	_, gated := pair(t, ignore)
+func TestReadObeysDeadlinesAndClose(t *testing.T) {
+	_, gated := newPair(t, ignoreBytes)
 	require.NoError(t, gated.SetReadDeadline(time.Now().Add(10*time.Millisecond)))
 	_, err := gated.Read(make([]byte, 8))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -65,26 +65,27 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-func TestReadTellsOfAReset(t *testing.T) {
-	client, gated := pair(t, ignore)
+func TestReadReportsAReset(t *testing.T) {
+	client, gated := newPair(t, ignoreBytes)
 	require.NoError(t, client.(*net.TCPConn).SetLinger(0))
 	require.NoError(t, client.Close())
 	_, err := gated.Read(make([]byte, 8))
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
-	var operation *net.OpError
-	require.ErrorAs(t, err, &operation)
-	assert.Equal(t, "read", operation.Op)
+	var opErr *net.OpError
+	require.ErrorAs(t, err, &opErr)
+	assert.Equal(t, "read", opErr.Op)
 }
 
-// After the decision nothing is read, also by a Read that waits already; so the peer learns that its bytes had no effect.
-func TestNothingIsReadAfterTheDecision(t *testing.T) {
-	client, gated := pair(t, ignore)
+// Bytes that arrive after reading was stopped must not be read, not even by a Read that was already waiting. Otherwise the peer
+// would get no reset and could not tell that its bytes had no effect.
+func TestNothingIsReadAfterReadingIsStopped(t *testing.T) {
+	client, gated := newPair(t, ignoreBytes)
 	read := make(chan error, 1)
-	go func() { // ends with the bytes below
+	go func() { // ends when the bytes below arrive
 		_, err := gated.Read(make([]byte, 8))
 		read <- err
 	}()
-	time.Sleep(10 * time.Millisecond) // it waits
+	time.Sleep(10 * time.Millisecond) // until Read waits for data
 	assert.True(t, gated.StopReadingIf(func(unread bool) bool { return !unread }))
 	_, err := io.WriteString(client, "late")
 	require.NoError(t, err)
@@ -95,9 +96,9 @@
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 }
 
-// What stands unread is told to the decision, and after a no reading goes on.
-func TestUnreadBytesAreToldToTheDecision(t *testing.T) {
-	client, gated := pair(t, ignore)
+// StopReadingIf must pass on that bytes are unread. If isIdle returns false, reading must continue.
+func TestStopReadingIfSeesUnreadBytes(t *testing.T) {
+	client, gated := newPair(t, ignoreBytes)
 	_, err := io.WriteString(client, "early")
 	require.NoError(t, err)
 	require.Eventually(t, gated.HasUnread, 10*time.Second, time.Millisecond)
@@ -108,7 +109,7 @@
 	assert.Equal(t, "early", string(buffer[:n]))
 }
 
-// Without a socket the decision counts as well, though what crosses it is dropped.
+// Reading can also be stopped on a connection without a socket, but bytes that arrive afterwards are dropped.
 func TestConnectionWithoutASocket(t *testing.T) {
 	client, server := net.Pipe()
 	defer client.Close()
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package lifecycle names the phases of the program, from start to exit, as states of one object.
+// Package lifecycle tracks the phase of the program from start to exit.
 package lifecycle
 
 import (
@@ -6,17 +6,16 @@
 	"sync"
 )
 
-// Phase is a state of the program.
+// Phase is a stage in the life of the program.
 type Phase int
 
-// The phases, in their order. A program goes through each at most once, except for Serving and Reloading, between which
-// it alternates.
+// Phases, in order. A program enters each phase at most once, except that it can alternate between Serving and Reloading.
 const (
 	Starting  Phase = iota // the endpoints are not known yet
 	Serving                // calls are served
-	Reloading              // the configuration is read again; calls are served meanwhile
-	Draining               // told to end: new calls are taken for a while, those in flight are answered
-	Stopped                // nothing is in flight any more
+	Reloading              // the configuration is being read again while calls are served
+	Draining               // shutdown has begun: new calls are accepted for a while, and calls in flight are answered
+	Stopped                // no calls are in flight
 )
 
 var phaseNames = [...]string{
@@ -30,10 +29,10 @@
 // String returns the name of the phase in log lines.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Ready reports whether the program serves calls and has not been told to end.
+// Ready reports whether the program serves calls and is not shutting down.
 func (p Phase) Ready() bool { return p == Serving || p == Reloading }
 
-// Lifecycle holds the program's present phase. It is safe for concurrent use.
+// Lifecycle holds the program's current phase. It is safe for concurrent use.
 type Lifecycle struct {
 	mu    sync.Mutex
 	phase Phase
@@ -42,14 +41,14 @@
 // New returns a Lifecycle in the phase Starting.
 func New() *Lifecycle { return &Lifecycle{} }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (l *Lifecycle) Phase() Phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// Enter changes to the phase next and logs that, if the transition is allowed. It reports whether the phase has changed.
+// Enter changes the phase to next and logs the change, if the transition is allowed. It reports whether the phase changed.
 func (l *Lifecycle) Enter(next Phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,8 +60,8 @@
 	return true
 }
 
-// allowed reports whether a program may change from one phase to another: to any later one, but to Reloading only from
-// Serving, and back from there.
+// allowed reports whether the transition between two phases is allowed: to any later phase, to Reloading only from Serving, and
+// from Reloading back to Serving.
 func allowed(from, to Phase) bool {
 	switch {
 	case to == Reloading:
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestReadyWhileServing(t *testing.T) {
+func TestReadyWhenServingOrReloading(t *testing.T) {
 	var ready []Phase
 	for phase := Starting; phase <= Stopped; phase++ {
 		if phase.Ready() {
--- a/internal/logthrottle/logthrottle_test.go
+++ b/internal/logthrottle/logthrottle_test.go
@@ -11,8 +11,8 @@
 	"kitefall/internal/logthrottle"
 )
 
-// A flood of one kind of line must not fill the log.
-func TestLogLeavesOutRepeatedLines(t *testing.T) {
+// Lines of one kind at a high rate must not fill the log.
+func TestLogSkipsRepeatedLines(t *testing.T) {
 	var out bytes.Buffer
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&out, nil)))
--- a/internal/monotonic/steps.go
+++ b/internal/monotonic/steps.go
@@ -7,8 +7,8 @@
 	"kitefall/internal/metrics"
 )
 
-// minStep is the smallest change of the wall clock against the monotonic clock that counts as a step. A clock that is
-// slewed moves by 0.5 ms a second at most.
+// minStep is the smallest change in the offset of the wall clock against the monotonic clock that counts as a step. Slewing
+// shifts a clock by at most 0.5 ms per second.
 const minStep = 100 * time.Millisecond
 
 // Labels of metrics.ClockSteps.
@@ -17,12 +17,12 @@
 	stepBack    = "back"
 )
 
-// StepDetector notices when the wall clock of the machine is set. Nothing in the program depends on it: it is for the
-// operators, who compare the times of the log with those of other machines. It is not safe for concurrent use.
+// StepDetector detects steps of the machine's wall clock. Its results are only logged and counted, for operators who compare
+// log timestamps with those of other machines. It is not safe for concurrent use.
 type StepDetector struct {
 	start  time.Time
 	wall   time.Time     // start without its monotonic reading
-	offset time.Duration // of the wall clock against the monotonic clock since start, when it was last looked at
+	offset time.Duration // of the wall clock against the monotonic clock since start, as of the last detected step
 }
 
 // NewStepDetector returns a detector of steps from now on.
@@ -31,8 +31,8 @@
 	return &StepDetector{start: now, wall: now.Round(0)} // Round strips the monotonic reading
 }
 
-// Check compares the clocks as read at now, a result of time.Now, and logs and counts a step since the last check. It
-// returns the step; 0: none.
+// Check compares the wall and monotonic readings of now, a result of time.Now. It logs, counts and returns a step since the
+// last detected one; 0: there was none.
 func (d *StepDetector) Check(now time.Time) time.Duration {
 	elapsed := now.Sub(d.start)
 	wallElapsed := now.Round(0).Sub(d.wall)
--- a/internal/monotonic/uptime.go
+++ b/internal/monotonic/uptime.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDPath is a file with an identity of the machine's present boot (source: random(4)).
+// bootIDPath is a file with a unique ID of the machine's current boot (source: random(4)).
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Uptime is a reading of the machine's time since it was booted. Two readings of one boot tell how much time has passed
-// between them, also between two runs of the program, whatever the wall clock did meanwhile.
+// Uptime is a reading of the time since the machine was booted. The difference of two readings of the same boot is the time
+// between them, even across a restart of the program and steps of the wall clock.
 type Uptime struct {
 	BootID  string        // empty: unknown
-	Elapsed time.Duration // since the boot, with the time during which the machine was suspended
+	Elapsed time.Duration // since the boot, including the time for which the machine was suspended
 }
 
-// ReadUptime reads the present uptime. Where the machine does not tell it, its BootID is empty.
+// ReadUptime reads the current uptime. If the system does not provide it, BootID is empty.
 func ReadUptime() Uptime {
 	id, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -31,7 +31,8 @@
 	return Uptime{BootID: strings.TrimSpace(string(id)), Elapsed: time.Duration(elapsed.Nano())}
 }
 
-// Since returns the time since an earlier reading, and whether both are of one boot.
+// Since returns the time since an earlier reading, and whether both readings are from the same boot. The time is 0 if they are
+// not, or if either boot is unknown.
 func (u Uptime) Since(earlier Uptime) (elapsed time.Duration, sameBoot bool) {
 	sameBoot = u.BootID != "" && u.BootID == earlier.BootID && u.Elapsed >= earlier.Elapsed
 	if !sameBoot {
--- a/internal/monotonic/uptime_test.go
+++ b/internal/monotonic/uptime_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestUptimeTellsTheTimeWithinOneBoot(t *testing.T) {
+func TestUptimeSinceRequiresTheSameBoot(t *testing.T) {
 	first := ReadUptime()
 	elapsed, sameBoot := ReadUptime().Since(first)
 	assert.True(t, sameBoot)
@@ -18,5 +18,5 @@
 		assert.False(t, sameBoot, "%v", other)
 	}
 	_, sameBoot = Uptime{}.Since(Uptime{})
-	assert.False(t, sameBoot, "unknown")
+	assert.False(t, sameBoot, "two unknown boots are not the same boot")
 }
--- a/internal/tcpstate/tcpstate.go
+++ b/internal/tcpstate/tcpstate.go
@@ -1,4 +1,4 @@
-// Package tcpstate tells what the system knows of a TCP connection beyond what reading and writing show.
+// Package tcpstate reads the kernel's state of a TCP connection that reads and writes do not show.
 package tcpstate
 
 import (
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// WasReset reports whether the peer's machine has reset a connection that this side has not closed. It does so where the peer's
-// process closed the connection without having read all, or where more came after that; a process that has read all ends the
-// connection plainly. Where the system does not tell, it reports false. It is safe for concurrent use.
+// WasReset reports whether the peer has reset a connection that this side has not closed. The peer's kernel sends a reset if
+// its process closes the connection with bytes unread, or if bytes arrive after the close; if all bytes were read, the close
+// sends a FIN. If the kernel does not provide the state, WasReset returns false. It is safe for concurrent use.
 //
 // Source: RFC 9293 (states), tcp(7) (TCP_INFO).
 func WasReset(conn *net.TCPConn) bool {
@@ -20,7 +20,7 @@
 	reset := false
 	raw.Control(func(descriptor uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(descriptor), unix.IPPROTO_TCP, unix.TCP_INFO)
-		reset = err == nil && info.State == unix.BPF_TCP_CLOSE // after the peer's end alone it waits for this side
+		reset = err == nil && info.State == unix.BPF_TCP_CLOSE // after only a FIN from the peer, the state is CLOSE_WAIT
 	})
 	return reset
 }
--- a/internal/tcptest/pair.go
+++ b/internal/tcptest/pair.go
@@ -1,4 +1,4 @@
-// Package tcptest has what tests of TCP connections share.
+// Package tcptest provides helpers for tests of TCP connections.
 package tcptest
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Pair returns both ends of a connection over loopback, which are closed at the end of the test.
+// Pair returns both ends of a loopback connection. They are closed at the end of the test.
 func Pair(t testing.TB) (dialed *net.TCPConn, accepted net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
