--- a/internal/worker/breakrate.go
+++ b/internal/worker/breakrate.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// breakRateDecay is the time constant with which opened and broken connections are forgotten.
+// breakRateDecay is the time constant of the exponential decay of the counts of opened and broken connections.
 const breakRateDecay = time.Minute
 
-// BreakRate measures how often connections of all pools break, and decides by it whether requests should have separate
-// connections. A connection that breaks under load ends all requests in flight on it: separate ones lose fewer. But each
-// handshake has its cost, and 80 dispatchers that each open a second connection to each worker pay it 80 times.
+// BreakRate measures how often connections of all pools break under load, that is with requests in flight. It decides
+// whether concurrent requests get separate connections. A connection that breaks under load ends all requests in flight on
+// it, so separate connections lose fewer requests. But each handshake has a cost, and 80 dispatchers that each open a second
+// connection to each worker pay that cost 80 times per worker.
 //
-// It is safe for concurrent use. A nil BreakRate counts nothing and separates always.
+// A BreakRate is safe for concurrent use. A nil BreakRate counts nothing and always favors separate connections.
 type BreakRate struct {
-	handshakeCost float64 // as a fraction of the value of a call
+	handshakeCost float64 // cost of a handshake, as a fraction of the value of a call
 	clock         func() time.Time
 
 	mu      sync.Mutex
 	decayed time.Time // when the counts were last decayed
-	opened  float64   // connections opened, decayed
-	broken  float64   // connections that broke under load, decayed
+	opened  float64   // decayed count of connections opened
+	broken  float64   // decayed count of connections that broke under load
 }
 
-// NewBreakRate returns a break rate that weighs a handshake at handshakeCost, as a fraction of the value of a call.
-// Where that is not positive, requests are always kept on separate connections.
+// NewBreakRate returns a BreakRate for handshakes that cost handshakeCost, as a fraction of the value of a call. If
+// handshakeCost is not positive, separate connections are always favored.
 func NewBreakRate(handshakeCost float64) *BreakRate {
 	return &BreakRate{handshakeCost: handshakeCost, clock: time.Now}
 }
 
-// recordOpened counts a connection that is being opened.
+// recordOpened counts a connection whose opening has started.
 func (b *BreakRate) recordOpened() { b.record(1, 0) }
 
 // recordBroken counts a connection that broke with requests in flight.
@@ -50,9 +51,9 @@
 	b.broken = b.broken*decay + broken
 }
 
-// separates reports whether a request should have a connection of its own rather than share one: connections break often
-// enough to lose more than another handshake costs.
-func (b *BreakRate) separates() bool {
+// favorsSeparateConns reports whether a request should get a connection of its own rather than share one. It should if
+// the fraction of opened connections that break under load exceeds the cost of a handshake.
+func (b *BreakRate) favorsSeparateConns() bool {
 	if b == nil || b.handshakeCost <= 0 {
 		return true
 	}
--- a/internal/worker/closereason.go
+++ b/internal/worker/closereason.go
@@ -11,24 +11,24 @@
 	"kitefall/internal/metrics"
 )
 
-// closeReason says why a connection to a worker has ended, in metrics.
+// closeReason is the reason why a connection to a worker ended, as the metrics name it.
 type closeReason string
 
-// The reasons.
+// Reasons why a connection ended.
 const (
-	closedIdle     closeReason = "idle"        // unused for too long, or of no further use
-	closedForRoom  closeReason = "room"        // idle, and a connection to another worker needs its descriptor
-	closedPool     closeReason = "pool_closed" // with its pool
-	closedByWorker closeReason = "worker"      // the worker has closed it
-	closedReset    closeReason = "reset"       // by the worker or the network
-	closedRefused  closeReason = "refused"     // it never came up
-	closedShortage closeReason = "shortage"    // it never came up, for want of a descriptor or port of this process
-	closedTimedOut closeReason = "timed_out"   // the dial, a write or an answer took too long
-	closedBadFrame closeReason = "bad_frame"   // the worker does not keep to the protocol
+	closedIdle     closeReason = "idle"        // idle for too long, stale, or idle when the worker was removed
+	closedEvicted  closeReason = "room"        // idle, and closed because another connection needs its descriptor
+	closedPool     closeReason = "pool_closed" // its pool was closed
+	closedByWorker closeReason = "worker"      // the worker closed it
+	closedReset    closeReason = "reset"       // reset by the worker or the network
+	closedRefused  closeReason = "refused"     // never established: nothing listens at the address
+	closedShortage closeReason = "shortage"    // not established: this process or its machine lacks a descriptor, memory or port
+	closedTimedOut closeReason = "timed_out"   // the dial, a write or the rest of an answer took too long
+	closedBadFrame closeReason = "bad_frame"   // the worker sent a frame that violates the protocol
 	closedOther    closeReason = "other"
 )
 
-// reasonOf returns the reason that an error of a connection stands for.
+// reasonOf returns the close reason for the error that ended a connection.
 func reasonOf(cause error) closeReason {
 	switch {
 	case errors.Is(cause, errPoolClosed):
@@ -50,7 +50,7 @@
 	}
 }
 
-// shortages are the errors that mean that this process or its machine lacks something.
+// shortages lists the errors that mean that this process or its machine has run out of a resource.
 var shortages = []error{
 	descriptors.ErrNone,
 	syscall.EMFILE,
@@ -60,12 +60,12 @@
 	syscall.EADDRNOTAVAIL,
 }
 
-// isShortage reports whether an error means that this process lacks something: the peer is not to blame.
+// isShortage reports whether an error is caused by a resource shortage of this process or its machine, not by the peer.
 func isShortage(err error) bool {
 	return slices.ContainsFunc(shortages, func(shortage error) bool { return errors.Is(err, shortage) })
 }
 
-// count counts a connection that has ended for the reason.
+// count adds a connection that ended for this reason to the metrics.
 func (r closeReason) count() {
 	metrics.WorkerConnsClosed.Add(string(r))
 	if r == closedShortage {
--- a/internal/worker/conn_test.go
+++ b/internal/worker/conn_test.go
@@ -13,8 +13,8 @@
 	"kitefall/internal/permit"
 )
 
-// What happens while a call is queued keeps it from being written, and it is known that it never ran.
-func TestQueuedCallIsNotWrittenOnceItMustNotBegin(t *testing.T) {
+// A queued call must not be written if it may no longer start. Its status NotSent says that it never ran.
+func TestQueuedCallIsNotWrittenOnceItMustNotStart(t *testing.T) {
 	abandoned := false
 	for name, test := range map[string]struct {
 		attempt Attempt
@@ -37,8 +37,8 @@
 	}
 }
 
-// A load order that has waited too long for its connection would count against a later window of the load budget, or come to
-// a worker that may drain by now.
+// A load order that is written too late counts against a later window of the load budget, or reaches a worker that may be
+// draining by then.
 func TestLoadOrderIsRejectedAfterItsStartByOrLease(t *testing.T) {
 	past, later := time.Now().Add(-time.Millisecond), time.Now().Add(time.Hour)
 	for _, order := range []LoadOrder{{StartBy: past, LeaseEnd: later}, {StartBy: later, LeaseEnd: past}} {
@@ -51,7 +51,7 @@
 	}
 }
 
-// A call of which not all was written never ran: it goes to another connection, and no attempt is lost.
+// A call that was written only in part never ran. It must move to another connection, so that no attempt is lost.
 func TestPartiallyWrittenCallMovesToAnotherConnection(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	_, results := f.call(Attempt{ID: 7})
@@ -65,8 +65,8 @@
 	assert.Empty(t, results)
 }
 
-// The reader meets the end of a connection while the writer is in the middle of a frame. Only the writer can tell how far
-// it came: if in part, the call goes elsewhere; if whole, it may have run.
+// The reader detects the end of the connection while the writer is writing a frame. Only the writer knows how much was
+// written: a call written in part moves to another connection, a call written completely may have run and ends as Reset.
 func TestConnectionEndLeavesRequestBeingWrittenToItsWriter(t *testing.T) {
 	t.Run("written in part", func(t *testing.T) {
 		f := newPoolFixture(t, time.Minute)
@@ -75,25 +75,26 @@
 		require.NoError(t, err)
 		assert.Equal(t, uint64(7), moved.id)
 	})
-	t.Run("written whole", func(t *testing.T) {
+	t.Run("written completely", func(t *testing.T) {
 		results := newPoolFixture(t, time.Minute).endDuringWrite(func(*PendingRequest) {}, nil)
 		require.Len(t, results, 1)
 		assert.Equal(t, balancer.Reset, (<-results).Status)
 	})
 }
 
-// The same while the call is cancelled: it ends once and goes nowhere else.
+// A call is cancelled while its frame is being written, after the reader has detected the end of the connection. The call
+// must have no result and must not move to another connection.
 func TestRequestCancelledDuringPartialWriteIsNotMoved(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	results := f.endDuringWrite(func(request *PendingRequest) {
-		assert.True(t, f.pool.Cancel(request), "some of it was written")
+		assert.True(t, f.pool.Cancel(request), "part of the call was written")
 	}, io.ErrClosedPipe)
 	assert.Empty(t, results)
 	assert.Empty(t, f.pool.conns)
 }
 
-// Where calls are cancelled after 150 ms, none of them is in flight for as long as silenceLimit. Still, connections to a
-// machine that was cut off must not stay in use.
+// If each call is cancelled after 150 ms, none is in flight for as long as silenceLimit. Connections to a machine that was
+// cut off must become stale all the same.
 func TestConsecutiveShortCallsMarkSilentConnectionStale(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	callAndCancel := func(id uint64) {
@@ -105,7 +106,7 @@
 		}
 	}
 	callAndCancel(1)
-	assert.Equal(t, connReady, f.conn.state, "one short call says little")
+	assert.Equal(t, connReady, f.conn.state, "one short call is not enough to mark the connection as stale")
 	f.conn.unansweredSince = f.conn.unansweredSince.Add(-silenceLimit)
 	callAndCancel(2)
 	assert.Equal(t, connStale, f.conn.state)
@@ -113,11 +114,12 @@
 	f.accept("the next call avoids the silent connection")
 }
 
-// A worker that was lost with its machine never closed its connections. An update that tells of its restart ends their use.
+// A worker that was lost with its machine never closed its connections. Once an update reports the restart of the worker,
+// the connections from before it must not be used.
 func TestConnectionsFromBeforeARestartAreNotUsed(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	f.pool.MarkReady(f.conn.createdAt.Add(-time.Second))
-	assert.Len(t, f.pool.conns, 1, "it was created after that start")
+	assert.Len(t, f.pool.conns, 1, "the connection was created after the worker started")
 	f.pool.MarkReady(f.conn.createdAt.Add(time.Second))
 	require.Empty(t, f.pool.conns)
 	<-f.netConn.closed
@@ -125,8 +127,8 @@
 	f.accept("the call needs a new connection")
 }
 
-// The periodic check that closes idle connections may be late. The worker then closes its end just as a call is written,
-// which may have run.
+// The periodic check that closes idle connections may be late. The worker may then close its end while a call is being
+// written, and that call may have run.
 func TestConnectionIdleTooLongIsNotPicked(t *testing.T) {
 	f := newPoolFixture(t, time.Second)
 	f.conn.lastUsed = time.Now().Add(-900 * time.Millisecond)
@@ -135,8 +137,8 @@
 	assert.Empty(t, f.conn.writeQueue)
 }
 
-// An answer could not be told from that to the other call with the same id.
-func TestIDInFlightIsNotSharedOnAConnection(t *testing.T) {
+// Two calls with the same id must not be in flight on one connection, since their answers could not be told apart.
+func TestDuplicateIDInFlightUsesAnotherConnection(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	f.pool.config.BreakRate = NewBreakRate(1) // requests share connections
 	f.call(Attempt{ID: 1})
@@ -146,7 +148,7 @@
 	f.accept("the second call with the id needs a new connection")
 }
 
-// An answer may come just as its call is cancelled.
+// The answer to a call may come just after the call was cancelled, and must be ignored.
 func TestCancelledRequestHasNoResult(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	request, results := f.call(Attempt{ID: 1})
@@ -164,7 +166,7 @@
 	assert.Equal(t, balancer.ConnectFailed, (<-results).Status)
 }
 
-// Where the worker answers on another connection, only the silent one is lost.
+// If the worker answers on another connection, only the silent connection becomes stale.
 func TestSilenceOfOneConnectionLeavesOthersInUse(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	request, _ := f.call(Attempt{ID: 1})
@@ -175,17 +177,17 @@
 
 	request.writtenAt = time.Now().Add(-2 * silenceLimit)
 	f.conn.unansweredSince = request.writtenAt
-	other.noteAnswer(2, &Result{Status: balancer.OK}, time.Now())
+	other.recordAnswer(2, &Result{Status: balancer.OK}, time.Now())
 	f.pool.Cancel(request)
 	assert.Equal(t, connStale, f.conn.state)
 	assert.NotEqual(t, connStale, other.state)
 }
 
-func TestClosedConnectionCountsNoMoreAgainstTheLimit(t *testing.T) {
+func TestClosedConnectionReleasesItsDescriptorOnce(t *testing.T) {
 	f := newPoolFixture(t, time.Minute)
 	share := f.pool.config.ConnLimit.share
 	require.Equal(t, 1, share.InUse())
 	f.conn.end(io.EOF, nil)
-	f.conn.end(io.EOF, nil) // the writer and the reader may both meet the end
+	f.conn.end(io.EOF, nil) // both the writer and the reader may end the connection
 	assert.Zero(t, share.InUse())
 }
--- a/internal/worker/connlimit.go
+++ b/internal/worker/connlimit.go
@@ -10,36 +10,37 @@
 	"kitefall/internal/descriptors"
 )
 
-// roomRetryInterval is how often a connection that waits for its descriptor looks again for an idle one to close.
-const roomRetryInterval = 20 * time.Millisecond
+// evictRetryInterval is how often a connection that waits for a descriptor tries again to close an idle connection.
+const evictRetryInterval = 20 * time.Millisecond
 
-// ConnLimit bounds the connections of all pools together by a share of descriptors. The first connection to a worker may take
-// the place of an idle one, at whatever worker, or waits until there is room; further ones are made only while there is. It is
-// safe for concurrent use.
+// ConnLimit limits the connections of all pools together to a share of descriptors. If no descriptor is free, the first
+// connection to a worker has an idle connection to any worker closed, or waits for a descriptor. Further connections to the
+// same worker are opened only while descriptors are free. A ConnLimit is safe for concurrent use.
 //
-// Locks are taken in this order: the mutex of a pool, that of the limit.
+// Lock order: the mutex of a pool is locked before that of the limit.
 type ConnLimit struct {
 	share   *descriptors.Share
-	waiting atomic.Int64 // length of waiters
+	waiting atomic.Int64 // length of waiters, readable without the mutex
 
 	mu      sync.Mutex
-	holders map[*conn]bool // the connections that hold a descriptor
-	waiters *list.List     // of *waiter, first come first served
+	holders map[*conn]bool // connections that hold a descriptor
+	waiters *list.List     // of *waiter, in the order in which they are served
 }
 
-// waiter is a connection that waits for its descriptor.
+// waiter is a connection that waits for a descriptor.
 type waiter struct {
 	conn    *conn
-	since   time.Time
-	granted chan struct{} // closed once it has it
+	since   time.Time     // when the wait began
+	granted chan struct{} // closed once the connection holds a descriptor
 }
 
-// NewConnLimit returns a limit by a share that only the pools take from.
+// NewConnLimit returns a limit backed by share. Only the pools that use the limit may take descriptors from share.
 func NewConnLimit(share *descriptors.Share) *ConnLimit {
 	return &ConnLimit{share: share, holders: map[*conn]bool{}, waiters: list.New()}
 }
 
-// tryAcquire takes a descriptor for a connection and reports whether there was one left that nobody waits for.
+// tryAcquire acquires a descriptor for a connection without waiting. It returns false if none is free or if other connections
+// already wait for one.
 func (l *ConnLimit) tryAcquire(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,47 +51,47 @@
 	return true
 }
 
-// hasRoom reports whether a descriptor is likely to be granted at once.
-func (l *ConnLimit) hasRoom() bool { return !l.wanted() && l.share.HasRoom() }
+// hasCapacity reports whether tryAcquire would currently succeed. Another pool may take the descriptor at any moment.
+func (l *ConnLimit) hasCapacity() bool { return !l.hasWaiters() && l.share.HasRoom() }
 
-// acquire takes a descriptor for a connection. It has an idle connection closed if none is left, and waits until the deadline,
-// or until c is closed. It must not be called with a pool's mutex held.
+// acquire acquires a descriptor for c. If none is free, it closes an idle connection and waits until a descriptor is granted,
+// the deadline passes or c is closed. It must not be called with a pool's mutex held.
 func (l *ConnLimit) acquire(c *conn, deadline time.Time) error {
 	if l.tryAcquire(c) {
 		return nil
 	}
 	w := &waiter{conn: c, since: time.Now(), granted: make(chan struct{})}
 	l.mu.Lock()
-	place := l.waiters.PushBack(w)
+	element := l.waiters.PushBack(w)
 	l.waiting.Add(1)
 	l.mu.Unlock()
-	retry := time.NewTicker(roomRetryInterval)
+	retry := time.NewTicker(evictRetryInterval)
 	defer retry.Stop()
 	for time.Now().Before(deadline) {
-		l.makeRoom()
+		l.evictIdle()
 		select {
 		case <-w.granted:
 			return nil
 		case <-retry.C:
 		case <-c.closed:
-			l.giveUp(place)
+			l.removeWaiter(element)
 			return errPoolClosed
 		}
 	}
-	if l.giveUp(place) {
+	if l.removeWaiter(element) {
 		return descriptors.ErrNone
 	}
 	return nil
 }
 
-// giveUp takes a waiter out of the queue and reports whether it was there: else it has its descriptor. One that is closed
-// gives that back.
-func (l *ConnLimit) giveUp(place *list.Element) bool {
-	w := place.Value.(*waiter)
+// removeWaiter removes a waiter from the queue. It returns false if the waiter was no longer in the queue because it had been
+// granted a descriptor. If the waiter's connection is closed, that descriptor is released.
+func (l *ConnLimit) removeWaiter(element *list.Element) bool {
+	w := element.Value.(*waiter)
 	l.mu.Lock()
 	granted := l.holders[w.conn]
 	if !granted {
-		l.waiters.Remove(place)
+		l.waiters.Remove(element)
 		l.waiting.Add(-1)
 	}
 	l.mu.Unlock()
@@ -100,8 +101,8 @@
 	return !granted
 }
 
-// release gives back the descriptor of a connection, which must be closed by now, or hands it to the first that waits. It has
-// no effect for a connection without one.
+// release releases the descriptor of a connection whose socket is closed or was never opened. The descriptor goes to the first
+// waiter, if there is one, else back to the share. For a connection that holds no descriptor, release has no effect.
 func (l *ConnLimit) release(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,5 +121,5 @@
 	close(w.granted)
 }
 
-// wanted reports whether a connection waits for its descriptor.
-func (l *ConnLimit) wanted() bool { return l.waiting.Load() > 0 }
+// hasWaiters reports whether any connection waits for a descriptor.
+func (l *ConnLimit) hasWaiters() bool { return l.waiting.Load() > 0 }
--- a/internal/worker/connlimit_test.go
+++ b/internal/worker/connlimit_test.go
@@ -16,8 +16,8 @@
 	"kitefall/internal/worker"
 )
 
-// poolsOf returns a pool for each worker, all of which share so many descriptors.
-func poolsOf(t *testing.T, share *descriptors.Share, workers ...*fakes.Worker) []*worker.Pool {
+// newPools returns a pool for each worker. All pools take their descriptors from share.
+func newPools(t *testing.T, share *descriptors.Share, workers ...*fakes.Worker) []*worker.Pool {
 	t.Helper()
 	config := fakes.PoolConfig()
 	config.ConnLimit = worker.NewConnLimit(share)
@@ -30,8 +30,8 @@
 	return pools
 }
 
-// serveAll has workers answer all calls.
-func serveAll(t *testing.T, count int) []*fakes.Worker {
+// newServingWorkers starts count workers that answer all calls.
+func newServingWorkers(t *testing.T, count int) []*fakes.Worker {
 	t.Helper()
 	var workers []*fakes.Worker
 	for range count {
@@ -42,24 +42,24 @@
 	return workers
 }
 
-// However many workers there are, the connections to all of them keep to their share, and each worker is reached: the one
-// that was idle longest makes room.
-func TestConnectionsToManyWorkersKeepToTheirShare(t *testing.T) {
-	const share, workers, rounds = 3, 12, 3
-	connections := descriptors.NewShare(share)
-	pools := poolsOf(t, connections, serveAll(t, workers)...)
+// With more workers than descriptors, the connections must stay within their share and each worker must be reached: the
+// connection that has been idle longest is evicted.
+func TestConnectionsToManyWorkersStayWithinTheirShare(t *testing.T) {
+	const limit, workers, rounds = 3, 12, 3
+	share := descriptors.NewShare(limit)
+	pools := newPools(t, share, newServingWorkers(t, workers)...)
 	for id := range uint64(workers * rounds) {
 		_, results := call(t, pools[id%workers], id+1, fakes.Deadline())
 		assert.Equal(t, balancer.OK, fakes.Receive(t, results).Status)
-		assert.LessOrEqual(t, connections.InUse(), share)
+		assert.LessOrEqual(t, share.InUse(), limit)
 	}
 }
 
-// The same with all workers called at a time: calls wait until a connection is idle.
+// With more workers than descriptors and all workers called at the same time, calls must wait until a connection is idle.
 func TestCallsWaitForADescriptor(t *testing.T) {
-	const share, workers = 4, 40
-	connections := descriptors.NewShare(share)
-	pools := poolsOf(t, connections, serveAll(t, workers)...)
+	const limit, workers = 4, 40
+	share := descriptors.NewShare(limit)
+	pools := newPools(t, share, newServingWorkers(t, workers)...)
 	var calls sync.WaitGroup
 	for i, pool := range pools {
 		calls.Go(func() {
@@ -68,29 +68,30 @@
 		})
 	}
 	calls.Wait()
-	assert.LessOrEqual(t, connections.InUse(), share)
+	assert.LessOrEqual(t, share.InUse(), limit)
 }
 
-// Where every connection is in use for longer than a dial may take, the call was not sent, and its worker is not to blame.
-func TestShortageIsNotBlamedOnTheWorker(t *testing.T) {
+// If all descriptors are in use for longer than DialTimeout, a waiting call must end as NotSent, which does not count against
+// its worker.
+func TestShortageDoesNotCountAgainstTheWorker(t *testing.T) {
 	busy, other := fakes.NewWorker(t), fakes.NewWorker(t)
-	pools := poolsOf(t, descriptors.NewShare(1), busy, other)
+	pools := newPools(t, descriptors.NewShare(1), busy, other)
 	_, first := call(t, pools[0], 1, fakes.Deadline())
 	received := busy.Next()
-	_, short := call(t, pools[1], 2, fakes.Deadline())
-	assert.Equal(t, balancer.NotSent, fakes.Receive(t, short).Status)
+	_, notSent := call(t, pools[1], 2, fakes.Deadline())
+	assert.Equal(t, balancer.NotSent, fakes.Receive(t, notSent).Status)
 	_, waiting := call(t, pools[1], 3, fakes.Deadline())
 	received.OK("")
 	assert.Equal(t, balancer.OK, fakes.Receive(t, first).Status)
 	other.Next().OK("")
-	assert.Equal(t, balancer.OK, fakes.Receive(t, waiting).Status, "it has the place of the first")
+	assert.Equal(t, balancer.OK, fakes.Receive(t, waiting).Status, "the descriptor of the first connection is reused")
 }
 
-// A pool that is closed while its connection waits for a descriptor takes none.
+// A pool that is closed while its connection waits for a descriptor must not hold one afterwards.
 func TestClosedPoolTakesNoDescriptor(t *testing.T) {
 	busy, other := fakes.NewWorker(t), fakes.NewWorker(t)
-	connections := descriptors.NewShare(1)
-	pools := poolsOf(t, connections, busy, other)
+	share := descriptors.NewShare(1)
+	pools := newPools(t, share, busy, other)
 	_, first := call(t, pools[0], 1, fakes.Deadline())
 	received := busy.Next()
 	_, results := call(t, pools[1], 2, fakes.Deadline())
@@ -99,20 +100,20 @@
 	received.OK("")
 	assert.Equal(t, balancer.OK, fakes.Receive(t, first).Status)
 	pools[0].Close()
-	require.Eventually(t, func() bool { return connections.InUse() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return share.InUse() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// Workers that are called once do not push out the connections to those that are called again and again: only a connection
-// that outlasts a silence of discovery lets calls prove that its worker is still ready (incident 3).
-func TestReusedConnectionsOutlastOthers(t *testing.T) {
-	const share, regular, others = 8, 5, 30
+// Single calls to many workers must not evict the connections to workers that are called repeatedly. While discovery is
+// silent, calls can prove that a worker is still ready only over a connection that was kept throughout (incident 3).
+func TestReusedConnectionsAreNotEvictedBySingleCalls(t *testing.T) {
+	const limit, regular, others = 8, 5, 30
 	var workers []*fakes.Worker
 	for range regular + others {
 		w := fakes.NewWorker(t)
 		w.Serve(func(c *fakes.Call) { c.OK(c.From()) })
 		workers = append(workers, w)
 	}
-	pools := poolsOf(t, descriptors.NewShare(share), workers...)
+	pools := newPools(t, descriptors.NewShare(limit), workers...)
 	id := uint64(0)
 	connectionOf := func(pool *worker.Pool) string {
 		id++
@@ -132,8 +133,8 @@
 	}
 }
 
-// callWithoutPause sends a call to a worker as soon as the one before has ended, until stop is called.
-func callWithoutPause(t *testing.T, pool *worker.Pool) (stop func()) {
+// callContinuously sends calls through a pool, each as soon as the previous one has ended, until stop is called.
+func callContinuously(t *testing.T, pool *worker.Pool) (stop func()) {
 	t.Helper()
 	stopped := make(chan struct{})
 	var callNext func(id uint64)
@@ -150,22 +151,22 @@
 	return func() { close(stopped) }
 }
 
-// A connection that waits is not held off by one that is reused without a pause: that one goes to the next request only after
-// the first that waits, once this has waited for a while.
-func TestReusedConnectionMakesRoomForOneThatWaits(t *testing.T) {
+// A reused connection that is never idle for long must not starve a waiting connection. Once the first waiter has waited for
+// evictRetryInterval, the reused connection must be evicted between two of its requests.
+func TestContinuouslyUsedConnectionIsEvictedForAWaiter(t *testing.T) {
 	regular, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	held := []*fakes.Worker{fakes.NewWorker(t), fakes.NewWorker(t)}
-	pools := poolsOf(t, descriptors.NewShare(3), append(held, regular, other)...)
+	pools := newPools(t, descriptors.NewShare(3), append(held, regular, other)...)
 	for i, w := range held {
 		call(t, pools[i], uint64(i+1), fakes.Deadline())
-		w.Next() // not answered: the connection stays in use
+		w.Next() // left unanswered, so that the connection stays in use
 	}
 	other.Serve(func(c *fakes.Call) { c.OK("") })
 	regular.Serve(func(c *fakes.Call) {
 		time.Sleep(2 * time.Millisecond)
 		c.OK("")
 	})
-	stop := callWithoutPause(t, pools[2])
+	stop := callContinuously(t, pools[2])
 	time.Sleep(20 * time.Millisecond)
 	_, waiting := call(t, pools[3], 3, fakes.Deadline())
 	assert.Equal(t, balancer.OK, fakes.Receive(t, waiting).Status)
--- a/internal/worker/connread.go
+++ b/internal/worker/connread.go
@@ -7,13 +7,13 @@
 	"kitefall/internal/balancer"
 )
 
-// answerReadTimeout is how long an answer may take from its first byte to its last. One that stops short would hold back
-// all others on its connection until the deadline of each call.
+// answerReadTimeout is how long an answer may take from its first byte to its last. Without the limit, an incomplete answer
+// would block all other answers on its connection until the deadlines of their calls.
 const answerReadTimeout = 250 * time.Millisecond
 
 const readBufferSize = 4096 // bytes
 
-// readLoop handles answers until the connection ends.
+// readLoop reads and handles answers until the connection ends.
 func (c *conn) readLoop() {
 	reader := bufio.NewReaderSize(c.netConn, readBufferSize)
 	for {
@@ -28,7 +28,7 @@
 	}
 }
 
-// readAnswer waits for an answer, without a limit, and reads it, within answerReadTimeout.
+// readAnswer waits without a time limit for the first byte of an answer, and then reads the answer within answerReadTimeout.
 func (c *conn) readAnswer(reader *bufio.Reader) (frame, error) {
 	if _, err := reader.Peek(1); err != nil {
 		return frame{}, err
@@ -42,11 +42,11 @@
 	return answer, nil
 }
 
-// handleAnswer finishes the request that was answered. An answer to no request in flight is dropped: it is late, a second
-// copy, or was never asked for. An error means that the connection cannot be used any more.
+// handleAnswer finishes the request that an answer belongs to. An answer whose id belongs to no request in flight is dropped: it
+// is late, a duplicate or unsolicited. If handleAnswer returns an error, the connection must not be used any more.
 func (c *conn) handleAnswer(answer frame) error {
 	result, err := answer.result()
-	request := c.noteAnswer(answer.id, &result, time.Now())
+	request := c.recordAnswer(answer.id, &result, time.Now())
 	if err != nil {
 		return err
 	}
@@ -56,17 +56,17 @@
 	return nil
 }
 
-// noteAnswer notes that the worker has answered. It returns the request in flight under the id, or nil, and completes its
-// result.
-func (c *conn) noteAnswer(id uint64, result *Result, now time.Time) *PendingRequest {
+// recordAnswer records that an answer with the id came. It returns the request in flight with the id, or nil if there is none,
+// and sets the times of that request in result.
+func (c *conn) recordAnswer(id uint64, result *Result, now time.Time) *PendingRequest {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.lastAnswer = now
 	c.lastUsed = now
-	c.answers++
+	c.answerCount++
 	c.unansweredSince = time.Time{}
 	request := c.inFlight[id]
-	if request != nil && result.Status != balancer.OK { // the call may be tried here again, and this answer be repeated
+	if request != nil && result.Status != balancer.OK { // a retry may use the id here, and a duplicate of this answer may come
 		c.endedIDs[id] = now
 	}
 	if request != nil {
--- a/internal/worker/connroom.go
+++ b/internal/worker/connroom.go
@@ -7,104 +7,109 @@
 )
 
 const (
-	reusedAnswers  = 2    // answers from which on a connection counts as reused
-	maxReusedShare = 0.75 // of the descriptors, beyond which reused connections make room like others
+	minReusedAnswers  = 2    // number of answers from which a connection counts as reused
+	maxReusedFraction = 0.75 // fraction of the held descriptors above which reused connections are evicted first
 )
 
-// connUse is how a connection is used.
-type connUse struct {
+// connUsage holds the facts about a connection that eviction depends on.
+type connUsage struct {
 	idle     bool
-	reused   bool // it has served more than one request
-	lastUsed time.Time
+	reused   bool      // more than one answer has come on the connection
+	lastUsed time.Time // when a write last began or an answer last came
 }
 
-// makeRoom closes an idle connection, if there is one, where another waits for its descriptor. What is on its way to a
-// connection keeps it from being idle, so nothing is lost.
+// evictIdle closes an idle connection, if there is one, so that a waiting connection gets its descriptor. A connection with
+// queued requests is not idle, so no request is lost.
 //
-// The choice is that of a segmented LRU cache: calls that pass by many workers once do not push out the connections to the
-// workers that serve. Of the connections that were not reused the one that has been idle longest is closed. A reused one is
-// closed only if these hold most of the descriptors, or if a connection has waited in vain for one of the others.
-func (l *ConnLimit) makeRoom() {
+// The choice follows a segmented LRU cache, so that single calls to many workers do not evict the connections to the workers
+// that are called repeatedly. Among the connections that were not reused, the one that has been idle longest is closed. A
+// reused connection is closed only if reused ones hold more than maxReusedFraction of the held descriptors, or if no other is
+// idle and a connection has already waited for evictRetryInterval.
+func (l *ConnLimit) evictIdle() {
 	l.mu.Lock()
 	holders := slices.Collect(maps.Keys(l.holders))
 	l.mu.Unlock()
-	var once, reused longestIdle
+	var usedOnce, reused longestIdle
 	reusedCount := 0
 	for _, c := range holders {
-		use := c.use()
-		if use.reused {
+		usage := c.usage()
+		if usage.reused {
 			reusedCount++
-			reused.note(c, use)
+			reused.consider(c, usage)
 		} else {
-			once.note(c, use)
+			usedOnce.consider(c, usage)
 		}
 	}
 	switch {
-	case float64(reusedCount) > maxReusedShare*float64(len(holders)):
+	case float64(reusedCount) > maxReusedFraction*float64(len(holders)):
 		reused.close()
-	case once.conn != nil:
-		once.close()
-	case l.overdue():
+	case usedOnce.conn != nil:
+		usedOnce.close()
+	case l.waitOverdue():
 		reused.close()
 	}
 }
 
-// wants reports whether a connection that has become idle is to be closed for another at once.
-func (l *ConnLimit) wants(reused bool) bool { return l.wanted() && (!reused || l.overdue()) }
+// shouldEvict reports whether a connection that becomes idle is to be closed at once to free its descriptor for a waiter. A
+// reused connection is kept until the first waiter has waited for evictRetryInterval.
+func (l *ConnLimit) shouldEvict(reused bool) bool {
+	return l.hasWaiters() && (!reused || l.waitOverdue())
+}
 
-// overdue reports whether a connection has waited for its descriptor for as long as others may keep theirs for being reused.
-func (l *ConnLimit) overdue() bool {
+// waitOverdue reports whether the first waiter has waited for at least evictRetryInterval, after which reused connections are
+// evicted too.
+func (l *ConnLimit) waitOverdue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := l.waiters.Front()
-	return first != nil && time.Since(first.Value.(*waiter).since) >= roomRetryInterval
+	return first != nil && time.Since(first.Value.(*waiter).since) >= evictRetryInterval
 }
 
-// longestIdle finds the connection that has been idle longest.
+// longestIdle finds the connection that has been idle longest among those passed to consider.
 type longestIdle struct {
-	conn     *conn // nil: none is idle
+	conn     *conn // nil: no idle connection was found
 	lastUsed time.Time
 }
 
-// note takes a connection into account.
-func (i *longestIdle) note(c *conn, use connUse) {
-	if use.idle && (i.conn == nil || use.lastUsed.Before(i.lastUsed)) {
-		i.conn, i.lastUsed = c, use.lastUsed
+// consider keeps the connection if it is idle and has been so for longer than the one kept before.
+func (i *longestIdle) consider(c *conn, usage connUsage) {
+	if usage.idle && (i.conn == nil || usage.lastUsed.Before(i.lastUsed)) {
+		i.conn, i.lastUsed = c, usage.lastUsed
 	}
 }
 
-// close closes the connection, if there is one and it is still idle.
+// close closes the connection that was found, if there is one and it is still idle.
 func (i *longestIdle) close() {
 	if i.conn != nil {
-		i.conn.closeForRoom()
+		i.conn.evictIfIdle()
 	}
 }
 
-// reusedLocked reports whether the connection has served more than one request.
-func (c *conn) reusedLocked() bool { return c.answers >= reusedAnswers }
+// reusedLocked reports whether at least minReusedAnswers answers have come on the connection.
+func (c *conn) reusedLocked() bool { return c.answerCount >= minReusedAnswers }
 
-// use returns how the connection is used.
-func (c *conn) use() connUse {
+// usage returns the current usage of the connection.
+func (c *conn) usage() connUsage {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	return connUse{idle: c.mayMakeRoomLocked(), reused: c.reusedLocked(), lastUsed: c.lastUsed}
+	return connUsage{idle: c.evictableLocked(), reused: c.reusedLocked(), lastUsed: c.lastUsed}
 }
 
-// mayMakeRoomLocked reports whether the connection may be closed to give its descriptor to another.
-func (c *conn) mayMakeRoomLocked() bool {
+// evictableLocked reports whether the connection is established and idle, so that it may be closed to free its descriptor.
+func (c *conn) evictableLocked() bool {
 	return c.netConn != nil && c.state != connClosed && c.idleLocked()
 }
 
-// closeForRoom closes the connection if it is still idle.
-func (c *conn) closeForRoom() {
+// evictIfIdle closes the connection to free its descriptor, if the connection is still idle.
+func (c *conn) evictIfIdle() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	c.makeRoomLocked()
+	c.evictIfIdleLocked()
 }
 
-func (c *conn) makeRoomLocked() {
-	if c.mayMakeRoomLocked() {
-		closedForRoom.count()
+func (c *conn) evictIfIdleLocked() {
+	if c.evictableLocked() {
+		closedEvicted.count()
 		c.closeLocked()
 	}
 }
--- a/internal/worker/connroom_test.go
+++ b/internal/worker/connroom_test.go
@@ -10,30 +10,30 @@
 	"kitefall/internal/descriptors"
 )
 
-// roomFixture is connections that hold all descriptors, and one that waits.
-type roomFixture struct {
+// evictionFixture is a limit whose descriptors are all held by conns, with one more connection that waits for a descriptor.
+type evictionFixture struct {
 	limit *ConnLimit
 	pool  *Pool
 	conns []*conn
 }
 
-// holder describes a connection that holds a descriptor.
+// holder describes a connection that holds a descriptor. It is idle unless busy is set.
 type holder struct {
 	reused bool
 	busy   bool
 }
 
-func newRoomFixture(t *testing.T, waitsSince time.Duration, holders ...holder) *roomFixture {
+func newEvictionFixture(t *testing.T, waited time.Duration, holders ...holder) *evictionFixture {
 	t.Helper()
 	limit := NewConnLimit(descriptors.NewShare(len(holders)))
-	f := &roomFixture{limit: limit, pool: NewPool("s-1", "127.0.0.1:1", &Config{ConnLimit: limit, IdleTimeout: time.Minute, MaxStreams: 4})}
+	f := &evictionFixture{limit: limit, pool: NewPool("s-1", "127.0.0.1:1", &Config{ConnLimit: limit, IdleTimeout: time.Minute, MaxStreams: 4})}
 	begin := time.Now().Add(-time.Second)
 	for i, h := range holders {
-		c := newConn(f.pool, begin.Add(time.Duration(i)*time.Millisecond)) // the first is the one that has been idle longest
+		c := newConn(f.pool, begin.Add(time.Duration(i)*time.Millisecond)) // the first connection has been idle longest
 		c.netConn = newScriptedConn()
-		c.answers = 1
+		c.answerCount = 1
 		if h.reused {
-			c.answers = reusedAnswers
+			c.answerCount = minReusedAnswers
 		}
 		if h.busy {
 			c.inFlight[1] = &PendingRequest{id: 1, conn: c}
@@ -42,59 +42,60 @@
 		f.pool.conns = append(f.pool.conns, c)
 		f.conns = append(f.conns, c)
 	}
-	limit.waiters.PushBack(&waiter{conn: newConn(f.pool, begin), since: time.Now().Add(-waitsSince), granted: make(chan struct{})})
+	limit.waiters.PushBack(&waiter{conn: newConn(f.pool, begin), since: time.Now().Add(-waited), granted: make(chan struct{})})
 	limit.waiting.Add(1)
 	return f
 }
 
-// closed returns the numbers of the connections that are closed.
-func (f *roomFixture) closed() (numbers []int) {
+// closed returns the indexes in conns of the closed connections.
+func (f *evictionFixture) closed() (indexes []int) {
 	for i, c := range f.conns {
 		if c.state == connClosed {
-			numbers = append(numbers, i)
+			indexes = append(indexes, i)
 		}
 	}
-	return numbers
+	return indexes
 }
 
-func TestConnectionThatMakesRoom(t *testing.T) {
-	once, reused := holder{}, holder{reused: true}
-	busyOnce, busyReused := holder{busy: true}, holder{reused: true, busy: true}
-	const justNow, long = 0, roomRetryInterval
+func TestEvictIdle(t *testing.T) {
+	usedOnce, reused := holder{}, holder{reused: true}
+	busyUsedOnce, busyReused := holder{busy: true}, holder{reused: true, busy: true}
+	const justNow, long = 0, evictRetryInterval
 	for name, test := range map[string]struct {
 		holders []holder
-		waits   time.Duration
+		waited  time.Duration
 		closed  []int
 	}{
-		"idle longest of those not reused":       {[]holder{reused, busyOnce, once, once}, justNow, []int{2}},
-		"none but reused ones are idle":          {[]holder{reused, busyOnce, busyOnce}, justNow, nil},
-		"the same after a wait":                  {[]holder{reused, busyOnce, reused, busyOnce}, long, []int{0}},
-		"not reused, also after a wait":          {[]holder{reused, once}, long, []int{1}},
-		"reused ones hold most":                  {[]holder{busyReused, reused, reused, reused, once}, justNow, []int{1}},
-		"reused ones hold no more than they may": {[]holder{busyReused, reused, reused, once}, justNow, []int{3}},
-		"none is idle":                           {[]holder{busyReused, busyOnce}, long, nil},
+		"longest idle of those not reused":                {[]holder{reused, busyUsedOnce, usedOnce, usedOnce}, justNow, []int{2}},
+		"only reused ones are idle":                       {[]holder{reused, busyUsedOnce, busyUsedOnce}, justNow, nil},
+		"only reused ones are idle, after a long wait":    {[]holder{reused, busyUsedOnce, reused, busyUsedOnce}, long, []int{0}},
+		"not reused, also after a long wait":              {[]holder{reused, usedOnce}, long, []int{1}},
+		"reused ones hold more than maxReusedFraction":    {[]holder{busyReused, reused, reused, reused, usedOnce}, justNow, []int{1}},
+		"reused ones hold no more than maxReusedFraction": {[]holder{busyReused, reused, reused, usedOnce}, justNow, []int{3}},
+		"none is idle": {[]holder{busyReused, busyUsedOnce}, long, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newRoomFixture(t, test.waits, test.holders...)
-			f.limit.makeRoom()
+			f := newEvictionFixture(t, test.waited, test.holders...)
+			f.limit.evictIdle()
 			assert.Equal(t, test.closed, f.closed())
 		})
 	}
 }
 
-// A connection that has become idle makes room at once, but for one that is reused: that stays until somebody waits for long.
-func TestConnectionThatBecomesIdleMakesRoom(t *testing.T) {
+// A connection that becomes idle must be closed at once if another connection waits for a descriptor. A reused connection must
+// be kept until the other has waited for evictRetryInterval.
+func TestConnectionThatBecomesIdleIsEvicted(t *testing.T) {
 	for name, test := range map[string]struct {
 		holder holder
-		waits  time.Duration
+		waited time.Duration
 		closed []int
 	}{
-		"not reused":              {holder{busy: true}, 0, []int{0}},
-		"reused":                  {holder{reused: true, busy: true}, 0, nil},
-		"reused, after long wait": {holder{reused: true, busy: true}, roomRetryInterval, []int{0}},
+		"not reused":                {holder{busy: true}, 0, []int{0}},
+		"reused":                    {holder{reused: true, busy: true}, 0, nil},
+		"reused, after a long wait": {holder{reused: true, busy: true}, evictRetryInterval, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newRoomFixture(t, test.waits, test.holder)
+			f := newEvictionFixture(t, test.waited, test.holder)
 			f.conns[0].finish(f.conns[0].inFlight[1], Result{})
 			assert.Equal(t, test.closed, f.closed())
 		})
--- a/internal/worker/connwait_test.go
+++ b/internal/worker/connwait_test.go
@@ -10,22 +10,22 @@
 	"kitefall/internal/descriptors"
 )
 
-// A connection that is closed at the moment in which it is granted its descriptor gives it back.
-func TestConnectionClosedWhenGrantedGivesItsDescriptorBack(t *testing.T) {
+// A connection that is closed at the same time as it is granted a descriptor must release the descriptor.
+func TestConnectionClosedWhenGrantedReleasesItsDescriptor(t *testing.T) {
 	for range 200 {
 		share := descriptors.NewShare(1)
 		limit := NewConnLimit(share)
 		pool := NewPool("s-1", "127.0.0.1:1", &Config{ConnLimit: limit, MaxStreams: 1})
 		holder, waiting := newConn(pool, time.Now()), newConn(pool, time.Now())
 		require.True(t, limit.tryAcquire(holder))
-		ended := make(chan error)
-		go func() { ended <- limit.acquire(waiting, time.Now().Add(time.Minute)) }()
-		for !limit.wanted() {
+		acquired := make(chan error)
+		go func() { acquired <- limit.acquire(waiting, time.Now().Add(time.Minute)) }()
+		for !limit.hasWaiters() {
 			time.Sleep(time.Microsecond)
 		}
 		close(waiting.closed)
 		limit.release(holder)
-		if err := <-ended; err == nil { // it was granted first, and its dial would find it closed
+		if err := <-acquired; err == nil { // granted before the close was seen: its dial would release the descriptor
 			limit.release(waiting)
 		}
 		assert.Zero(t, share.InUse())
--- a/internal/worker/connwrite.go
+++ b/internal/worker/connwrite.go
@@ -9,7 +9,7 @@
 	"kitefall/internal/permit"
 )
 
-// writeLoop writes what is queued, and looks for idle connections of the pool, until the connection is closed.
+// writeLoop writes the queued requests and periodically checks for idle connections, until the connection is closed.
 func (c *conn) writeLoop() {
 	idleCheck := time.NewTicker(c.pool.config.idleCheckInterval())
 	defer idleCheck.Stop()
@@ -25,7 +25,8 @@
 	}
 }
 
-// checkIdle forgets old ids and closes idle connections of the pool.
+// checkIdle drops the ended ids that are older than idReuseDelay, and closes connections of the pool that are idle for too
+// long or no longer usable.
 func (c *conn) checkIdle(now time.Time) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -33,17 +34,17 @@
 	c.pool.closeIdleLocked(now)
 }
 
-// writeAction is what the writer does with a request that it takes from its queue.
+// writeAction is what the writer does with a request from its queue.
 type writeAction int
 
 const (
 	writeNothing writeAction = iota
 	writeRequest
 	writeCancel
-	rejectRefused // end the request, of which nothing was written
+	rejectRequest // end the request without writing any of it
 )
 
-// write carries out what is to be done with a request from the queue.
+// write handles a request from the queue: it writes the request or its cancellation, rejects the request or ignores it.
 func (c *conn) write(request *PendingRequest) {
 	now := time.Now()
 	switch c.beginWrite(request, now) {
@@ -51,19 +52,19 @@
 		c.writeFrame(request.encode(now), request.deadline, request)
 	case writeCancel:
 		c.writeFrame(request.encodeCancel(), request.deadline, nil)
-	case rejectRefused:
-		c.finish(request, request.notStarted())
+	case rejectRequest:
+		c.finish(request, request.notStartedResult())
 	}
 }
 
-// beginWrite chooses what to do with a request from the queue and notes a write that begins. This is the last moment
-// before the first byte: while the request waited, its time may have run out, its client have left, or an update have
-// come that its worker drains.
+// beginWrite chooses the action for a request from the queue and records the write that begins. The check is made directly
+// before the first byte is written, because its result may change while the request is queued: its time may run out, its
+// client may leave, or the worker may start to drain.
 func (c *conn) beginWrite(request *PendingRequest, now time.Time) writeAction {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	action := c.chooseWriteLocked(request, now)
-	if action == rejectRefused {
+	if action == rejectRequest {
 		return action
 	}
 	c.lastUsed = now
@@ -77,6 +78,7 @@
 	return action
 }
 
+// chooseWriteLocked returns the action for a request from the queue. If the request must no longer start, it counts the refusal.
 func (c *conn) chooseWriteLocked(request *PendingRequest, now time.Time) writeAction {
 	switch {
 	case c.state == connClosed:
@@ -86,15 +88,16 @@
 	case request.state == requestEnded:
 		return writeCancel
 	}
-	if reason := request.permit(c.pool.state, now); reason != permit.Allowed {
+	if reason := request.checkStart(c.pool.state, now); reason != permit.Allowed {
 		metrics.Refusals.Add(reason.String())
-		return rejectRefused
+		return rejectRequest
 	}
 	return writeRequest
 }
 
-// writeFrame writes an encoded frame; request is the one that it starts, nil for a cancellation. If the write fails, or
-// the reader met the end of the connection meanwhile and left the request to its writer, it ends the connection.
+// writeFrame writes an encoded frame. request is the request that the frame starts, or nil for a cancellation. writeFrame ends
+// the connection if the write fails, or if the connection was closed during the write: the reader then left the request to the
+// writer.
 func (c *conn) writeFrame(data []byte, deadline time.Time, request *PendingRequest) {
 	c.netConn.SetWriteDeadline(deadline.Add(c.pool.config.DialTimeout))
 	failpoint.Hit("frame-before-write")
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -15,11 +15,11 @@
 
 const testFunction = "7f3a9c21e0b4d655"
 
-// scriptedConn is a network connection whose writes the test carries out: each waits until the test tells how it ends.
+// scriptedConn is a network connection whose writes are controlled by the test: each blocks until the test sends its result.
 type scriptedConn struct {
 	net.Conn
-	writes    chan []byte // the data of each write that has begun
-	results   chan error  // how each write ends; nil: all was written, else half of it
+	writes    chan []byte // receives the data of each write when the write begins
+	results   chan error  // result of each write; nil: all data is written, else half of it and the error returned
 	closeOnce sync.Once
 	closed    chan struct{}
 }
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// poolFixture is a pool with one scripted connection, which has no goroutines: the test runs its writer step by step.
-// Further connections of the pool go to listener.
+// poolFixture is a pool with one scripted connection that has no goroutines, so that the test runs its writer step by step.
+// Further connections that the pool opens lead to listener.
 type poolFixture struct {
 	t        *testing.T
 	pool     *Pool
@@ -72,7 +72,7 @@
 	return &poolFixture{t: t, pool: pool, netConn: netConn, conn: c, listener: listener}
 }
 
-// call queues an attempt and returns it with the channel of its result.
+// call queues an attempt and returns its request and the channel that receives the result.
 func (f *poolFixture) call(attempt Attempt) (*PendingRequest, chan Result) {
 	f.t.Helper()
 	results := make(chan Result, 2)
@@ -88,27 +88,27 @@
 	return request, results
 }
 
-// writeNext has the writer take the next request from its queue, and has the write, if there is one, end with err.
+// writeNext runs the writer for the next request in its queue. If the request is written, the write ends with err.
 func (f *poolFixture) writeNext(err error) {
 	f.netConn.results <- err
 	f.conn.write(<-f.conn.writeQueue)
 }
 
-// requireNextNotWritten has the writer take the next request from its queue, nothing of which may be written, and returns
-// its result.
+// requireNextNotWritten runs the writer for the next request in its queue, checks that nothing is written, and returns the
+// request's result.
 func (f *poolFixture) requireNextNotWritten(results chan Result) Result {
 	f.t.Helper()
 	f.writeNext(nil)
 	select {
 	case data := <-f.netConn.writes:
-		assert.Fail(f.t, "written", "%q", data)
+		assert.Fail(f.t, "the request was written", "%q", data)
 	default:
 	}
 	require.Len(f.t, results, 1)
 	return <-results
 }
 
-// accept returns the next connection that the pool opens.
+// accept returns the next connection that the pool opens. The message says why the pool must open one.
 func (f *poolFixture) accept(message string) net.Conn {
 	f.t.Helper()
 	accepted, err := f.listener.Accept()
@@ -117,8 +117,8 @@
 	return accepted
 }
 
-// endDuringWrite has the reader meet the end of the connection while a call's frame is being written, calls beforeWriteEnds
-// and has the write end with writeErr. It returns the channel of the call's result.
+// endDuringWrite ends the connection, as its reader would, while the frame of a call is being written. It then calls
+// beforeWriteEnds and lets the write end with writeErr. It returns the channel of the call's result.
 func (f *poolFixture) endDuringWrite(beforeWriteEnds func(*PendingRequest), writeErr error) chan Result {
 	f.t.Helper()
 	request, results := f.call(Attempt{ID: 7})
--- a/internal/worker/frame.go
+++ b/internal/worker/frame.go
@@ -14,34 +14,34 @@
 	"kitefall/internal/balancer"
 )
 
-// Values of a frame's first byte, which names its sender (source: worker protocol).
+// Values of the first byte of a frame, which identifies the sender (source: worker protocol).
 const (
 	markCommand byte = 192 // from the dispatcher
 	markAnswer  byte = 193 // from the worker
 )
 
-// frameCode is a frame's second byte: the command, or how it ended (source: worker protocol).
+// frameCode is the second byte of a frame: the kind of command, or the outcome in an answer (source: worker protocol).
 type frameCode byte
 
-// Commands.
+// Codes of commands.
 const (
 	codeCall   frameCode = 48
-	codeCancel frameCode = 49 // has no answer
+	codeCancel frameCode = 49 // the worker sends no answer
 	codeLoad   frameCode = 52
-	codeUnload frameCode = 54 // has no answer
+	codeUnload frameCode = 54 // the worker sends no answer
 )
 
-// Answers.
+// Codes of answers.
 const (
 	codeOK       frameCode = 64
 	codeMiss     frameCode = 66
 	codeRejected frameCode = 67
 	codeFailed   frameCode = 68
-	codeNotRun   frameCode = 69 // the call was over before it began
-	codePong     frameCode = 70 // tells that the connection works, and nothing of a request
+	codeNotRun   frameCode = 69 // the call ended before the worker started it
+	codePong     frameCode = 70 // shows that the connection works; ends no request
 )
 
-// Names of a frame's fields (source: worker protocol).
+// Names of the fields of frames (source: worker protocol).
 const (
 	fieldClass      = "profile"
 	fieldFunction   = "thing"
@@ -57,10 +57,10 @@
 	maxAnswerBody = 1 << 20 // bytes
 )
 
-// errBadFrame is wrapped by the errors for answers that break the worker protocol.
+// errBadFrame is wrapped by the errors for answers that violate the worker protocol.
 var errBadFrame = errors.New("bad frame")
 
-// statusOfCode translates the codes of answers.
+// statusOfCode maps the code of an answer to the status of the request.
 var statusOfCode = map[frameCode]balancer.Status{
 	codeOK:       balancer.OK,
 	codeMiss:     balancer.Miss,
@@ -70,7 +70,8 @@
 	codePong:     balancer.OK,
 }
 
-// warmthOfRemark translates the field that tells what an answered call found; any other value is unknown.
+// warmthOfRemark maps the field fieldWarmth of an answered call, which says whether the function was loaded, to a warmth.
+// Any other value means that the warmth is unknown.
 var warmthOfRemark = map[string]balancer.Warmth{
 	"hot":     balancer.WarmthLoaded,
 	"started": balancer.WarmthStartedLoad,
@@ -78,18 +79,18 @@
 	"broken":  balancer.WarmthLoadFailed,
 }
 
-// frame is one message of the worker protocol. Numbers are big-endian:
+// frame is one message of the worker protocol. Its parts are listed below with their sizes in bytes; numbers are big-endian.
 //
 //	mark:1 code:1 len(fields):2 len(body):4 id:8, fields, body, CRC-32 (IEEE) of fields and body:4
 type frame struct {
 	mark   byte
 	code   frameCode
 	id     uint64
-	fields string // name=value,name=value
+	fields string // in the form name=value,name=value
 	body   []byte
 }
 
-// encode returns the bytes of the frame.
+// encode returns the frame as it is sent, with its checksum.
 func (f frame) encode() []byte {
 	data := make([]byte, 0, headerSize+len(f.fields)+len(f.body)+checksumSize)
 	data = append(data, f.mark, byte(f.code))
@@ -101,7 +102,7 @@
 	return binary.BigEndian.AppendUint32(data, crc32.ChecksumIEEE(data[headerSize:]))
 }
 
-// readFrame reads one frame with the given mark. Errors other than those of r wrap errBadFrame.
+// readFrame reads one frame and checks that it has the given mark. Errors other than those of r wrap errBadFrame.
 func readFrame(r io.Reader, mark byte) (frame, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -109,9 +110,9 @@
 	}
 	fieldsSize := int64(binary.BigEndian.Uint16(header[2:]))
 	bodySize := int64(binary.BigEndian.Uint32(header[4:]))
-	// The size is the peer's claim: without the bound, one broken frame would take all memory.
+	// The peer sets the size: without a limit, one broken frame could exhaust the memory.
 	if header[0] != mark || bodySize > maxAnswerBody {
-		return frame{}, fmt.Errorf("%w: mark %d, %d bytes of body", errBadFrame, header[0], bodySize)
+		return frame{}, fmt.Errorf("%w: unexpected mark %d or oversized body of %d bytes", errBadFrame, header[0], bodySize)
 	}
 	payload, err := readPayload(r, fieldsSize+bodySize)
 	if err != nil {
@@ -128,7 +129,7 @@
 
 // readPayload reads size bytes and the checksum that follows them.
 func readPayload(r io.Reader, size int64) ([]byte, error) {
-	// The buffer grows with the bytes that arrive: a claimed size alone allocates nothing.
+	// The buffer grows with the bytes that arrive, so a large size in the header does not by itself allocate memory.
 	var buffer bytes.Buffer
 	if _, err := io.CopyN(&buffer, r, size+checksumSize); err != nil {
 		return nil, err
@@ -140,7 +141,7 @@
 	return payload, nil
 }
 
-// field returns the value of a field, or "" where the frame has none of that name.
+// field returns the value of the field with the given name, or "" if the frame has no such field.
 func (f frame) field(name string) string {
 	for part := range strings.SplitSeq(f.fields, ",") {
 		if key, value, _ := strings.Cut(part, "="); key == name {
@@ -150,17 +151,17 @@
 	return ""
 }
 
-// intField returns the value of a field that is a number, or 0 where it is absent or no number.
+// intField returns the value of a numeric field, or 0 if the field is absent or not a number.
 func (f frame) intField(name string) int {
 	value, _ := strconv.Atoi(f.field(name))
 	return value
 }
 
-// result translates an answer. Its error wraps errBadFrame and tells of an unknown code.
+// result returns the result that an answer carries. If the code is unknown, it returns an error that wraps errBadFrame.
 func (f frame) result() (Result, error) {
 	status, ok := statusOfCode[f.code]
 	if !ok {
-		return Result{}, fmt.Errorf("%w: code %d", errBadFrame, f.code)
+		return Result{}, fmt.Errorf("%w: unknown code %d", errBadFrame, f.code)
 	}
 	return Result{
 		Status:     status,
@@ -171,16 +172,16 @@
 	}, nil
 }
 
-// callFields returns the fields of a call. The worker is told at least 1 ms, since 0 has no meaning there.
+// callFields returns the fields of a call. The time left is sent as at least 1 ms, since the protocol gives 0 no meaning.
 func callFields(class, function string, timeLeft time.Duration) string {
 	return fmt.Sprintf("%s=%s,%s=%s,%s=%d",
 		fieldClass, class, fieldFunction, function, fieldTimeLeft, max(1, timeLeft.Milliseconds()))
 }
 
-// loadFields returns the fields of a load order for at least so many copies.
+// loadFields returns the fields of a load order for at least the given number of copies.
 func loadFields(function string, copies int) string {
 	return fmt.Sprintf("%s=%s,%s=%d", fieldFunction, function, fieldCopies, copies)
 }
 
-// unloadID returns the frame id of an order to unload a function: its name, which is a hexadecimal number.
+// unloadID returns the frame id of an unload order: the name of the function, parsed as a hexadecimal number.
 func unloadID(function string) (uint64, error) { return strconv.ParseUint(function, 16, 64) }
--- a/internal/worker/frame_test.go
+++ b/internal/worker/frame_test.go
@@ -11,7 +11,7 @@
 	"kitefall/internal/balancer"
 )
 
-func TestEncodedFrameIsReadBack(t *testing.T) {
+func TestFrameEncodeAndRead(t *testing.T) {
 	sent := frame{mark: markAnswer, code: codeOK, id: 7, fields: "remark=waited,same=3,n=2", body: []byte("done")}
 	received, err := readFrame(bytes.NewReader(sent.encode()), markAnswer)
 	require.NoError(t, err)
@@ -27,12 +27,12 @@
 	wrongChecksum := good.encode()
 	wrongChecksum[len(wrongChecksum)-1]++
 	oversized := good.encode()
-	oversized[4] = 0xff // the first byte of the body's length
+	oversized[4] = 0xff // most significant byte of the body length
 
 	for name, data := range map[string][]byte{
-		"command in place of an answer": frame{mark: markCommand, code: codeCall}.encode(),
-		"wrong checksum":                wrongChecksum,
-		"body over the limit":           oversized,
+		"command instead of an answer": frame{mark: markCommand, code: codeCall}.encode(),
+		"wrong checksum":               wrongChecksum,
+		"body over the limit":          oversized,
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := readFrame(bytes.NewReader(data), markAnswer)
@@ -44,7 +44,7 @@
 	assert.ErrorIs(t, err, errBadFrame, "unknown code")
 }
 
-func TestFieldsOfCommands(t *testing.T) {
+func TestCommandFields(t *testing.T) {
 	assert.Equal(t, "profile=reserva,thing=7f3a,max=1500", callFields("reserva", "7f3a", 1500*time.Millisecond))
 	assert.Equal(t, "profile=reserva,thing=7f3a,max=1", callFields("reserva", "7f3a", -time.Second), "the deadline has passed")
 	assert.Equal(t, "thing=7f3a,n=2", loadFields("7f3a", 2))
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -1,9 +1,9 @@
-// Package worker forwards calls and load orders to the workers: a pool of connections for each worker, and the frames of
-// the worker protocol.
+// Package worker forwards calls and load orders to workers. It holds a pool of connections for each worker, and encodes and
+// decodes the frames of the worker protocol.
 //
-// All state of a pool and of its connections and requests is guarded by the pool's mutex; methods whose names end in
-// Locked must be called with it held. It is never held while a socket is read, written or dialled, nor while a result is
-// passed on.
+// The pool's mutex guards all state of the pool and of its connections and requests. Methods whose names end in Locked must
+// be called with the mutex held. The mutex is never held while a socket is read, written or dialled, nor while a done
+// callback runs.
 package worker
 
 import (
@@ -15,8 +15,9 @@
 	"kitefall/internal/permit"
 )
 
-// silenceLimit is how long calls on a connection may go without any answer before the cancellation of one marks it as
-// stale. Where calls are cancelled sooner, several in a row add up to it.
+// silenceLimit is how long a request may go without an answer before its cancellation marks its connection as stale. The time
+// runs from the write of the request, or from the first call written since the last answer on the connection, if that was
+// earlier. Several calls in a row that are each cancelled sooner thus reach the limit together.
 const silenceLimit = 500 * time.Millisecond
 
 var (
@@ -25,39 +26,40 @@
 	errPoolClosed    = errors.New("pool was closed")
 )
 
-// Pool is the connections to one worker, which is known by its uid: addresses are given anew to other workers. It is safe
-// for concurrent use, and none of its methods waits for a socket.
+// Pool manages the connections to one worker. The uid identifies the worker, since its address may later be assigned to
+// another worker. A Pool is safe for concurrent use, and none of its methods waits for a socket.
 type Pool struct {
 	uid    string
 	addr   string
 	config *Config
 
 	mu         sync.Mutex
-	state      permit.Worker // by the last update of the endpoint list; the address of a removed one may be another's
-	conns      []*conn       // those that are not closed
-	lastAnswer time.Time     // on any connection
-	// connectedSince is since when there has been an established connection without a gap: all of them lead to one process.
+	state      permit.Worker // as in the last endpoint list update; a removed worker's address may belong to another worker
+	conns      []*conn       // connections that are not closed
+	lastAnswer time.Time     // when the last answer came on any connection
+	// connectedSince is the start of the uninterrupted time with at least one established connection. All connections of
+	// that time lead to the same process.
 	connectedSince time.Time
 }
 
-// NewPool returns the pool of the worker at addr. It connects when there is something to send. Pools share c.
+// NewPool returns a pool for the worker uid at addr. The pool connects when it has a request to send. Pools may share c.
 func NewPool(uid, addr string, c *Config) *Pool {
 	return &Pool{uid: uid, addr: addr, config: c}
 }
 
-// Call sends an attempt. done is called with its result, once and from a goroutine of the pool, unless Cancel comes first.
-// An error means that nothing was or will be sent, and done is not called.
+// Call queues an attempt to be sent. It calls done with the result, once and on a goroutine of the pool, unless the request
+// is cancelled first. If Call returns an error, nothing of the attempt was or will be sent, and done is not called.
 func (p *Pool) Call(a Attempt, done func(Result)) (*PendingRequest, error) {
 	return p.send(newCallRequest(a, done))
 }
 
-// Load sends a load order. done and the error are as for Call.
+// Load queues a load order to be sent. The callback done and the error are as for Call.
 func (p *Pool) Load(order LoadOrder, done func(Result)) (*PendingRequest, error) {
 	return p.send(newLoadRequest(order, done))
 }
 
-// Unload has the worker unload the idle copies of a function. There is no answer. An error means that nothing was or will
-// be sent.
+// Unload queues an order to unload the idle copies of a function. The worker does not answer unload orders. If Unload returns
+// an error, nothing of the order was or will be sent.
 func (p *Pool) Unload(function string, deadline time.Time) error {
 	id, err := unloadID(function)
 	if err != nil {
@@ -67,15 +69,15 @@
 	return err
 }
 
-// Cancel ends the wait for a request and reports whether any of it was written. Its done is not called any more, unless
-// it is being called already.
+// Cancel ends a request and reports whether any part of it may have been written. After Cancel, the request's done callback
+// is not called any more, unless the request had already ended: the callback may then be running or about to run.
 func (p *Pool) Cancel(request *PendingRequest) (written bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := request.conn
-	first := c.settleLocked(request)
+	newlyEnded := c.endRequestLocked(request)
 	written = request.wasWrittenLocked()
-	if !first || !written || c.state == connClosed {
+	if !newlyEnded || !written || c.state == connClosed {
 		return written
 	}
 	now := time.Now()
@@ -84,21 +86,21 @@
 	if request.code == codeCall {
 		select {
 		case c.writeQueue <- request:
-		default: // the worker reads nothing; the attempt ends there by its own deadline
+		default: // the queue is full because the worker does not read; the attempt ends there at its own deadline
 		}
 	}
 	return written
 }
 
-// Idle reports whether no request is in flight.
+// Idle reports whether no request is in flight on any connection.
 func (p *Pool) Idle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !slices.ContainsFunc(p.conns, func(c *conn) bool { return len(c.inFlight) > 0 })
 }
 
-// MarkUnavailable notes that the worker drains, or that it was removed. No request is begun there any more, not even one
-// that was queued before: at the address of a removed worker another one may listen by now.
+// MarkUnavailable records that the worker is draining or was removed. Until MarkReady is called, no request is written to the
+// worker, not even one that is already queued: another worker may already listen at the address of a removed one.
 func (p *Pool) MarkUnavailable(state permit.Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,8 +108,9 @@
 	p.closeIdleLocked(time.Now())
 }
 
-// MarkReady notes that the worker takes calls, and when it last started, as a time with a monotonic reading. Connections
-// made before that lead nowhere: a machine that was lost never closed them.
+// MarkReady records that the worker takes calls. started is when the worker last started and must have a monotonic clock
+// reading. Connections created before started are marked as stale: if the machine was lost, it never closed them, and they
+// lead to no process any more.
 func (p *Pool) MarkReady(started time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +123,8 @@
 	p.closeIdleLocked(time.Now())
 }
 
-// Close closes all connections. Requests in flight end as on any broken connection, those that were written as Reset:
-// they may have run. The goroutines of the connections end soon after; Close does not wait for them.
+// Close closes all connections. Requests in flight end as on any broken connection: those that were written end with the
+// status Reset, as they may have run. Close does not wait for the goroutines of the connections, which end soon after.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	conns := slices.Clone(p.conns)
@@ -140,8 +143,8 @@
 	return request, nil
 }
 
-// move sends a request that was not written whole on another connection, once, and reports whether nothing more is to be
-// done for it.
+// move queues a request that was not completely written on another connection. A request is moved at most once. move returns
+// true if the caller has nothing more to do: the request was queued again or had already ended.
 func (p *Pool) move(request *PendingRequest) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +158,7 @@
 	return p.enqueueLocked(request) == nil
 }
 
-// enqueueLocked hands a request to a connection.
+// enqueueLocked picks a connection for a request and puts the request into its write queue.
 func (p *Pool) enqueueLocked(request *PendingRequest) error {
 	if p.state == permit.WorkerIsRemoved {
 		return errWorkerRemoved
@@ -167,7 +170,7 @@
 	select {
 	case c.writeQueue <- request:
 	default:
-		return errNoCapacity // the worker reads nothing: another one is better than a wait here
+		return errNoCapacity // the worker does not read: trying another worker is better than waiting for this one
 	}
 	request.conn = c
 	if request.done != nil {
@@ -176,35 +179,36 @@
 	return nil
 }
 
-// pickConnLocked returns a connection for a request: an idle one, else a new one where that is worth a handshake, else
-// that with the fewest requests in flight; nil if there is none. Peers may cut a connection or spoil an answer at any
-// time, and all requests in flight there then fail with it.
+// pickConnLocked returns a connection for a request with the given id, or nil if there is none. It prefers an idle
+// connection, then a new one if the handshake is worth its cost, then the one with the fewest requests in flight. Few requests
+// on each connection limit the damage when a peer closes it or sends a corrupt answer, which ends all requests in flight on it.
 func (p *Pool) pickConnLocked(id uint64) *conn {
 	now := time.Now()
-	p.closeIdleLocked(now) // the periodic check may be late, and the worker's own close would cross the request
+	p.closeIdleLocked(now) // the periodic check may be late, and the worker may close the connection during the write
 	candidate := p.leastLoadedLocked(id)
 	if candidate != nil && len(candidate.inFlight) == 0 {
 		return candidate
 	}
-	if candidate != nil && !p.config.BreakRate.separates() {
+	if candidate != nil && !p.config.BreakRate.favorsSeparateConns() {
 		return candidate
 	}
 	if len(p.conns) >= p.config.MaxConns {
 		return candidate
 	}
-	if len(p.conns) > 0 && !p.config.ConnLimit.hasRoom() {
+	if len(p.conns) > 0 && !p.config.ConnLimit.hasCapacity() {
 		return candidate
 	}
 	c := newConn(p, now)
 	granted := p.config.ConnLimit.tryAcquire(c)
-	if !granted && len(p.conns) > 0 { // another pool was faster
+	if !granted && len(p.conns) > 0 { // another pool took the last descriptor
 		return candidate
 	}
 	p.openConnLocked(c, granted)
 	return c
 }
 
-// leastLoadedLocked returns the connection with the fewest requests in flight of those that accept the id, or nil.
+// leastLoadedLocked returns the connection with the fewest requests in flight among those that accept the id, or nil if no
+// connection accepts it.
 func (p *Pool) leastLoadedLocked(id uint64) *conn {
 	var best *conn
 	for _, c := range p.conns {
@@ -215,29 +219,31 @@
 	return best
 }
 
-// openConnLocked adds a connection and starts it. One that ConnLimit has granted no descriptor yet waits for it first.
+// openConnLocked adds a connection to the pool and starts it. If granted is false, the connection first waits until ConnLimit
+// grants it a descriptor.
 func (p *Pool) openConnLocked(c *conn, granted bool) {
 	p.conns = append(p.conns, c)
 	p.config.BreakRate.recordOpened()
 	go c.run(granted)
 }
 
-// closeIdleLocked closes the idle connections that are of no further use.
+// closeIdleLocked closes the idle connections that are stale or unused for too long, and all idle ones of a removed worker.
 func (p *Pool) closeIdleLocked(now time.Time) {
 	for _, c := range slices.Clone(p.conns) {
-		useless := c.state == connStale || p.state == permit.WorkerIsRemoved
+		obsolete := c.state == connStale || p.state == permit.WorkerIsRemoved
 		unusedFor := now.Sub(c.lastUsed)
-		if c.idleLocked() && (useless || unusedFor > p.config.idleCloseAfter()) {
+		if c.idleLocked() && (obsolete || unusedFor > p.config.idleCloseAfter()) {
 			closedIdle.count()
 			c.closeLocked()
 		}
 	}
 }
 
-// detectSilenceLocked marks connections as stale when a call is cancelled that the worker has not answered for
-// silenceLimit. A machine that was cut off leaves its connections open and silent; new ones tell, since they are not
-// established, and what was to be sent on them never ran. Where only the call's connection is silent, its peer may have
-// lost the call, and the others remain in use.
+// detectSilenceLocked marks connections as stale when a request is cancelled after more than silenceLimit without an answer. If
+// the worker has sent no answer on any connection in that time, all connections of the pool become stale: a machine that was cut
+// off leaves its connections open and silent. New connections reveal that failure, since they are never established, and the
+// requests queued on them never ran. If the worker did answer in that time, the peer may have lost only the cancelled request:
+// only the connection of the request becomes stale, and the others remain in use.
 func (p *Pool) detectSilenceLocked(request *PendingRequest, now time.Time) {
 	silentConn := request.conn
 	since := request.writtenAt
--- a/internal/worker/pool_test.go
+++ b/internal/worker/pool_test.go
@@ -25,7 +25,7 @@
 	codeRejected = 67
 )
 
-// newPool returns a pool of the worker whose configuration is that of fakes.PoolConfig, changed by configure.
+// newPool returns a pool for the worker, with the configuration fakes.PoolConfig as changed by configure.
 func newPool(t *testing.T, w *fakes.Worker, configure func(*worker.Config)) *worker.Pool {
 	t.Helper()
 	config := fakes.PoolConfig()
@@ -41,7 +41,7 @@
 	return func(c *worker.Config) { c.ConnLimit = worker.NewConnLimit(descriptors.NewShare(connections)) }
 }
 
-// call sends an attempt and returns it with the channel of its result.
+// call queues an attempt and returns its request and the channel that receives the result.
 func call(t *testing.T, pool *worker.Pool, id uint64, deadline time.Time) (*worker.PendingRequest, chan worker.Result) {
 	t.Helper()
 	results := make(chan worker.Result, 1)
@@ -51,7 +51,8 @@
 	return request, results
 }
 
-// An update that the worker drains, or the deadline, may come while a call waits for its connection.
+// While a request is queued, its deadline may pass or an update may report that its worker is draining. The request must not
+// be written then: a call ends as NotSent, a load order as Rejected.
 func TestNothingIsWrittenAfterADrainOrTheDeadline(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, unchanged)
@@ -68,7 +69,7 @@
 	begin := time.Now()
 	_, rejected := call(t, pool, 3, fakes.Deadline())
 	received := w.Next()
-	assert.Equal(t, uint64(3), received.ID, "the others were written")
+	assert.Equal(t, uint64(3), received.ID, "a call that must not be written was written")
 	written := time.Now()
 	received.Answer(codeRejected, "same=5", "")
 	result := fakes.Receive(t, rejected)
@@ -78,17 +79,18 @@
 }
 
 func TestRefusedConnectionEndsCallAsConnectFailed(t *testing.T) {
-	_, accepted := tcptest.Pair(t) // nobody listens at its address, which no other test is given while it is open
+	_, accepted := tcptest.Pair(t) // no listener has its address, and no other test gets the address while the pair is open
 	config := fakes.PoolConfig()
 	_, results := call(t, worker.NewPool("s-1", accepted.LocalAddr().String(), &config), 1, fakes.Deadline())
 	assert.Equal(t, balancer.ConnectFailed, fakes.Receive(t, results).Status)
 }
 
-// All connections that overlap lead to one process. After a gap it may be another one at the same address.
-func TestConnectionsWithoutAGapLeadToOneProcess(t *testing.T) {
+// Connections that overlap in time lead to one process, so their answers must have the same ConnectedSince. After a time
+// without a connection, another process may listen at the same address, so ConnectedSince must be later.
+func TestOverlappingConnectionsHaveTheSameConnectedSince(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
-	serve := func(results chan worker.Result) worker.Result {
+	answerNext := func(results chan worker.Result) worker.Result {
 		w.Next().OK("done")
 		return fakes.Receive(t, results)
 	}
@@ -97,22 +99,23 @@
 	received := w.Next()
 	connected := time.Now()
 	_, second := call(t, pool, 2, fakes.Deadline())
-	overlapping := serve(second)
+	overlapping := answerNext(second)
 	received.OK("done")
 	assert.Equal(t, overlapping.ConnectedSince, fakes.Receive(t, first).ConnectedSince)
-	assert.WithinRange(t, overlapping.ConnectedSince, begin, connected, "since the first connection was made")
+	assert.WithinRange(t, overlapping.ConnectedSince, begin, connected, "when the first connection was established")
 	pool.Close()
 	_, third := call(t, pool, 3, fakes.Deadline())
-	assert.Greater(t, serve(third).ConnectedSince.Sub(overlapping.ConnectedSince), time.Duration(0))
+	assert.Greater(t, answerNext(third).ConnectedSince.Sub(overlapping.ConnectedSince), time.Duration(0))
 }
 
-// Whoever follows a worker is told when its process may have ended: nothing listens, or its last connection is closed there.
-func TestEndOfAWorkersProcessIsTold(t *testing.T) {
+// PeerGone must be called when a worker's process may have ended: its last connection was closed by the peer, or nothing
+// listens at its address.
+func TestEndOfAWorkersProcessIsReported(t *testing.T) {
 	w := fakes.NewWorker(t)
 	gone := make(chan string, 4)
 	pool := newPool(t, w, func(c *worker.Config) { c.PeerGone = func(uid string) { gone <- uid } })
 	_, results := call(t, pool, 1, fakes.Deadline())
-	received := w.Next() // a call that was not written whole before the close would move to another connection
+	received := w.Next() // wait until the call is written: an incomplete one would move to another connection
 	assert.Empty(t, gone)
 	received.CloseConn()
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results).Status)
@@ -122,16 +125,17 @@
 	assert.Equal(t, balancer.ConnectFailed, fakes.Receive(t, results).Status)
 	assert.Equal(t, "s-1", fakes.Receive(t, gone))
 	pool.Close()
-	assert.Empty(t, gone, "closed here")
+	assert.Empty(t, gone, "the pool itself was closed")
 }
 
-// The id of a cancelled call stays off its connection: its late answer would pass for that of the new call.
-func TestCancelledIDTakesAnotherConnection(t *testing.T) {
+// The id of a cancelled call must not be used again on the same connection: a late answer to the cancelled call would be taken
+// for the answer to the new one.
+func TestCancelledIDUsesAnotherConnection(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
 	request, _ := call(t, pool, 1, fakes.Deadline())
 	first := w.Next()
-	assert.True(t, pool.Cancel(request), "it was written")
+	assert.True(t, pool.Cancel(request), "the call was written")
 	assert.Equal(t, uint64(1), fakes.Receive(t, w.Cancelled))
 	_, results := call(t, pool, 1, fakes.Deadline())
 	second := w.Next()
@@ -140,8 +144,8 @@
 	assert.Equal(t, "in time", string(fakes.Receive(t, results).Body))
 }
 
-// Where a handshake has its cost and connections do not break, a second connection would be wasted: requests share one.
-// Once one has broken under load, requests in flight at the same time are separated again.
+// If handshakes have a cost and connections do not break, concurrent requests must share a connection, since a second one is
+// not worth its handshake. Once a connection has broken under load, concurrent requests must get separate connections.
 func TestRequestsShareAConnectionUntilConnectionsBreak(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, func(c *worker.Config) { c.BreakRate = worker.NewBreakRate(0.08) })
@@ -153,15 +157,15 @@
 		return received, results
 	}
 	received, results := callTwice()
-	require.Equal(t, received[0].From(), received[1].From(), "separate connections, though none ever broke")
+	require.Equal(t, received[0].From(), received[1].From(), "separate connections, although none has broken")
 	received[0].ResetConn()
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results[0]).Status)
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results[1]).Status)
 	received, _ = callTwice()
-	assert.NotEqual(t, received[0].From(), received[1].From(), "shared, though connections break")
+	assert.NotEqual(t, received[0].From(), received[1].From(), "a shared connection, although one has broken")
 }
 
-// The cancellation of a call that was answered must not end a later call with the same id.
+// Cancelling a call that was already answered must not end a later call with the same id.
 func TestCancellingAnAnsweredCallLeavesALaterOneInFlight(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
@@ -174,7 +178,7 @@
 	assert.Equal(t, "second", string(fakes.Receive(t, second).Body))
 }
 
-// A worker that was removed is sent nothing more, though another one may listen at its address by now.
+// A pool must send nothing to a removed worker, because another worker may listen at the address by then.
 func TestAddressOfARemovedWorkerIsNotUsed(t *testing.T) {
 	w := fakes.NewWorker(t)
 	config := fakes.PoolConfig()
@@ -190,7 +194,7 @@
 	assert.Equal(t, balancer.OK, fakes.Receive(t, results).Status)
 }
 
-// A frame that begins and stops short must not hold its connection until the deadline of each call.
+// An incomplete frame must end its connection, rather than block it until the deadlines of the calls.
 func TestIncompleteFrameEndsItsConnection(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(1))
@@ -200,8 +204,8 @@
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results).Status)
 }
 
-// A second copy of a miss must not pass for the answer to the call when it is tried there again.
-func TestDuplicateMissEndsNoLaterCall(t *testing.T) {
+// A duplicate miss must not be taken for the answer to a retry of the call at the same worker.
+func TestDuplicateMissDoesNotEndALaterCall(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
 	_, missed := call(t, pool, 1, fakes.Deadline())
@@ -211,14 +215,14 @@
 	_, retried := call(t, pool, 1, fakes.Deadline())
 	retry := w.Next()
 	first.Answer(codeMiss, "", "")
-	_, other := call(t, pool, 2, fakes.Deadline()) // on the first connection, behind the second copy
+	_, other := call(t, pool, 2, fakes.Deadline()) // answered on the first connection, after the duplicate
 	w.Next().OK("")
 	require.Equal(t, balancer.OK, fakes.Receive(t, other).Status)
 	retry.Answer(codeOK, "", "done")
 	assert.Equal(t, "done", string(fakes.Receive(t, retried).Body))
 }
 
-// An answer to an id that is not in flight, ahead of a good one, does no harm.
+// An answer whose id is not in flight must be ignored, and the valid answer after it must be handled.
 func TestAnswerWithUnknownIDIsIgnored(t *testing.T) {
 	w := fakes.NewWorker(t)
 	_, results := call(t, newPool(t, w, withConnLimit(64)), 1, fakes.Deadline())
@@ -228,8 +232,8 @@
 	assert.Equal(t, "done", string(fakes.Receive(t, results).Body))
 }
 
-// Calls are kept on separate connections while the connection limit allows it, so that one break ends one call. At the
-// limit they share the first one.
+// Concurrent calls must use separate connections while the connection limit allows, so that a broken connection ends only one
+// call. At the limit they share the first connection.
 func TestOneBreakEndsOneCallWithinTheConnectionLimit(t *testing.T) {
 	for connLimit, statusOfOther := range map[int]balancer.Status{64: balancer.OK, 1: balancer.Reset} {
 		t.Run(fmt.Sprint("connection limit ", connLimit), func(t *testing.T) {
--- a/internal/worker/request.go
+++ b/internal/worker/request.go
@@ -8,17 +8,17 @@
 	"kitefall/internal/permit"
 )
 
-// Result is how an attempt or a load order ended.
+// Result is the outcome of an attempt or a load order.
 type Result struct {
 	Status     balancer.Status
 	Warmth     balancer.Warmth
-	QueueDepth int // calls for the same function at the worker when this one came
-	Copies     int // loaded copies; load orders only
+	QueueDepth int // calls for the same function that were at the worker when this one arrived
+	Copies     int // number of loaded copies of the function; set for load orders only
 	Body       []byte
 
-	// Of what was answered; zero: nothing was.
-	WrittenAt      time.Time // when its first byte was written, on the connection of the answer
-	ConnectedSince time.Time // since when there has been a connection to the worker's process without a gap
+	// The following times are zero if the worker sent no answer.
+	WrittenAt      time.Time // when the write of the request began on the connection that the answer came on
+	ConnectedSince time.Time // start of the uninterrupted time with at least one connection to the worker's process
 }
 
 // Attempt is one attempt of a call at a worker.
@@ -26,24 +26,24 @@
 	ID              uint64
 	Class, Function string
 	Body            []byte
-	Deadline        time.Time // nobody waits for its answer after this
-	StartBy         time.Time // it must not be written after this; zero: until Deadline
-	LeaseEnd        time.Time // nor after this, when the lease of the worker ends
-	// Abandoned reports that the call is over and that nothing of it may begin any more. It is called with locks held and
-	// from any goroutine, so it must not block. Nil: the call is never abandoned.
+	Deadline        time.Time // the answer is of no use after this time
+	StartBy         time.Time // the attempt must not be written after this time; zero: Deadline applies
+	LeaseEnd        time.Time // end of the worker's lease; the attempt must not be written after this time
+	// Abandoned reports whether the call has ended, so that none of its attempts may start any more. It is called with
+	// locks held and from any goroutine, so it must not block. If nil, the call is never abandoned.
 	Abandoned func() bool
 }
 
-// LoadOrder orders that a worker hold at least so many copies of a function.
+// LoadOrder orders a worker to hold at least Copies loaded copies of a function.
 type LoadOrder struct {
 	Function string
-	Copies   int       // 0 only asks for their number
-	StartBy  time.Time // it must not be written after this
-	LeaseEnd time.Time // nor after this, when the lease of the worker ends
-	Deadline time.Time // nobody waits for its answer after this
+	Copies   int       // 0: only ask how many copies are loaded
+	StartBy  time.Time // the order must not be written after this time
+	LeaseEnd time.Time // end of the worker's lease; the order must not be written after this time
+	Deadline time.Time // the answer is of no use after this time
 }
 
-// startBy is the latest time at which the attempt may be written.
+// startBy returns the latest time at which the attempt may be written.
 func (a *Attempt) startBy() time.Time {
 	if !a.StartBy.IsZero() && a.StartBy.Before(a.Deadline) {
 		return a.StartBy
@@ -51,32 +51,32 @@
 	return a.Deadline
 }
 
-// requestState is how far a request has come.
+// requestState is the progress of a request.
 type requestState int
 
 const (
-	requestQueued  requestState = iota // it waits for its connection; nothing of it was written there
-	requestWritten                     // the write of its frame has begun
+	requestQueued  requestState = iota // in the write queue of its connection; no part of its frame was written there
+	requestWritten                     // the write of its frame has begun, and may be complete
 	requestEnded                       // answered, cancelled or failed
 )
 
-// PendingRequest is an attempt, a load order or an unload order on its way through a pool.
+// PendingRequest is an attempt, a load order or an unload order that was handed to a pool.
 type PendingRequest struct {
 	id           uint64
 	code         frameCode
-	encodeFields func(now time.Time) string // nil: no fields
+	encodeFields func(now time.Time) string // returns the fields of the frame; nil: no fields
 	body         []byte
-	deadline     time.Time    // nobody waits for its answer after this
-	startBy      time.Time    // its frame must not be begun after this
-	leaseEnd     time.Time    // nor after this, when the lease of the worker ends
-	abandoned    func() bool  // nor once this returns true; nil: never
-	done         func(Result) // called from a goroutine of the pool; nil: the command has no answer
+	deadline     time.Time    // the answer is of no use after this time
+	startBy      time.Time    // the write must not begin after this time
+	leaseEnd     time.Time    // end of the worker's lease; the write must not begin after this time
+	abandoned    func() bool  // the write must not begin once this returns true; nil: the request is never abandoned
+	done         func(Result) // receives the result, on a goroutine of the pool; nil: the command has no answer
 
 	// Guarded by the pool's mutex.
 	conn      *conn
 	state     requestState
-	writtenAt time.Time // when the write of its frame began on conn; zero: nothing was written. Kept when it ends.
-	moved     bool      // it was moved to another connection once already
+	writtenAt time.Time // when the write of the frame began on conn, also after the request ended; zero: not begun
+	moved     bool      // the request has been moved to another connection
 }
 
 func newCallRequest(a Attempt, done func(Result)) *PendingRequest {
@@ -111,7 +111,7 @@
 	return &PendingRequest{id: id, code: codeUnload, deadline: deadline, startBy: deadline, leaseEnd: deadline}
 }
 
-// encode returns the bytes of the request's frame as written at a time.
+// encode returns the encoded frame of the request for a write at the time now.
 func (r *PendingRequest) encode(now time.Time) []byte {
 	command := frame{mark: markCommand, code: r.code, id: r.id, body: r.body}
 	if r.encodeFields != nil {
@@ -120,13 +120,14 @@
 	return command.encode()
 }
 
-// encodeCancel returns the bytes of the frame that cancels the request.
+// encodeCancel returns the encoded frame that cancels the request.
 func (r *PendingRequest) encodeCancel() []byte {
 	return frame{mark: markCommand, code: codeCancel, id: r.id}.encode()
 }
 
-// permit returns whether the request may be begun now, at a worker in a state.
-func (r *PendingRequest) permit(state permit.Worker, now time.Time) permit.Reason {
+// checkStart returns permit.Allowed if the request may be written at the time now to a worker in the given state, else the
+// reason why not.
+func (r *PendingRequest) checkStart(state permit.Worker, now time.Time) permit.Reason {
 	start := permit.Start{
 		Worker:     state,
 		ClientGone: r.abandoned != nil && r.abandoned(),
@@ -136,33 +137,33 @@
 	return start.Check()
 }
 
-// notStarted is the result of a request that must not be begun any more.
-func (r *PendingRequest) notStarted() Result {
+// notStartedResult returns the result of a request of which nothing was written.
+func (r *PendingRequest) notStartedResult() Result {
 	if r.code == codeLoad {
 		return Result{Status: balancer.Rejected}
 	}
 	return Result{Status: balancer.NotSent}
 }
 
-// beginWriteLocked notes that the write of the request's frame begins.
+// beginWriteLocked records that the write of the request's frame begins now.
 func (r *PendingRequest) beginWriteLocked(now time.Time) {
 	r.state = requestWritten
 	r.writtenAt = now
 }
 
-// requeueLocked takes the request back from a connection that broke before its frame was written whole.
+// requeueLocked resets the request to be queued again, after its connection broke before the whole frame was written.
 func (r *PendingRequest) requeueLocked() {
 	r.state = requestQueued
 	r.writtenAt = time.Time{}
 	r.moved = true
 }
 
-// endLocked ends the request and reports whether it had not ended before.
-func (r *PendingRequest) endLocked() (first bool) {
-	first = r.state != requestEnded
+// endLocked ends the request. It returns false if the request had already ended.
+func (r *PendingRequest) endLocked() (newlyEnded bool) {
+	newlyEnded = r.state != requestEnded
 	r.state = requestEnded
-	return first
+	return newlyEnded
 }
 
-// wasWrittenLocked reports whether any of the request may have been written to its connection.
+// wasWrittenLocked reports whether any part of the request may have been written to its connection.
 func (r *PendingRequest) wasWrittenLocked() bool { return !r.writtenAt.IsZero() }
