--- a/internal/frontend/resp/client_test.go
+++ b/internal/frontend/resp/client_test.go
@@ -21,20 +21,22 @@
 
 const defaultMaxConns = 64
 
-// startServer starts a dispatcher for the workers with its RESP frontend, and returns that and a way to connect to it.
+// startServer starts a dispatcher core for the workers and a RESP frontend for it. It returns the frontend and a function that
+// connects a client to it.
 func startServer(t *testing.T, workers ...*fakes.Worker) (*resp.Server, func() *client) {
 	t.Helper()
 	return startServerWith(t, defaultMaxConns, resp.DefaultTimeouts, workers...)
 }
 
+// startServerWith is like startServer, with a connection limit and timeouts.
 func startServerWith(t *testing.T, maxConns int, timeouts resp.Timeouts,
 	workers ...*fakes.Worker) (*resp.Server, func() *client) {
 	t.Helper()
-	return startEvacuable(t, maxConns, timeouts, drain.Evacuation(), workers...)
+	return startServerWithDrain(t, maxConns, timeouts, drain.Evacuation(), workers...)
 }
 
-// startEvacuable is as startServerWith; told to, the server sends its clients away by a schedule.
-func startEvacuable(t *testing.T, maxConns int, timeouts resp.Timeouts, evacuation drain.Schedule,
+// startServerWithDrain is like startServerWith, with the schedule that the server follows when it is evacuated.
+func startServerWithDrain(t *testing.T, maxConns int, timeouts resp.Timeouts, evacuation drain.Schedule,
 	workers ...*fakes.Worker) (*resp.Server, func() *client) {
 	t.Helper()
 	core := fakes.NewCore(t, workers...)
@@ -57,21 +59,21 @@
 	return server, connect
 }
 
-// startAndConnect starts a dispatcher for the workers and connects a client to its RESP frontend.
+// startAndConnect starts a dispatcher core for the workers and connects a client to its RESP frontend.
 func startAndConnect(t *testing.T, workers ...*fakes.Worker) *client {
 	t.Helper()
 	_, connect := startServer(t, workers...)
 	return connect()
 }
 
-// client is a client of the RESP frontend.
+// client is a client with one connection to the RESP frontend.
 type client struct {
 	net.Conn
 	t      testing.TB
 	reader *bufio.Reader
 }
 
-// sendCommand sends a request.
+// sendCommand sends a request with the arguments.
 func (c *client) sendCommand(arguments ...string) {
 	c.t.Helper()
 	c.sendRaw(encodeCommand(arguments...))
@@ -91,7 +93,7 @@
 	return encoded
 }
 
-// sendCall sends a CALL with usual fields and an id of its tag.
+// sendCall sends a CALL with typical fields, the id callID(tag) and a wait of 4 s.
 func (c *client) sendCall(tag int, class, body string) {
 	c.t.Helper()
 	fields := fmt.Sprintf("id=%016x,wait=4000,tenant=acme,key=7f3a9c21e0b4d655,cost=8.2,"+
@@ -99,10 +101,10 @@
 	c.sendCommand("CALL", strconv.Itoa(tag), class, fields, body)
 }
 
-// callID is the id of the call that sendCall sends under a tag.
+// callID returns the id of the call that sendCall sends with the tag.
 func callID(tag int) uint64 { return 0x9b1f03aa5c7e2d00 + uint64(tag) }
 
-// receive reads an answer: tag, word, fields and body, with a blank between each.
+// receive reads an answer and returns its tag, word, fields and body, separated by spaces.
 func (c *client) receive() string {
 	c.t.Helper()
 	var parts []string
--- a/internal/frontend/resp/closereason.go
+++ b/internal/frontend/resp/closereason.go
@@ -2,26 +2,26 @@
 
 import "kitefall/internal/metrics"
 
-// closeReason says why a client's connection has ended, in metrics.
+// closeReason is why a client's connection was closed. Its value is the label in the metrics.
 type closeReason string
 
-// The reasons.
+// The reasons for closing a client's connection.
 const (
-	closedByClient     closeReason = "client"            // the client has closed it, or the network
-	closedMalformed    closeReason = "malformed_request" // the client does not keep to the protocol
-	closedUnread       closeReason = "answers_unread"    // the client sends requests and does not read
-	closedWriteFailed  closeReason = "write_failed"      // an answer could not be written in time
-	closedTimedOut     closeReason = "timed_out"         // the client has exceeded one of the Timeouts
-	closedForRoom      closeReason = "room"              // another client needs the place
-	closedForShortage  closeReason = "shortage"          // accepting failed, most likely for want of descriptors
-	closedWhenDraining closeReason = "draining"          // the process sends its clients away, and nothing was in use
-	closedOverdue      closeReason = "overdue"           // the same, with something in use when the time was over
-	closedRejected     closeReason = "rejected"          // all places were taken by connections with requests in flight
+	closedByClient      closeReason = "client"            // closed by the client, or broken by the network
+	closedMalformed     closeReason = "malformed_request" // the client violated the protocol
+	closedAnswersUnread closeReason = "answers_unread"    // the client sends requests without reading the answers
+	closedWriteFailed   closeReason = "write_failed"      // an answer could not be written before its deadline
+	closedTimedOut      closeReason = "timed_out"         // the client exceeded one of the Timeouts
+	closedForNewConn    closeReason = "room"              // idle, closed to free a descriptor for a new connection
+	closedOnAcceptError closeReason = "shortage"          // idle, closed after an accept failed, most likely for lack of descriptors
+	closedWhenDraining  closeReason = "draining"          // idle while the process was sending its clients away
+	closedDrainTimeout  closeReason = "overdue"           // still in use at the end of the time to send clients away
+	closedRejected      closeReason = "rejected"          // not accepted: every other connection had requests in flight
 )
 
-// sparesIncomplete reports whether a connection is kept for the reason where the client has sent a request in part. Where
-// others need the place, or the client takes too long, it is not.
-func (r closeReason) sparesIncomplete() bool { return r == closedWhenDraining }
+// waitsForIncomplete reports whether a connection with a partially received request stays open instead of being closed for
+// this reason. Only draining waits; a connection that blocks other clients or has timed out is closed.
+func (r closeReason) waitsForIncomplete() bool { return r == closedWhenDraining }
 
-// count counts a connection that has ended for the reason.
+// count increments the metric of closed client connections for this reason.
 func (r closeReason) count() { metrics.ClientConnsClosed.Add(string(r)) }
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -21,21 +21,21 @@
 	commandCheck  = "CHECK"
 )
 
-// clientConn is the connection of a client that has sent its first request. One goroutine reads requests, one writes
-// answers, and calls are completed by the dispatcher's; the connection may be closed by any of them, and by others.
+// clientConn is the connection of a client that has sent its first request. One goroutine reads its requests, another writes
+// its answers, and the dispatcher's event loop completes its calls. Any goroutine may close it.
 type clientConn struct {
 	server   *Server
 	netConn  *trackedConn
-	respConn redcon.DetachedConn // parses requests and buffers answers; it reads and writes netConn
-	answers  chan answer         // to be written
-	done     chan struct{}       // closed with the connection
+	respConn redcon.DetachedConn // parses requests from netConn and buffers answers for it
+	answers  chan answer         // queued for the writer
+	done     chan struct{}       // closed when the connection is closed
 
 	mu           sync.Mutex
-	requests     map[uint64]*inFlightRequest // by tag
-	unwritten    int                         // answers queued and not written yet
+	requests     map[uint64]*inFlightRequest // the requests in flight, by tag
+	unwritten    int                         // number of answers queued but not written yet
 	closed       bool
-	lastActivity time.Time // when the client last sent or was sent something
-	lastRequest  time.Time // when its last call came
+	lastActivity time.Time // when the last CALL, the last CANCEL of a request in flight or the last write of answers happened
+	lastRequest  time.Time // when the last CALL arrived; zero before the first
 }
 
 func newClientConn(server *Server, netConn *trackedConn, detached redcon.DetachedConn) *clientConn {
@@ -50,14 +50,15 @@
 	}
 }
 
-// readRequests handles the first request and all that follow, and closes the connection after the last.
+// readRequests handles the first request and then every request that it reads. It closes the connection when reading or
+// handling fails.
 func (c *clientConn) readRequests(first redcon.Command) {
-	err := c.takeRequest(first.Args)
+	err := c.processRequest(first.Args)
 	for err == nil {
 		var command redcon.Command
 		command, err = c.respConn.ReadCommand()
 		if err == nil {
-			err = c.takeRequest(command.Args)
+			err = c.processRequest(command.Args)
 		}
 	}
 	if errors.Is(err, errMalformedRequest) {
@@ -69,22 +70,23 @@
 	c.close(closedByClient)
 }
 
-// takeRequest handles one request that was read. An error ends the connection.
-func (c *clientConn) takeRequest(args [][]byte) error {
+// processRequest handles one request that was read, and removes it from the unhandled ones. After an error the caller closes
+// the connection.
+func (c *clientConn) processRequest(args [][]byte) error {
 	err := c.handleRequest(args)
 	c.netConn.unhandled.Add(-1)
-	c.closeIfDraining() // a cancel, or a request that is not taken, may leave it idle
+	c.closeIfDraining() // a CANCEL or a rejected request may leave the connection idle
 	return err
 }
 
-// handleRequest handles one request. An error ends the connection.
+// handleRequest runs the command of one request. It returns an error if the connection must be closed.
 func (c *clientConn) handleRequest(args [][]byte) error {
 	if len(args) < 2 {
-		return fmt.Errorf("%w: %d arguments", errMalformedRequest, len(args))
+		return fmt.Errorf("%w: %d arguments, want at least a command and a tag", errMalformedRequest, len(args))
 	}
 	tag, err := strconv.ParseUint(string(args[1]), 10, 64)
 	if err != nil || tag == 0 {
-		return fmt.Errorf("%w: tag %q", errMalformedRequest, args[1])
+		return fmt.Errorf("%w: invalid tag %q", errMalformedRequest, args[1])
 	}
 	switch string(args[0]) {
 	case commandCall:
@@ -120,7 +122,7 @@
 	}
 }
 
-// reply queues an answer to a request that is not in flight.
+// reply queues an answer that consists of a word alone, to a request that is not in flight.
 func (c *clientConn) reply(tag uint64, word string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,24 +131,25 @@
 
 func (c *clientConn) remoteAddr() string { return c.netConn.RemoteAddr().String() }
 
-// idleSince reports whether nothing is in flight or unwritten, and when the client was last active.
+// idleSince returns the time of the last activity, and whether the connection has neither a request in flight nor an
+// unwritten answer.
 func (c *clientConn) idleSince() (since time.Time, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastActivity, c.idleLocked()
 }
 
-// idleLocked reports whether nothing is in flight or unwritten. The caller holds c.mu.
+// idleLocked reports whether the connection has neither a request in flight nor an unwritten answer. The caller holds c.mu.
 func (c *clientConn) idleLocked() bool {
-	return c.answersDueLocked().Check() == permit.Allowed
+	return c.pendingAnswersLocked().Check() == permit.Allowed
 }
 
-// answersDueLocked returns what is in use of the answers. The caller holds c.mu.
-func (c *clientConn) answersDueLocked() permit.Connection {
+// pendingAnswersLocked returns the numbers of unanswered requests and of unwritten answers. The caller holds c.mu.
+func (c *clientConn) pendingAnswersLocked() permit.Connection {
 	return permit.Connection{Open: len(c.requests), Unwritten: c.unwritten}
 }
 
-// close closes the connection and cancels the requests in flight on it. Only the first call has an effect.
+// close closes the connection and cancels its requests in flight. Calls after the first have no effect.
 func (c *clientConn) close(reason closeReason) {
 	c.mu.Lock()
 	if c.closed {
@@ -162,24 +165,24 @@
 	}
 }
 
-// closeIfIdle closes the connection if nothing is in use on it, and reports whether it did. An incomplete request counts only
-// where the reason spares it.
+// closeIfIdle closes the connection if it has no unhandled or unanswered request, no unwritten answer and no unread data, and
+// reports whether it did. An incomplete request also prevents the close if reason.waitsForIncomplete.
 func (c *clientConn) closeIfIdle(reason closeReason) (closed bool) {
 	c.mu.Lock()
-	if c.closed || !c.netConn.stopReadingIfUnused(reason, c.answersDueLocked()) {
+	if c.closed || !c.netConn.stopReadingIfIdle(reason, c.pendingAnswersLocked()) {
 		c.mu.Unlock()
 		return false
 	}
-	c.closeLocked() // an idle connection has no requests to cancel
+	c.closeLocked() // returns no handles: an idle connection has no requests in flight
 	c.mu.Unlock()
 	reason.count()
 	c.netConn.Close()
 	return true
 }
 
-// closeLocked marks the connection as closed, ends the writer and removes the requests in flight. It returns the
-// handles of these, for the caller to cancel: that, and closing netConn, must wait until c.mu is released. The caller
-// holds c.mu and has found the connection not closed yet.
+// closeLocked marks the connection as closed, stops the writer and removes the requests in flight. The caller holds c.mu and
+// has checked that the connection is not closed yet. After releasing c.mu, and not before, the caller closes netConn and
+// cancels the returned handles, which belong to the removed requests.
 func (c *clientConn) closeLocked() []*dispatch.Handle {
 	c.closed = true
 	close(c.done)
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -36,7 +36,8 @@
 	assert.Equal(t, "1 no  ", c.receive())
 }
 
-// A worker that dies with a call in hand may have run it: a reserva fails and is not retried.
+// A worker whose connection breaks during a call may have run the call. A reserva must not run twice, so it fails without a
+// retry.
 func TestNonIdempotentCallIsNotRetriedAfterAReset(t *testing.T) {
 	w, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	c := startAndConnect(t, w, other)
@@ -47,7 +48,8 @@
 	assert.Equal(t, 1, w.CallCount("book")+other.CallCount("book"))
 }
 
-// The same for a frame whose checksum does not match: nothing after it on the connection can be trusted.
+// A frame with a wrong checksum ends the worker's connection, because nothing after it can be trusted. The requests in flight on
+// that connection may have run, so a reserva fails.
 func TestCorruptFrameFailsRequestsInFlight(t *testing.T) {
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
@@ -69,7 +71,7 @@
 	assert.Equal(t, "1 ok  seen", c.receive())
 }
 
-// After a CANCEL no answer is due, and one that crosses it must not reach the client.
+// A cancelled call gets no answer: an answer that the worker sends after the CANCEL must not reach the client.
 func TestLateAnswerAfterCancelIsDropped(t *testing.T) {
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
@@ -83,7 +85,7 @@
 	assert.Equal(t, "2 ok  in time", c.receive())
 }
 
-// A worker does not answer: the call ends at its deadline, and the worker is told to cancel it.
+// A call that the worker does not answer fails at its deadline, and the dispatcher sends the worker a cancellation.
 func TestUnansweredCallFailsAtItsDeadline(t *testing.T) {
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
@@ -93,7 +95,8 @@
 	assert.Equal(t, received.ID, fakes.Receive(t, w.Cancelled))
 }
 
-// Two requests in flight under one id: a worker would take them for one, and its answer could go to either.
+// A second request with the id of a request in flight fails: a worker would treat both as one, and its answer could go to
+// either client.
 func TestIDOfARequestInFlightIsNotAcceptedAgain(t *testing.T) {
 	w := fakes.NewWorker(t)
 	_, connect := startServer(t, w)
@@ -109,8 +112,8 @@
 	assert.Equal(t, "1 ok  done", other.receive())
 }
 
-// A client that closes has gone. One that closes only its sending half looks just the same: both send the end of the
-// stream and nothing more, and the client protocol has no word that tells them apart. Its calls are cancelled.
+// The end of a client's stream cancels its calls. A client that closes its connection and one that closes only its sending half
+// look the same: both send only the end of the stream, and nothing in the client protocol distinguishes them.
 func TestEndOfStreamCancelsCallsInFlight(t *testing.T) {
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
@@ -123,7 +126,8 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// The same with a call behind it that has not begun: the last bytes of both come with the end of the stream.
+// The end of the stream also cancels the calls that are read together with it, including a second call that has not started.
+// Afterwards other clients are served.
 func TestEndOfStreamCancelsCallsReadWithIt(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startServer(t, w)
@@ -136,14 +140,14 @@
 	other := connect()
 	other.sendCall(3, "reserva", "other")
 	received := w.Next()
-	for received.Body != "other" { // what had begun before the end was read may be there
+	for received.Body != "other" { // calls that started before the end of the stream was read may also arrive
 		received = w.Next()
 	}
 	received.OK("done")
 	assert.Equal(t, "3 ok  done", other.receive())
 }
 
-// A link that loses every other packet brings a request byte by byte.
+// A request may arrive byte by byte, for example over a link that loses every other packet.
 func TestRequestReceivedByteByByte(t *testing.T) {
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
--- a/internal/frontend/resp/conncall.go
+++ b/internal/frontend/resp/conncall.go
@@ -11,27 +11,28 @@
 	"kitefall/internal/metrics"
 )
 
-// refusedWhenDraining names requests that are refused since the process sends its clients away, in metrics.
-const refusedWhenDraining = "draining"
+// refusalDraining is the metrics label of calls that are rejected because the process is sending its clients away.
+const refusalDraining = "draining"
 
-// maxRequestsPerConn is how many requests may be in flight on one connection.
+// maxRequestsPerConn is the maximum number of requests in flight on one connection.
 const maxRequestsPerConn = 32
 
 var (
 	errConnClosed      = errors.New("connection closed before the request was accepted")
-	errDuplicateID     = errors.New("its id is that of a request in flight")
-	errTooManyRequests = fmt.Errorf("%d requests are in flight on its connection", maxRequestsPerConn)
+	errDuplicateID     = errors.New("a request with the same id is in flight")
+	errTooManyRequests = fmt.Errorf("the connection already has %d requests in flight", maxRequestsPerConn)
 )
 
-// inFlightRequest is a CALL that is not answered yet.
+// inFlightRequest is a CALL without an answer.
 type inFlightRequest struct {
 	id     uint64
 	handle *dispatch.Handle // nil until the dispatcher has accepted the call
-	// abandoned means that the request was ended while it had no handle: submit cancels it.
+	// abandoned is set if the request ended while handle was nil. In that case submit cancels the call once it has the handle.
 	abandoned bool
 }
 
-// handleCall hands a call to the dispatcher. An error ends the connection; a call that cannot be used is answered.
+// handleCall parses a CALL and submits it to the dispatcher. It answers invalid calls as failed, and calls that the drain no
+// longer admits as rejected. It returns an error if the connection must be closed.
 func (c *clientConn) handleCall(tag uint64, args [][]byte) error {
 	if err := c.checkTag(tag); err != nil {
 		return err
@@ -39,7 +40,7 @@
 	now := time.Now()
 	parsed, err := parseCall(args, &c.server.Settings, now)
 	if err == nil && !c.server.DrainState.Admits(now, parsed.Deadline) {
-		metrics.Refusals.Add(refusedWhenDraining)
+		metrics.Refusals.Add(refusalDraining)
 		c.reply(tag, wordRejected)
 		return nil
 	}
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// checkTag fails if a CALL with the tag ends the connection.
+// checkTag records that a CALL has arrived. It returns an error if the connection is closed, or must be closed because the tag
+// is in use.
 func (c *clientConn) checkTag(tag uint64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,23 +74,23 @@
 	if c.closed {
 		return errConnClosed
 	}
-	if c.requests[tag] != nil { // an answer to either could be taken for that to the other
-		return fmt.Errorf("%w: tag %d is in flight already", errMalformedRequest, tag)
+	if c.requests[tag] != nil { // the client could not tell which of the two requests an answer belongs to
+		return fmt.Errorf("%w: a request with tag %d is already in flight", errMalformedRequest, tag)
 	}
 	return nil
 }
 
-// addRequest registers a request under its tag, which checkTag has found free.
+// addRequest registers a request under its tag, after checkTag has found that the tag is free.
 func (c *clientConn) addRequest(tag, id uint64) (*inFlightRequest, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed { // the client sends it again on another connection: it must not run for this one too
+	if c.closed { // the client retries on another connection, so the call must not also run for this connection
 		return nil, errConnClosed
 	}
 	if len(c.requests) >= maxRequestsPerConn {
 		return nil, errTooManyRequests
 	}
-	if !c.server.requestIDs.claim(id) { // a worker would take the two requests for one, and mix up their answers
+	if !c.server.requestIDs.claim(id) { // a worker would treat both requests as one and mix up their answers
 		return nil, errDuplicateID
 	}
 	request := &inFlightRequest{id: id}
@@ -96,7 +98,7 @@
 	return request, nil
 }
 
-// submit hands a registered request to the dispatcher. If that is overloaded, the request is rejected.
+// submit submits a registered request to the dispatcher. If the dispatcher is overloaded, the request is rejected.
 func (c *clientConn) submit(request *inFlightRequest, parsed *call.Call) {
 	handle, err := c.server.Core.Submit(parsed)
 	if err != nil {
@@ -112,7 +114,7 @@
 	}
 }
 
-// complete answers a request, unless it was cancelled: then no answer is due.
+// complete answers a request, unless the request is no longer in flight: a cancelled request gets no answer.
 func (c *clientConn) complete(tag uint64, request *inFlightRequest, a answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +124,8 @@
 	}
 }
 
-// failOpenRequests answers all requests that are open, as failed, since their time here is over, and cancels them.
+// failOpenRequests answers all requests in flight as failed and cancels their calls. It is called when the time to answer them
+// is over.
 func (c *clientConn) failOpenRequests() {
 	now := time.Now()
 	var abandoned []*dispatch.Handle
@@ -137,8 +140,8 @@
 	}
 }
 
-// abandonLocked ends a request that the dispatcher has not answered, and returns its handle, if it has one yet, for the
-// caller to cancel once c.mu is released. The caller holds c.mu.
+// abandonLocked removes a request that the dispatcher has not answered. It returns the request's handle, if it has one yet,
+// for the caller to cancel after releasing c.mu. The caller holds c.mu.
 func (c *clientConn) abandonLocked(tag uint64, request *inFlightRequest) []*dispatch.Handle {
 	c.removeRequestLocked(tag)
 	if request.handle == nil {
@@ -148,7 +151,7 @@
 	return []*dispatch.Handle{request.handle}
 }
 
-// removeRequestLocked ends a request. The caller holds c.mu.
+// removeRequestLocked removes a request in flight and releases its id. The caller holds c.mu.
 func (c *clientConn) removeRequestLocked(tag uint64) {
 	c.server.requestIDs.release(c.requests[tag].id)
 	delete(c.requests, tag)
--- a/internal/frontend/resp/connwriter.go
+++ b/internal/frontend/resp/connwriter.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// answerQueueSize leaves room for the answers to all requests in flight, and as many to others.
+// answerQueueSize is the capacity of the answer queue: one answer for each request in flight, and as many for requests that
+// are answered at once, such as CHECK.
 const answerQueueSize = 2 * maxRequestsPerConn
 
-// enqueueLocked queues an answer. It never blocks, since the dispatcher's own goroutine calls it. The caller holds
-// c.mu.
+// enqueueLocked queues an answer. It never blocks, because the dispatcher's event loop calls it. The caller holds c.mu.
 func (c *clientConn) enqueueLocked(a answer) {
 	select {
 	case c.answers <- a:
 		c.unwritten++
 	default:
-		// The client sends requests and does not read: it is disconnected, lest its answers fill the memory. On a
-		// goroutine of its own, which ends with that, because close takes c.mu.
-		go c.close(closedUnread)
+		// The client sends requests without reading the answers. It is disconnected so that its answers do not fill the
+		// memory. A new goroutine does so, because close locks c.mu, which the caller holds.
+		go c.close(closedAnswersUnread)
 	}
 }
 
-// writeAnswers writes the queued answers, those that wait at the same time together, until the connection is closed.
+// writeAnswers writes queued answers until the connection is closed. It writes all answers that are queued at the same time
+// in one flush.
 func (c *clientConn) writeAnswers() {
 	buffered := 0
 	for {
@@ -36,7 +37,8 @@
 	}
 }
 
-// flush writes the buffered answers to the network, by a deadline.
+// flush writes the buffered answers to the network, and closes the connection if the write fails or is incomplete at
+// the deadline. buffered is the number of buffered answers.
 func (c *clientConn) flush(buffered int, deadline time.Time) {
 	c.netConn.SetWriteDeadline(deadline)
 	if c.respConn.Flush() != nil {
--- a/internal/frontend/resp/crossing_test.go
+++ b/internal/frontend/resp/crossing_test.go
@@ -14,22 +14,24 @@
 	"kitefall/internal/tcpstate"
 )
 
-const crossings = 1000
+const crossingAttempts = 1000
 
-// The system tells the client of a request that crossed the close of its connection: with a reset where the request was not
-// read. So one that was read has its answer, at whatever moment its connection is closed as idle.
-func TestRequestThatWasReadIsNotClosedWithoutAnAnswer(t *testing.T) {
-	server, connect := startDraining(t, patient, fakes.NewWorker(t))
+// Guards against closing a connection as idle after a request on it was read and before that request is answered. The operating
+// system resets a connection that is closed with an unread request, so that the client knows that the request had no effect. A
+// request that was read must therefore be answered. Each attempt sends a second request at a different moment around the close
+// that follows the answer to the first request.
+func TestReadRequestIsAnsweredBeforeClose(t *testing.T) {
+	server, connect := startDraining(t, closeIdleOnly, fakes.NewWorker(t))
 	evacuate(server)
 	unread, dropped := 0, 0
-	for i := range crossings {
+	for i := range crossingAttempts {
 		c := connect()
 		c.sendCommand("CHECK", "1", "")
-		spin(time.Duration(i%200) * time.Microsecond)
+		busyWait(time.Duration(i%200) * time.Microsecond)
 		_, err := io.WriteString(c, encodeCommand("CHECK", "2", ""))
 		received, _ := io.ReadAll(c.reader)
 		switch {
-		case err != nil || string(received) != encodeCommand("1", "yes", "", ""): // it was closed before, or both were answered
+		case err != nil || string(received) != encodeCommand("1", "yes", "", ""): // closed before the write, or both answered
 		case wasReset(c.Conn.(*net.TCPConn)):
 			unread++
 		default:
@@ -37,46 +39,47 @@
 		}
 		c.Close()
 	}
-	t.Logf("of %d second requests %d crossed the close unread, %d were read and had no answer", crossings, unread, dropped)
+	t.Logf("%d second requests: %d unread at the close, %d read but not answered", crossingAttempts, unread, dropped)
 	assert.Zero(t, dropped)
 }
 
-// The same where the rest of a request comes as the time for its connection is over.
-func TestRequestThatIsCompletedAtTheEndIsNotClosedWithoutAnAnswer(t *testing.T) {
-	const span = 40 * time.Millisecond
-	server, connect := startDraining(t, drain.Schedule{CloseBy: span}, fakes.NewWorker(t))
+// Guards against the same fault at the close deadline: the rest of an incomplete request arrives around the moment at which its
+// connection is closed.
+func TestRequestCompletedAtCloseByIsAnsweredBeforeClose(t *testing.T) {
+	const closeBy = 40 * time.Millisecond
+	server, connect := startDraining(t, drain.Schedule{CloseBy: closeBy}, fakes.NewWorker(t))
 	server.DrainState.Evacuate(time.Now().Add(-time.Minute))
 	for round := range 20 {
-		var sent []*client
-		var pauses sync.WaitGroup
+		var clients []*client
+		var senders sync.WaitGroup
 		begin := time.Now()
 		for i := range defaultMaxConns / 2 {
 			c := connect()
 			encoded := encodeCommand("CHECK", "1", "")
 			c.sendRaw(encoded[:9])
-			sent = append(sent, c)
-			pauses.Go(func() {
-				time.Sleep(time.Until(begin.Add(span + time.Duration(32*(round%5)+i)*200*time.Microsecond)))
-				io.WriteString(c, encoded[9:]) // which fails where the connection is closed already
+			clients = append(clients, c)
+			senders.Go(func() {
+				time.Sleep(time.Until(begin.Add(closeBy + time.Duration(32*(round%5)+i)*200*time.Microsecond)))
+				io.WriteString(c, encoded[9:]) // fails if the connection is already closed
 			})
 		}
-		pauses.Wait()
-		for _, c := range sent {
+		senders.Wait()
+		for _, c := range clients {
 			received, _ := io.ReadAll(c.reader)
 			unanswered := string(received) != encodeCommand("1", "yes", "", "")
-			assert.False(t, unanswered && !wasReset(c.Conn.(*net.TCPConn)), "it was read and has no answer")
+			assert.False(t, unanswered && !wasReset(c.Conn.(*net.TCPConn)), "the request was read but not answered")
 			c.Close()
 		}
 	}
 }
 
-// spin waits more exactly than a timer does.
-func spin(length time.Duration) {
-	for begin := time.Now(); time.Since(begin) < length; {
+// busyWait waits in a loop, which is more exact than a timer.
+func busyWait(duration time.Duration) {
+	for begin := time.Now(); time.Since(begin) < duration; {
 	}
 }
 
-// wasReset reports whether the peer's machine has reset a connection, within a moment.
+// wasReset reports whether the peer resets the connection within 300 ms.
 func wasReset(conn *net.TCPConn) bool {
 	for begin := time.Now(); time.Since(begin) < 300*time.Millisecond; time.Sleep(100 * time.Microsecond) {
 		if tcpstate.WasReset(conn) {
--- a/internal/frontend/resp/drain.go
+++ b/internal/frontend/resp/drain.go
@@ -9,18 +9,18 @@
 	"kitefall/internal/metrics"
 )
 
-// How the server sends its clients away. Package drain decides; the sweep asks it for each connection, often while clients
-// are being sent away (sweepDraining), and a connection asks for itself whenever it may have become idle (closeIfDraining).
-// Requests that are not taken any more are refused (handleCall). At the end of the process the listener reports its end only
-// after the last connection (waitForLastConn).
+// This file closes the connections of clients that the server sends away. Package drain decides which. While clients are being
+// sent away, the sweep asks package drain about every connection at short intervals (sweepDraining), and each connection asks
+// whenever it may have become idle (closeIfDraining). handleCall rejects the calls that package drain no longer admits.
+// When the process ends, the listener waits for the last connection before it reports its own end (waitForLastConn).
 
 // drainSweepInterval is the time between two sweeps while clients are being sent away.
 const drainSweepInterval = 20 * time.Millisecond
 
-// violationClientHeld names connections that still had requests open when the time for it was over, in metrics.
+// violationClientHeld is the metrics label of connections that still had unanswered requests at their close deadline.
 const violationClientHeld = "client_held"
 
-// sweepInterval is the time until the next sweep.
+// sweepInterval returns the time until the next sweep.
 func (s *Server) sweepInterval() time.Duration {
 	if s.DrainState.Phase() != drain.Serving {
 		return drainSweepInterval
@@ -28,7 +28,7 @@
 	return max(s.Timeouts.FirstRequest/sweepsPerTimeout, minSweepInterval)
 }
 
-// sweepDraining does with each connection what package drain says.
+// sweepDraining applies the decision of package drain to every connection.
 func (s *Server) sweepDraining(now time.Time) {
 	if s.DrainState.Phase() == drain.Serving {
 		return
@@ -44,15 +44,16 @@
 	return slices.Collect(maps.Keys(s.conns))
 }
 
+// drainConn applies the decision of package drain to one connection.
 func (s *Server) drainConn(conn *trackedConn, now time.Time) {
-	client := conn.attached()
+	client := conn.attachedClient()
 	lastRequest, open := conn.acceptedAt, 0
 	if client != nil {
-		lastRequest, open = client.requestsInUse()
+		lastRequest, open = client.requestActivity()
 	}
 	switch s.DrainState.Judge(now, conn.acceptedAt, lastRequest) {
 	case drain.Keep:
-		conn.overdue = false // it was spared by a call to take clients again
+		conn.pastCloseDeadline = false // a sweep of an earlier drain, which a rejoin has ended, may have set it
 	case drain.CloseIfIdle:
 		conn.closeIfIdle(closedWhenDraining)
 	case drain.AnswerAndClose:
@@ -61,37 +62,38 @@
 		}
 		conn.closeIfIdle(closedWhenDraining)
 	case drain.Close:
-		conn.closeOverdue(open)
+		conn.closePastDeadline(open)
 	}
 }
 
-// closeOverdue closes a connection whose time is over. What was read up to now is answered first, until the next sweep; the
-// rest of a request that came in part is not waited for. open is how many requests had no answer when this sweep began.
-func (t *trackedConn) closeOverdue(open int) {
-	if t.closeIfIdle(closedOverdue) {
+// closePastDeadline closes a connection whose close deadline has passed. If the connection is still in use, it fails the requests
+// in flight and closes the connection only in the next sweep, so that all requests that were read are answered first. It does not
+// wait for the rest of an incomplete request. open is the number of unanswered requests when this sweep began.
+func (t *trackedConn) closePastDeadline(open int) {
+	if t.closeIfIdle(closedDrainTimeout) {
 		return
 	}
-	if t.overdue {
-		if open > 0 { // they came after the last sweep, which answered all
+	if t.pastCloseDeadline {
+		if open > 0 { // they arrived after the last sweep, which answered all requests
 			metrics.Violations.Add(violationClientHeld)
 		}
-		t.closeAnyway(closedOverdue)
+		t.forceClose(closedDrainTimeout)
 		return
 	}
-	t.overdue = true
-	if client := t.attached(); client != nil {
+	t.pastCloseDeadline = true
+	if client := t.attachedClient(); client != nil {
 		client.failOpenRequests()
 	}
 }
 
-// requestsInUse returns when the last request came, and how many are open.
-func (c *clientConn) requestsInUse() (last time.Time, open int) {
+// requestActivity returns when the last CALL arrived (zero: none has), and the number of unanswered requests.
+func (c *clientConn) requestActivity() (last time.Time, open int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastRequest, len(c.requests)
 }
 
-// closeIfDraining closes the connection if it is idle and clients are being sent away.
+// closeIfDraining closes the connection if it is idle and idle connections are being closed to send clients away.
 func (c *clientConn) closeIfDraining() {
 	now := time.Now()
 	if c.server.DrainState.Judge(now, now, now) != drain.Keep {
@@ -99,7 +101,7 @@
 	}
 }
 
-// waitForLastConn returns once no connection is open.
+// waitForLastConn blocks until no connection is open.
 func (s *Server) waitForLastConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/resp/drain_test.go
+++ b/internal/frontend/resp/drain_test.go
@@ -15,34 +15,36 @@
 	"kitefall/internal/metrics"
 )
 
-// startDraining starts a dispatcher for the workers that sends its clients away by a schedule when it is evacuated.
+// startDraining starts a server for the workers that follows the given schedule once it is evacuated.
 func startDraining(t *testing.T, evacuation drain.Schedule, workers ...*fakes.Worker) (*resp.Server, func() *client) {
 	t.Helper()
-	return startEvacuable(t, defaultMaxConns, resp.DefaultTimeouts, evacuation, workers...)
+	return startServerWithDrain(t, defaultMaxConns, resp.DefaultTimeouts, evacuation, workers...)
 }
 
 func evacuate(server *resp.Server) { server.DrainState.Evacuate(time.Now()) }
 
-// requireOpen fails if the connection ends within a time in which many sweeps look at it.
+// requireOpen fails the test if the connection is closed, or receives data, within 150 ms, which is several sweeps.
 func (c *client) requireOpen() {
 	c.t.Helper()
 	require.NoError(c.t, c.SetReadDeadline(time.Now().Add(150*time.Millisecond)))
 	_, err := c.reader.Peek(1)
-	require.ErrorIs(c.t, err, os.ErrDeadlineExceeded, "it is open still")
+	require.ErrorIs(c.t, err, os.ErrDeadlineExceeded, "the connection must stay open")
 	require.NoError(c.t, c.SetReadDeadline(fakes.Deadline()))
 }
 
+// requireClosed fails the test if the server sends more data instead of closing the connection.
 func (c *client) requireClosed() {
 	c.t.Helper()
 	_, err := c.reader.ReadByte()
 	assert.ErrorIs(c.t, err, io.EOF)
 }
 
-// patient closes idle connections at once, and waits for the others.
-var patient = drain.Schedule{AnswerBy: time.Hour, CloseBy: time.Hour}
+// closeIdleOnly closes idle connections at once and leaves the others open for an hour.
+var closeIdleOnly = drain.Schedule{AnswerBy: time.Hour, CloseBy: time.Hour}
 
-// Clients notice late that they are sent away: idle connections stay open for a while, and so does what comes meanwhile.
-func TestEvacuationLingers(t *testing.T) {
+// Clients notice late that the server is being evacuated. Until the end of Linger, idle connections stay open, and new
+// connections are accepted and served.
+func TestEvacuationKeepsConnectionsOpenDuringLinger(t *testing.T) {
 	server, connect := startDraining(t, drain.Schedule{Linger: 400 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour},
 		fakes.NewWorker(t))
 	early := connect()
@@ -55,10 +57,11 @@
 	late.requireClosed()
 }
 
-// A request whose first bytes have come is waited for and answered, on a new connection and on one that was used.
-func TestEvacuationWaitsForARequestInPart(t *testing.T) {
+// The server waits for the rest of a request that is incomplete when the evacuation starts, and answers it, both on a new
+// connection and on one that has been used.
+func TestEvacuationWaitsForIncompleteRequest(t *testing.T) {
 	w := fakes.NewWorker(t)
-	server, connect := startDraining(t, patient, w)
+	server, connect := startDraining(t, closeIdleOnly, w)
 	used, fresh := connect(), connect()
 	used.sendCommand("CHECK", "1", "")
 	used.receive()
@@ -79,23 +82,23 @@
 	}
 }
 
-// What is not answered by the time is answered as failed, and its attempt is given up; then the connection goes.
-func TestEvacuationAnswersWhatIsOpenAtItsEnd(t *testing.T) {
+// At AnswerBy, requests without an answer are answered as failed and their attempts are cancelled. Then the connection is closed.
+func TestEvacuationFailsOpenRequestsAtAnswerBy(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: 100 * time.Millisecond, CloseBy: time.Hour}, w)
 	c := connect()
 	c.sendCall(1, "reserva", "book")
 	received := w.Next()
-	evacuated := time.Now()
+	evacuatedAt := time.Now()
 	evacuate(server)
 	assert.Equal(t, "1 fault  ", c.receive())
 	c.requireClosed()
-	assert.Less(t, time.Since(evacuated), time.Second, "long before its deadline")
+	assert.Less(t, time.Since(evacuatedAt), time.Second, "the answer must come long before the deadline of the call")
 	assert.Equal(t, received.ID, fakes.Receive(t, w.Cancelled))
 }
 
-// A request that would keep its connection in use past the end is refused; one with less time is served.
-func TestEvacuationRefusesWhatItCannotFinish(t *testing.T) {
+// A call that may keep its connection in use beyond AnswerBy is rejected. A call with a shorter wait is served.
+func TestEvacuationRejectsCallsWithTooLongWait(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: 2 * time.Second, CloseBy: time.Hour}, w)
 	c := connect()
@@ -114,22 +117,23 @@
 	assert.Zero(t, w.CallCount("long"))
 }
 
-// A client that does not read its answers, or never finishes a request, is closed at the end, which is no violation.
-func TestEvacuationEndsStuckConnections(t *testing.T) {
+// A client that does not read its answers or never completes a request is disconnected at CloseBy. This does not count as a
+// violation. The test covers the incomplete request.
+func TestEvacuationClosesStuckConnections(t *testing.T) {
 	before := metrics.Violations.Get("client_held")
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: 50 * time.Millisecond, CloseBy: 200 * time.Millisecond},
 		fakes.NewWorker(t))
 	stuck := connect()
 	stuck.sendRaw("*3\r\n$5\r\nCHE")
 	require.Eventually(t, func() bool { return server.IncompleteRequests() == 1 }, 10*time.Second, time.Millisecond)
-	evacuated := time.Now()
+	evacuatedAt := time.Now()
 	evacuate(server)
 	stuck.requireClosed()
-	assert.Less(t, time.Since(evacuated), time.Second, "long before its timeout")
+	assert.Less(t, time.Since(evacuatedAt), time.Second, "the close must come long before the request timeout")
 	assert.Equal(t, before, metrics.Violations.Get("client_held"))
 }
 
-// Told to take clients again, at any moment, a server leaves alone what it has not closed yet.
+// After a rejoin the server keeps the connections that it has not closed yet.
 func TestRejoinKeepsConnections(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startDraining(t, drain.Schedule{Linger: 10 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour}, w)
@@ -144,9 +148,9 @@
 	busy.requireOpen()
 }
 
-// A connection that is made when all others have to be gone is not closed under its request: what is read is answered, on new
-// connections too (incident 2, found when the change was read again).
-func TestRequestOnANewConnectionIsAnsweredAfterTheEnd(t *testing.T) {
+// Guards against closing a connection that is made after CloseBy while its request is being sent: a request that was read is
+// answered on such a connection too (incident 2).
+func TestRequestOnNewConnectionIsAnsweredAfterCloseBy(t *testing.T) {
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: time.Second, CloseBy: 6 * time.Second}, fakes.NewWorker(t))
 	server.DrainState.Evacuate(time.Now().Add(-time.Minute))
 	late := connect()
@@ -155,6 +159,6 @@
 	require.Eventually(t, func() bool { return server.IncompleteRequests() == 1 }, 10*time.Second, time.Millisecond)
 	late.requireOpen()
 	late.sendRaw(encoded[9:])
-	assert.Equal(t, "1 yes  ", late.receive(), "whatever it is, as this server is always ready")
+	assert.Equal(t, "1 yes  ", late.receive(), "the CHECK must be answered; the answer is yes because this server is always ready")
 	late.requireClosed()
 }
--- a/internal/frontend/resp/export_test.go
+++ b/internal/frontend/resp/export_test.go
@@ -1,10 +1,10 @@
 package resp
 
-// IncompleteRequests returns how many connections have sent a request in part.
+// IncompleteRequests returns the number of connections with an incomplete request.
 func (s *Server) IncompleteRequests() int {
 	incomplete := 0
 	for _, conn := range s.openConns() {
-		if conn.requestBegan.Load() != 0 {
+		if conn.incompleteSince.Load() != 0 {
 			incomplete++
 		}
 	}
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -9,30 +9,31 @@
 	"kitefall/internal/metrics"
 )
 
-// acceptRetryDelay is the pause after an accept that failed for want of descriptors or memory.
+// acceptRetryDelay is the pause after an accept that failed, most likely for lack of descriptors or memory.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// listener accepts connections for redcon, as many at a time as the server has descriptors for, and tracks each with its
-// server. When all are taken, the connection that is idle longest makes room.
+// listener accepts connections for redcon and registers them with the server. It keeps no more connections open than the server
+// has descriptors for: when none is free, a new connection replaces an idle one, in the order of idleConn.compare.
 type listener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept returns the next connection, a *trackedConn. Its only error is the end of the listener, wrapping
-// net.ErrClosed; all others are logged and the accept is tried again.
+// Accept returns the next connection, a *trackedConn. It returns an error, which wraps net.ErrClosed, only when the listener
+// is closed. It logs any other error and tries again.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
-			// At the end of its listener redcon closes all connections that it still holds, also one whose first
-			// request has come or is being handed over at this moment. So it learns of the end after the last of them.
+			// When its listener ends, redcon closes all connections that it still holds, even one whose first request
+			// has arrived or is being passed to handleFirstRequest. Therefore redcon gets the error only after the last
+			// connection has been closed.
 			l.server.waitForLastConn()
 			return nil, err
 		case err != nil:
 			l.handleAcceptError(err)
-		case !l.makeRoom():
+		case !l.acquireDescriptor():
 			l.reject(conn)
 		default:
 			return l.server.track(conn), nil
@@ -40,21 +41,22 @@
 	}
 }
 
-// handleAcceptError closes the connection that is idle longest, since the process is most likely out of descriptors,
-// and pauses: redcon would try again at once and keep the processor busy.
+// handleAcceptError closes one idle connection, because the process is most likely out of descriptors. It then pauses, because
+// an immediate retry, as redcon would do it, would keep the processor busy.
 func (l *listener) handleAcceptError(err error) {
 	metrics.Shortages.Add("accept")
 	l.server.logs.acceptFailed.Log(slog.LevelWarn, "frontend: cannot accept a connection", "err", err)
-	l.server.closeOneIdle(closedForShortage)
+	l.server.closeOneIdle(closedOnAcceptError)
 	time.Sleep(acceptRetryDelay)
 }
 
-// makeRoom takes a descriptor of the share for a connection, closes idle ones until there is one, and reports whether there
-// is. Clients that connect and stay must not keep others out; nor may the frontend exceed its limit, since the remaining
-// descriptors are for the workers, and without these no request in flight could end well.
-func (l *listener) makeRoom() bool {
+// acquireDescriptor takes a descriptor of the server's share for a new connection, and reports whether it got one. If none is
+// free, it closes idle connections until one is, because clients that connect and stay idle must not keep others out. The
+// frontend must not exceed its share: the other descriptors are needed for the workers, without which no request in flight
+// could be served.
+func (l *listener) acquireDescriptor() bool {
 	for !l.server.descriptors.TryAcquire() {
-		if !l.server.closeOneIdle(closedForRoom) {
+		if !l.server.closeOneIdle(closedForNewConn) {
 			return false
 		}
 	}
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -18,9 +18,9 @@
 
 const checkRequest = "*3\r\n$5\r\nCHECK\r\n$1\r\n1\r\n$0\r\n\r\n"
 
-// fakeListener is a listener whose accepts return what the test puts into results.
+// fakeListener is a listener whose Accept returns the values that the test sends to results.
 type fakeListener struct {
-	results     chan any // a net.Conn or an error each
+	results     chan any // each value is a net.Conn or an error
 	acceptCalls atomic.Int64
 	closed      chan struct{}
 	closeOnce   sync.Once
@@ -50,14 +50,14 @@
 
 func (l *fakeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connect lets the listener accept a connection and returns the client's end of it.
+// connect makes Accept return a new connection and returns the client's end of that connection.
 func (l *fakeListener) connect() net.Conn {
 	client, server := net.Pipe()
 	l.results <- server
 	return client
 }
 
-// serveOn starts a server without a dispatcher, for tests that send no CALL. Its Serve returns into the channel.
+// serveOn starts a server without a dispatcher, for tests that send no CALL. The channel receives the result of Serve.
 func serveOn(ln net.Listener) (*Server, <-chan error) {
 	server := &Server{
 		Ready:      func() bool { return true },
@@ -70,8 +70,9 @@
 	return server, serveErr
 }
 
-// At the end of its listener redcon closes every connection that it still holds. One that had not sent its first
-// request yet, or whose first request was being handed over, lost it: a planned restart must accept and answer it.
+// Guards against losing first requests in a planned restart: when its listener ends, redcon closes every connection that it
+// still holds. That includes connections that have not sent their first request yet, or whose first request is being passed to
+// the handler. These requests must be accepted and answered.
 func TestRequestIsAnsweredAfterTheListenerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ln := newFakeListener()
@@ -80,7 +81,7 @@
 		synctest.Wait()
 		ln.Close()
 		synctest.Wait()
-		require.Equal(t, 1, server.ActiveConns(), "closed with the listener")
+		require.Equal(t, 1, server.ActiveConns(), "the connection must stay open after the listener is closed")
 		go client.Write([]byte(checkRequest))
 		answer := make([]byte, 64)
 		n, err := client.Read(answer)
@@ -88,31 +89,32 @@
 		assert.Contains(t, string(answer[:n]), wordReady)
 		server.DrainState.Terminate(time.Now())
 		synctest.Wait()
-		require.Len(t, serveErr, 1, "Serve returns after its last connection")
+		require.Len(t, serveErr, 1, "Serve must have returned after the last connection")
 		assert.NoError(t, <-serveErr)
 	})
 }
 
-// Out of descriptors, every accept fails at once. Redcon tried again without a pause, and nothing else of the program
-// got to run; now the connection idle longest makes room, and the next client is accepted.
-func TestAcceptErrorMakesRoomAndPauses(t *testing.T) {
+// Guards against a busy loop when the process is out of descriptors: every accept fails at once, and redcon retried without a
+// pause, so that nothing else in the process could run. The listener must pause and close the connection that is idle longest,
+// so that the next client is accepted.
+func TestAcceptErrorClosesIdleConnectionAndPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ln := newFakeListener()
 		server, serveErr := serveOn(ln)
 		idle := ln.connect()
 		synctest.Wait()
-		acceptCalls, began := ln.acceptCalls.Load(), time.Now()
+		acceptCalls, startedAt := ln.acceptCalls.Load(), time.Now()
 		for range 3 {
 			ln.results <- syscall.EMFILE
 		}
 		next := ln.connect()
 		_, err := idle.Read(make([]byte, 1))
-		assert.Error(t, err, "it made room")
+		assert.Error(t, err, "the idle connection must be closed")
 		go next.Write([]byte(checkRequest))
 		_, err = next.Read(make([]byte, 64))
 		assert.NoError(t, err)
 		assert.LessOrEqual(t, ln.acceptCalls.Load()-acceptCalls, int64(5))
-		assert.GreaterOrEqual(t, time.Since(began), 3*acceptRetryDelay)
+		assert.GreaterOrEqual(t, time.Since(startedAt), 3*acceptRetryDelay)
 		ln.Close()
 		server.DrainState.Terminate(time.Now())
 		synctest.Wait()
--- a/internal/frontend/resp/parse.go
+++ b/internal/frontend/resp/parse.go
@@ -12,14 +12,14 @@
 	"kitefall/internal/call"
 )
 
-// The bounds of the numbers in a CALL request.
+// The upper bounds of the numbers in a CALL request.
 const (
-	maxDurationMS  = 600_000 // of every duration
+	maxDurationMS  = 600_000 // for every duration
 	maxConcurrency = 1 << 10
 	maxMemoryMB    = 1 << 20
 )
 
-// How the fields of a CALL request, and those within its field "spec", are written.
+// The separators of the fields of a CALL request, and of the fields within its field "spec".
 const (
 	fieldSeparator     = ","
 	fieldAssignment    = "="
@@ -27,7 +27,7 @@
 	specAssignment     = ":"
 )
 
-// fieldError reports a field of a CALL request that cannot be used.
+// fieldError reports an invalid field of a CALL request.
 type fieldError struct {
 	field  string
 	value  string
@@ -38,19 +38,19 @@
 	return fmt.Sprintf("field %s=%q: %s", e.field, e.value, e.reason)
 }
 
-// parseCall builds a call from the arguments of a CALL request after its tag: class, fields, and optionally a body. It
-// rejects whatever a worker or the balancer could not use: a worker would answer it with an error, and that would
-// count against the worker. Fields that it does not know are ignored. Source: client protocol.
+// parseCall builds a call from the arguments of a CALL request that follow its tag: class, fields and an optional body. It
+// returns an error for every value that a worker or the balancer could not use, because a worker would answer it with an error,
+// which would count against the worker. Unknown fields are ignored. Source: client protocol.
 func parseCall(args [][]byte, settings *balancer.Settings, now time.Time) (*call.Call, error) {
 	if len(args) < 2 || len(args) > 3 {
-		return nil, fmt.Errorf("%d arguments after the tag, want class, fields and an optional body", len(args))
+		return nil, fmt.Errorf("%d arguments after the tag, want a class, fields and an optional body", len(args))
 	}
 	parser := callParser{call: &call.Call{Class: string(args[0])}}
 	if len(args) == 3 {
 		parser.call.Body = args[2]
 	}
 	if len(parser.call.Body) > call.MaxBodyBytes {
-		return nil, fmt.Errorf("body of %d bytes, at most %d are allowed", len(parser.call.Body), call.MaxBodyBytes)
+		return nil, fmt.Errorf("the body has %d bytes, the limit is %d", len(parser.call.Body), call.MaxBodyBytes)
 	}
 	if err := forEachField(string(args[1]), fieldSeparator, fieldAssignment, parser.setField); err != nil {
 		return nil, err
@@ -58,14 +58,14 @@
 	if err := parser.checkRequired(); err != nil {
 		return nil, err
 	}
-	if err := checkKnown(parser.call, settings); err != nil {
+	if err := checkClassAndTenant(parser.call, settings); err != nil {
 		return nil, err
 	}
 	parser.call.Deadline = now.Add(parser.wait)
 	return parser.call, nil
 }
 
-// callParser fills in a call from its fields.
+// callParser sets the fields of a call from the text of a CALL request.
 type callParser struct {
 	call  *call.Call
 	hasID bool
@@ -92,7 +92,7 @@
 	return err
 }
 
-// setSpecField sets a property of the function's loaded copies.
+// setSpecField sets one property of the loaded copies of the call's function.
 func (p *callParser) setSpecField(name, value string) (err error) {
 	switch name {
 	case "memory_mb":
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// checkKnown checks the class and the tenant of a call against the settings. Without tenants in the settings any is
-// accepted.
-func checkKnown(c *call.Call, settings *balancer.Settings) error {
+// checkClassAndTenant returns an error if the class or the tenant of a call is not in the settings. If the settings list no
+// tenants, every tenant is accepted.
+func checkClassAndTenant(c *call.Call, settings *balancer.Settings) error {
 	hasClass := func(class balancer.Class) bool { return class.Name == c.Class }
 	if !slices.ContainsFunc(settings.Classes, hasClass) {
 		return fmt.Errorf("unknown class %q", c.Class)
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// parseID reads the 16 hex digits by which the protocols name requests and functions.
+// parseID parses 16 hex digits, as the protocols write the ids of requests and the keys of functions.
 func parseID(name, value string) (uint64, error) {
 	if !call.IsHexID(value) {
 		return 0, &fieldError{field: name, value: value, reason: "must be 16 hex digits"}
@@ -146,7 +146,7 @@
 	return time.Duration(milliseconds * float64(time.Millisecond)), err
 }
 
-// parseNumber reads a number from minimum to maximum.
+// parseNumber parses a number and checks that it is between minimum and maximum, both included.
 func parseNumber(name, value string, minimum, maximum float64) (float64, error) {
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(number) {
@@ -158,8 +158,8 @@
 	return number, nil
 }
 
-// forEachField calls visit for each name and value in a list of fields. A name that is there twice is an error, as is
-// one without a value.
+// forEachField calls visit for each name and value in a list of fields. A name that occurs twice and a name without a value are
+// errors.
 func forEachField(list, separator, assignment string, visit func(name, value string) error) error {
 	seen := map[string]bool{}
 	for _, field := range strings.Split(list, separator) {
--- a/internal/frontend/resp/reply.go
+++ b/internal/frontend/resp/reply.go
@@ -9,7 +9,7 @@
 	"kitefall/internal/call"
 )
 
-// The words of answers.
+// The words that answers begin with, after their tag.
 const (
 	wordServed   = "ok"
 	wordRejected = "full"
@@ -18,28 +18,29 @@
 	wordNotReady = "no"
 )
 
-// fieldRetryAfter is the field of an answer that tells a rejected client when to come back, in milliseconds.
+// fieldRetryAfter is the field of a rejecting answer that holds the time after which the client may retry, in milliseconds.
 const fieldRetryAfter = "after"
 
-// writeGrace is how long after its deadline an answer may still be written.
+// writeGrace is how long after the deadline of a call its answer may still be written. For an answer to any other request it
+// runs from the creation of the answer.
 const writeGrace = time.Second
 
-// answer is an answer on its way to the client. Source: client protocol.
+// answer is an answer to a client's request. Source: client protocol.
 type answer struct {
 	tag           uint64 // of the request
 	word          string
 	fields        string
 	body          []byte
-	writeDeadline time.Time // it is of no use after this
+	writeDeadline time.Time // the answer is of no use after this time
 }
 
-// newAnswer returns an answer of a word alone.
+// newAnswer returns an answer with a word and neither fields nor a body.
 func newAnswer(tag uint64, word string, deadline time.Time) answer {
 	return answer{tag: tag, word: word, writeDeadline: deadline.Add(writeGrace)}
 }
 
-// newCallAnswer returns the answer to a call with a deadline. With sendRetryAfter a rejected client is told when to
-// come back.
+// newCallAnswer returns the answer to a call with the given deadline. If sendRetryAfter is set, the answer to a rejected call
+// says after how long the client may retry.
 func newCallAnswer(tag uint64, result call.Answer, deadline time.Time, sendRetryAfter bool) answer {
 	switch result.Outcome {
 	case call.Served:
@@ -57,7 +58,7 @@
 	}
 }
 
-// encode adds the answer to the buffer of conn, for the next flush.
+// encode appends the answer to the write buffer of conn. The next flush writes it.
 func (a *answer) encode(conn redcon.DetachedConn) {
 	conn.WriteArray(4)
 	conn.WriteBulkString(strconv.FormatUint(a.tag, 10))
--- a/internal/frontend/resp/request_test.go
+++ b/internal/frontend/resp/request_test.go
@@ -9,8 +9,7 @@
 	"kitefall/internal/fakes"
 )
 
-// What a worker could not use must not reach one: its error would be held against it. The frontend answers each of
-// these itself.
+// The frontend must answer invalid calls itself. A worker would answer them with an error, which would count against the worker.
 func TestInvalidCallsFailAtTheFrontend(t *testing.T) {
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
@@ -45,7 +44,7 @@
 			assert.Equal(t, tag+" fault  ", c.receive())
 		})
 	}
-	c.sendCall(1, "consulta", "good") // the first call that the worker sees
+	c.sendCall(1, "consulta", "good") // must be the first call that the worker receives
 	w.Next().OK("done")
 	assert.Equal(t, "1 ok  done", c.receive())
 }
@@ -56,14 +55,14 @@
 	assert.Equal(t, "5 fault  ", c.receive())
 }
 
-// Without the validator the first of these keeps redcon in a loop, the second grows its buffer, the third is a command
-// to it. All end the connection; other clients are served as before.
+// A malformed request ends its connection, and other clients are still served. Without the validator, redcon would loop on the
+// huge count, grow its buffer for the huge length, and accept the inline command.
 func TestMalformedRequestsEndTheConnection(t *testing.T) {
 	w := fakes.NewWorker(t)
 	_, connect := startServer(t, w)
 	before := connect()
 	before.sendCall(1, "consulta", "before")
-	w.Next().OK("done") // from here on the endpoints are known, and CHECK says yes
+	w.Next().OK("done") // after this the endpoints are known, and CHECK is answered with yes
 	assert.Equal(t, "1 ok  done", before.receive())
 	for name, data := range map[string]string{
 		"count beyond all bounds":  "*99999999999999999\r\n",
--- a/internal/frontend/resp/requestids.go
+++ b/internal/frontend/resp/requestids.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// requestIDs is the set of ids in use by requests in flight. It is safe for concurrent use.
+// requestIDs is the set of the ids of the requests in flight. It is safe for concurrent use.
 type requestIDs struct {
 	mu    sync.Mutex
 	inUse map[uint64]bool
@@ -10,7 +10,7 @@
 
 func newRequestIDs() *requestIDs { return &requestIDs{inUse: map[uint64]bool{}} }
 
-// claim reserves id and reports whether it was free.
+// claim adds id to the set, and reports whether it was not in it before.
 func (r *requestIDs) claim(id uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/frontend/resp/server.go
+++ b/internal/frontend/resp/server.go
@@ -1,8 +1,8 @@
-// Package resp is the frontend for the platform's clients. It accepts RESP requests over TCP, hands them to the
-// dispatcher as calls, and writes each answer as soon as it is known, in whatever order that is. Which worker gets a
-// call, and whether it is retried, is decided by the dispatcher alone.
+// Package resp is the frontend for the platform's clients. It accepts RESP requests over TCP, submits them to the
+// dispatcher as calls, and writes each answer as soon as it is known, regardless of the order of the requests. The dispatcher
+// alone decides which worker gets a call and whether the call is retried.
 //
-// Source: client protocol. The words of requests and answers are translated here and nowhere else.
+// Source: client protocol. Only this package encodes and decodes the words of its requests and answers.
 //
 // Locks are taken in this order: Server.mu, clientConn.mu, requestIDs.mu.
 package resp
@@ -23,50 +23,51 @@
 	"kitefall/internal/logthrottle"
 )
 
-// Timeouts bounds how long a client may hold a connection without a request in flight. A connection with requests in
-// flight is closed by none of them. The protocol owes a client an answer or a close 3 s after it has connected.
+// Timeouts limits how long a client may keep a connection open without a request in flight. No timeout closes a connection with
+// requests in flight. The client protocol demands that a client gets an answer or a close within 3 s of connecting.
 type Timeouts struct {
-	FirstRequest time.Duration // from the accept to the end of its first request
+	FirstRequest time.Duration // from the accept to the last byte of the first request
 	Request      time.Duration // from the first byte of a request to its last
-	Idle         time.Duration // since its last request or answer; clients usually close after 4 s themselves
-	// Silence is how long after the accept a connection without any request may have its first one under way. Until then it
-	// is the last to make room for others, and after that the first.
-	Silence time.Duration
+	Idle         time.Duration // since the last request or answer; clients usually close a connection after 4 s without one
+	// NewConnGrace is how long after the accept the first request of a connection may still be on its way. Until then, a
+	// connection without a request is the last that is closed to free a descriptor. After that it is the first.
+	NewConnGrace time.Duration
 }
 
-// DefaultTimeouts are the timeouts used in service.
+// DefaultTimeouts are the timeouts that the dispatcher uses.
 var DefaultTimeouts = Timeouts{
 	FirstRequest: 2500 * time.Millisecond,
 	Request:      2500 * time.Millisecond,
 	Idle:         5 * time.Second,
-	Silence:      250 * time.Millisecond,
+	NewConnGrace: 250 * time.Millisecond,
 }
 
 const (
 	minSweepInterval = time.Millisecond
-	// sweepsPerTimeout is how many sweeps fall into Timeouts.FirstRequest: it sets how late a timeout may be noticed.
+	// sweepsPerTimeout is the number of sweeps (see sweepUntilLastConn) in Timeouts.FirstRequest. It limits how late an expired
+	// timeout is noticed.
 	sweepsPerTimeout = 10
 )
 
-// Server serves clients on one address. The exported fields are set before Serve and not changed after it.
+// Server serves clients on one address. The exported fields must be set before Serve and not changed afterwards.
 type Server struct {
 	Core     *dispatch.Core
-	Ready    func() bool // the answer to CHECK
+	Ready    func() bool // decides the answer to CHECK
 	Settings balancer.Settings
 	Timeouts Timeouts
-	// DrainState says whether clients are sent away.
+	// DrainState decides whether and how clients are sent away.
 	DrainState *drain.State
 
 	logs        logs
 	descriptors *descriptors.Share
-	requestIDs  *requestIDs // of the requests in flight on all connections
+	requestIDs  *requestIDs // the ids of the requests in flight on all connections
 
 	mu         sync.Mutex
 	conns      map[*trackedConn]bool
-	connClosed *sync.Cond // signals that a connection has left conns
+	connClosed *sync.Cond // signals that a connection was removed from conns
 }
 
-// logs holds one throttled log line per fault that clients can cause at will.
+// logs holds a throttled logger for each log line whose rate depends on the clients.
 type logs struct {
 	connRejected  *logthrottle.Logger
 	acceptFailed  *logthrottle.Logger
@@ -74,14 +75,14 @@
 	requestFailed *logthrottle.Logger
 }
 
-// Serve accepts connections on ln, and takes their descriptors from a share. It returns once ln is closed and the last
-// connection has ended. It must be called once only.
+// Serve accepts connections on ln and serves them. Each open connection holds a descriptor of share. Serve returns after ln and
+// the last connection are closed. It must be called only once.
 func (s *Server) Serve(ln net.Listener, share *descriptors.Share) error {
 	s.descriptors = share
 	s.init()
 	listenerEnded := make(chan struct{})
 	defer close(listenerEnded)
-	go s.sweepUntilLastConn(listenerEnded) // ends by itself after the last connection
+	go s.sweepUntilLastConn(listenerEnded) // returns when Serve has returned and no connection is open
 	limited := &listener{Listener: ln, server: s}
 	return redcon.NewServer(ln.Addr().String(), s.handleFirstRequest, nil, nil).Serve(limited)
 }
@@ -107,9 +108,9 @@
 	return len(s.conns)
 }
 
-// handleFirstRequest takes a connection out of redcon's hands at its first request: redcon answers requests in their
-// order, and here an answer may come long after those to later requests. The two goroutines that it starts end when
-// the connection is closed.
+// handleFirstRequest detaches a connection from redcon at its first request, because redcon answers requests in order, while
+// here an answer may follow long after the answers to later requests. The two goroutines that it starts end when the connection
+// is closed.
 func (s *Server) handleFirstRequest(conn redcon.Conn, command redcon.Command) {
 	tracked := conn.NetConn().(*trackedConn)
 	client := newClientConn(s, tracked, conn.Detach())
@@ -120,20 +121,20 @@
 	go client.readRequests(command)
 }
 
-// sweepUntilLastConn closes connections that have exceeded a timeout, or are to be sent away, until the listener has ended
-// and no connection is left.
+// sweepUntilLastConn repeatedly closes the connections that have exceeded a timeout or that package drain wants closed. It
+// returns when listenerEnded is closed and no connection is open.
 func (s *Server) sweepUntilLastConn(listenerEnded <-chan struct{}) {
 	accepting := true
 	for accepting || s.ActiveConns() > 0 {
-		next := time.NewTimer(s.sweepInterval())
+		timer := time.NewTimer(s.sweepInterval())
 		select {
-		case <-next.C:
+		case <-timer.C:
 		case <-s.DrainState.Changed():
 		case <-listenerEnded:
 			accepting = false
 			listenerEnded = nil // a nil channel is never ready
 		}
-		next.Stop()
+		timer.Stop()
 		now := time.Now()
 		s.closeTimedOut(now)
 		s.sweepDraining(now)
@@ -158,17 +159,17 @@
 	return timedOut
 }
 
-// closeOneIdle closes the connection that costs least to close, see idleConn.compare, and reports whether one was closed.
+// closeOneIdle closes the first idle connection in the order of idleConn.compare, and reports whether it closed one.
 func (s *Server) closeOneIdle(reason closeReason) bool {
 	for _, idle := range s.idleConns() {
-		if idle.conn.closeIfIdle(reason) { // else it is in use again
+		if idle.conn.closeIfIdle(reason) { // false: the connection is in use again
 			return true
 		}
 	}
 	return false
 }
 
-// idleConns returns the connections without requests in flight, in the order in which they may be closed.
+// idleConns returns the connections without requests in flight and unwritten answers, in the order in which to close them.
 func (s *Server) idleConns() []idleConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,35 +184,35 @@
 	return idle
 }
 
-// idleRank is how little harm it does to close a connection: lower ones go first.
-type idleRank int
+// closeRank ranks idle connections by the harm that closing them does. Lower ranks are closed first.
+type closeRank int
 
 const (
-	rankSilent idleRank = iota // it has never sent a whole request
-	rankIdle                   // it has, and nothing is in flight
-	rankNew                    // it is silent, but only for Timeouts.Silence: its first request may be under way
+	rankNoRequest closeRank = iota // the client has not sent a complete request
+	rankIdle                       // the client has sent requests, and none is in flight
+	rankNew                        // accepted less than Timeouts.NewConnGrace ago: its first request may be on its way
 )
 
-// idleConn is a connection that may be closed to make room for another.
+// idleConn is an idle connection that may be closed to free a descriptor.
 type idleConn struct {
 	conn  *trackedConn
-	rank  idleRank
-	since time.Time
+	rank  closeRank
+	since time.Time // the last activity, or the accept if there was no request
 }
 
-// newIdleConn returns a connection that is idle, or silent, since a time.
-func (t *Timeouts) newIdleConn(conn *trackedConn, silent bool, since, now time.Time) idleConn {
+// newIdleConn returns conn with its rank. noRequest says that the client has not sent a complete request.
+func (t *Timeouts) newIdleConn(conn *trackedConn, noRequest bool, since, now time.Time) idleConn {
 	rank := rankIdle
-	if silent {
-		rank = rankSilent
+	if noRequest {
+		rank = rankNoRequest
 	}
-	if silent && now.Sub(since) < t.Silence {
+	if noRequest && now.Sub(since) < t.NewConnGrace {
 		rank = rankNew
 	}
 	return idleConn{conn: conn, rank: rank, since: since}
 }
 
-// compare is negative if closing c does less harm than closing other.
+// compare returns a negative number if c is to be closed before other: by rank, and the longest idle first.
 func (c idleConn) compare(other idleConn) int {
 	return cmp.Or(cmp.Compare(c.rank, other.rank), c.since.Compare(other.since))
 }
--- a/internal/frontend/resp/server_test.go
+++ b/internal/frontend/resp/server_test.go
@@ -14,9 +14,9 @@
 	"kitefall/internal/frontend/resp"
 )
 
-// While the server drains, a connection that a CANCEL leaves without requests in flight must close, or the program
-// never ends.
-func TestDrainClosesAConnectionLeftIdleByACancel(t *testing.T) {
+// Guards against a process that never ends: while the server drains, it must close a connection whose last request in flight is
+// cancelled.
+func TestDrainClosesConnectionLeftIdleByCancel(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startServer(t, w)
 	c := connect()
@@ -28,8 +28,8 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A client that connects and sends nothing, stops within a request, or sends one and stays, holds its descriptor no
-// longer than a timeout; one that waits for an answer is disconnected by none of them.
+// The timeouts close the connection of a client that sends nothing, stops in the middle of a request, or is idle after a request.
+// They do not close the connection of a client that waits for an answer.
 func TestTimeoutsCloseIdleConnections(t *testing.T) {
 	const timeout = 50 * time.Millisecond
 	w := fakes.NewWorker(t)
@@ -38,13 +38,13 @@
 	waiting := connect()
 	waiting.sendCall(1, "reserva", "book")
 	received := w.Next()
-	silent, incomplete, idle := connect(), connect(), connect()
+	unused, incomplete, idle := connect(), connect(), connect()
 	incomplete.sendCommand("CHECK", "1", "")
 	incomplete.receive()
 	incomplete.sendRaw("*3\r\n$4\r\nCA")
 	idle.sendCommand("CHECK", "1", "")
 	idle.receive()
-	for name, c := range map[string]*client{"silent": silent, "incomplete request": incomplete, "idle": idle} {
+	for name, c := range map[string]*client{"unused": unused, "incomplete request": incomplete, "idle": idle} {
 		_, err := c.reader.ReadByte()
 		assert.ErrorIs(t, err, io.EOF, name)
 	}
@@ -52,26 +52,27 @@
 	assert.Equal(t, "1 ok  done", waiting.receive())
 }
 
-// A client that writes a request slowly is waited for within its time, whatever the wall clock does. Many sweeps look at
-// it meanwhile: with a jittering wall clock (package wallstep) any use of that would close the connection.
-func TestSlowRequestIsWaitedFor(t *testing.T) {
-	const manySweeps = 300 * time.Millisecond
+// The connection of a client that sends a request slowly stays open within Timeouts.Request, independent of the wall clock. Many
+// sweeps check the connection during the test. When it runs with a jittering wall clock (package wallstep), any use of the wall
+// clock in the timeouts would close the connection.
+func TestSlowRequestIsNotTimedOut(t *testing.T) {
+	const observationTime = 300 * time.Millisecond
 	timeouts := resp.Timeouts{FirstRequest: 50 * time.Millisecond, Request: time.Minute, Idle: time.Minute}
 	_, connect := startServerWith(t, defaultMaxConns, timeouts, fakes.NewWorker(t))
 	slow := connect()
 	slow.sendCommand("CHECK", "1", "")
 	slow.receive()
 	slow.sendRaw("*3\r\n$5\r\nCHE")
-	require.NoError(t, slow.SetReadDeadline(time.Now().Add(manySweeps)))
+	require.NoError(t, slow.SetReadDeadline(time.Now().Add(observationTime)))
 	_, err := slow.reader.ReadByte()
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is open still")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection must stay open")
 	require.NoError(t, slow.SetReadDeadline(fakes.Deadline()))
 	slow.sendRaw("CK\r\n$1\r\n2\r\n$0\r\n\r\n")
 	assert.Equal(t, "2 yes", strings.TrimSpace(slow.receive()))
 }
 
-// The idle timeout does not end a request that has begun within it, however slow that is.
-func TestIdleTimeoutSparesARequestInPart(t *testing.T) {
+// A connection with an incomplete request is not closed by the idle timeout, even if the request takes longer than that timeout.
+func TestIdleTimeoutDoesNotApplyToIncompleteRequest(t *testing.T) {
 	timeouts := resp.Timeouts{FirstRequest: 50 * time.Millisecond, Request: time.Minute, Idle: 150 * time.Millisecond}
 	_, connect := startServerWith(t, defaultMaxConns, timeouts, fakes.NewWorker(t))
 	slow := connect()
@@ -80,22 +81,22 @@
 	slow.sendRaw("*3\r\n$5\r\nCHE")
 	require.NoError(t, slow.SetReadDeadline(time.Now().Add(3*timeouts.Idle)))
 	_, err := slow.reader.ReadByte()
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is open still")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection must stay open")
 }
 
-// With all connections taken, the next one is accepted in place of an idle one, silent ones first.
-func TestIdleConnectionsMakeRoomForNewOnes(t *testing.T) {
+// At the connection limit, a new connection replaces an idle one: first a connection that has sent no request.
+func TestNewConnectionsReplaceIdleOnes(t *testing.T) {
 	w := fakes.NewWorker(t)
 	timeouts := resp.DefaultTimeouts
-	timeouts.Silence = 0 // the silent one counts as such at once
+	timeouts.NewConnGrace = 0 // a connection without a request is the first to be closed, from the accept on
 	_, connect := startServerWith(t, 3, timeouts, w)
 	busy, idle := connect(), connect()
 	busy.sendCall(1, "reserva", "book")
 	received := w.Next()
 	idle.sendCommand("CHECK", "1", "")
 	idle.receive()
-	silent := connect()
-	for i, closed := range []*client{silent, idle} {
+	unused := connect()
+	for i, closed := range []*client{unused, idle} {
 		accepted := connect()
 		_, err := closed.reader.ReadByte()
 		assert.ErrorIs(t, err, io.EOF)
@@ -103,7 +104,7 @@
 		w.Next()
 	}
 	_, err := connect().reader.ReadByte()
-	assert.ErrorIs(t, err, io.EOF, "all have requests in flight")
+	assert.ErrorIs(t, err, io.EOF, "the new connection must be rejected, as all others have requests in flight")
 	received.OK("done")
 	assert.Equal(t, "1 ok  done", busy.receive())
 }
--- a/internal/frontend/resp/trackedconn.go
+++ b/internal/frontend/resp/trackedconn.go
@@ -10,26 +10,28 @@
 	"kitefall/internal/permit"
 )
 
-// trackedConn is an accepted network connection. It validates what the client sends before redcon reads it, and is one
-// of its server's connections until it is closed.
+// trackedConn is an accepted network connection. It validates the client's bytes before redcon reads them, and is registered
+// with its server until it is closed.
 type trackedConn struct {
 	*gatedconn.Conn
 	server     *Server
 	acceptedAt time.Time
-	validator  requestValidator // used by the goroutine that reads, alone, in observe
-	// requestBegan is when the first byte of an incomplete request came, as nanoseconds since acceptedAt; 0: there is none.
-	requestBegan atomic.Int64
-	unhandled    atomic.Int64 // requests that were read whole and not looked at yet
+	validator  requestValidator // used only in observe, by the goroutine that reads
+	// incompleteSince is when the first byte of an incomplete request arrived, in nanoseconds since acceptedAt. 0 means that no
+	// request is incomplete.
+	incompleteSince atomic.Int64
+	unhandled       atomic.Int64 // number of requests that were read completely and not handled yet
 
-	// overdue says that the time for the connection was over at the last sweep; it belongs to the goroutine that sweeps.
-	overdue bool
+	// pastCloseDeadline is set by a sweep that finds the connection past its close deadline and still in use. Only the sweeping
+	// goroutine uses it.
+	pastCloseDeadline bool
 
-	client  *clientConn // from the first request on; guarded by server.mu
+	client  *clientConn // nil before the first request; guarded by server.mu
 	closed  bool        // guarded by server.mu
 	closing sync.Once
 }
 
-// track adds an accepted connection to those of the server.
+// track registers an accepted connection with the server.
 func (s *Server) track(conn net.Conn) *trackedConn {
 	tracked := &trackedConn{server: s, acceptedAt: time.Now()}
 	tracked.Conn = gatedconn.New(conn, tracked.observe)
@@ -39,8 +41,8 @@
 	return tracked
 }
 
-// observe looks at what the client has sent, as it is read. It fails with errMalformedRequest where that is no request of the
-// client protocol.
+// observe validates the bytes that were read from the client and counts the requests that they complete. It returns
+// errMalformedRequest if the bytes violate the client protocol.
 func (t *trackedConn) observe(data []byte) error {
 	valid := t.validator.accept(data)
 	t.unhandled.Add(int64(t.validator.takeCompleted()))
@@ -48,15 +50,15 @@
 		return errMalformedRequest
 	}
 	if !t.validator.withinRequest() {
-		t.requestBegan.Store(0)
-	} else if t.requestBegan.Load() == 0 {
-		t.requestBegan.Store(max(time.Since(t.acceptedAt).Nanoseconds(), 1))
+		t.incompleteSince.Store(0)
+	} else if t.incompleteSince.Load() == 0 {
+		t.incompleteSince.Store(max(time.Since(t.acceptedAt).Nanoseconds(), 1))
 	}
 	return nil
 }
 
-// Close closes the connection, waits until its descriptor is closed, and makes room for another. It may be called more than
-// once; only the first call waits.
+// Close closes the connection and, once its descriptor is closed, releases the descriptor to the server's share. Calls after
+// the first have no effect.
 func (t *trackedConn) Close() error {
 	var err error
 	t.closing.Do(func() {
@@ -73,8 +75,8 @@
 	return err
 }
 
-// attach hands the connection to client, at its first request, and reports whether it is open still: it may have timed
-// out before the request was complete.
+// attach sets the connection's client at its first request. It reports whether the connection is still open, because the
+// connection may have timed out before the request was complete.
 func (t *trackedConn) attach(client *clientConn) bool {
 	t.server.mu.Lock()
 	defer t.server.mu.Unlock()
@@ -82,26 +84,27 @@
 	return !t.closed
 }
 
-// stopReadingIfUnused has no more requests read if nothing is in use, neither of what the client has sent nor of the answers
-// due to it, and reports whether that is so. A request in part counts only where the reason to close spares it. The caller
-// closes the connection then: what comes meanwhile stays unread, and the client learns that from the system.
-func (t *trackedConn) stopReadingIfUnused(reason closeReason, answersDue permit.Connection) bool {
+// stopReadingIfIdle stops reading if the connection has no unread data, no unhandled request and no pending answer, and reports
+// whether it did. An incomplete request also prevents this if reason.waitsForIncomplete. If reading has stopped, the caller
+// closes the connection: a request that arrives in between stays unread, so that the operating system resets the connection and
+// the client knows that the request had no effect.
+func (t *trackedConn) stopReadingIfIdle(reason closeReason, pendingAnswers permit.Connection) bool {
 	return t.StopReadingIf(func(unread bool) bool {
-		use := answersDue
+		use := pendingAnswers
 		use.Unhandled = int(t.unhandled.Load())
-		use.Incomplete = t.requestBegan.Load() != 0 && reason.sparesIncomplete()
+		use.Incomplete = t.incompleteSince.Load() != 0 && reason.waitsForIncomplete()
 		use.Unread = unread
 		return use.Check() == permit.Allowed
 	})
 }
 
-// closeIfIdle closes the connection unless something is in use on it, and reports whether it did.
+// closeIfIdle closes the connection if it is idle, as defined by stopReadingIfIdle, and reports whether it did.
 func (t *trackedConn) closeIfIdle(reason closeReason) (closed bool) {
 	t.server.mu.Lock()
 	client := t.client
-	closing := client == nil && !t.closed && t.stopReadingIfUnused(reason, permit.Connection{})
+	closing := client == nil && !t.closed && t.stopReadingIfIdle(reason, permit.Connection{})
 	if closing {
-		t.closed = true // a first request that arrives at this moment is not accepted any more
+		t.closed = true // attach refuses a first request that arrives now
 	}
 	t.server.mu.Unlock()
 	if client != nil {
@@ -114,9 +117,9 @@
 	return closing
 }
 
-// closeAnyway closes the connection, whatever is in use on it.
-func (t *trackedConn) closeAnyway(reason closeReason) {
-	if client := t.attached(); client != nil {
+// forceClose closes the connection even if it is in use.
+func (t *trackedConn) forceClose(reason closeReason) {
+	if client := t.attachedClient(); client != nil {
 		client.close(reason)
 		return
 	}
@@ -124,14 +127,15 @@
 	t.Close()
 }
 
-// attached returns the client; nil before its first request.
-func (t *trackedConn) attached() *clientConn {
+// attachedClient returns the connection's client, or nil before its first request.
+func (t *trackedConn) attachedClient() *clientConn {
 	t.server.mu.Lock()
 	defer t.server.mu.Unlock()
 	return t.client
 }
 
-// idleSinceLocked reports whether no request is in flight, and since when. The caller holds server.mu.
+// idleSinceLocked returns the time of the last activity, and whether the connection has neither a request in flight nor an
+// unwritten answer. Before the first request, the last activity is the accept. The caller holds server.mu.
 func (t *trackedConn) idleSinceLocked() (since time.Time, idle bool) {
 	if t.client == nil {
 		return t.acceptedAt, true
@@ -139,8 +143,8 @@
 	return t.client.idleSince()
 }
 
-// timedOutLocked reports whether the connection is to be closed because the client has exceeded a timeout. It never is with
-// requests in flight, whose answers would be lost. The caller holds server.mu.
+// timedOutLocked reports whether the client has exceeded a timeout. It returns false while requests are in flight, because
+// closing the connection would lose their answers. The caller holds server.mu.
 func (t *trackedConn) timedOutLocked(now time.Time) bool {
 	since, idle := t.idleSinceLocked()
 	if !idle {
@@ -150,8 +154,8 @@
 	if t.client == nil {
 		return now.After(since.Add(timeouts.FirstRequest))
 	}
-	if began := t.requestBegan.Load(); began != 0 {
-		return now.After(t.acceptedAt.Add(time.Duration(began) + timeouts.Request))
+	if offset := t.incompleteSince.Load(); offset != 0 {
+		return now.After(t.acceptedAt.Add(time.Duration(offset) + timeouts.Request))
 	}
 	return now.After(since.Add(timeouts.Idle))
 }
--- a/internal/frontend/resp/unread_test.go
+++ b/internal/frontend/resp/unread_test.go
@@ -13,10 +13,10 @@
 	"kitefall/internal/tcptest"
 )
 
-// A request that waits unread in the socket, since the machine is busy, is not thrown away with its connection, whatever that
-// would be closed for.
-func TestUnreadRequestKeepsItsConnection(t *testing.T) {
-	for _, reason := range []closeReason{closedWhenDraining, closedForRoom, closedForShortage, closedTimedOut} {
+// On a busy machine a request may wait unread in the socket. Guards against losing it: a connection with an unread or unhandled
+// request is not closed as idle, for any reason.
+func TestConnectionWithUnreadRequestIsNotClosedAsIdle(t *testing.T) {
+	for _, reason := range []closeReason{closedWhenDraining, closedForNewConn, closedOnAcceptError, closedTimedOut} {
 		client, accepted := tcptest.Pair(t)
 		s := &Server{DrainState: drain.New(drain.Schedule{}, drain.Schedule{}), descriptors: descriptors.NewShare(4)}
 		s.init()
@@ -28,26 +28,26 @@
 		assert.False(t, conn.closeIfIdle(reason), reason)
 		_, err = conn.Read(make([]byte, 4096))
 		require.NoError(t, err)
-		assert.False(t, conn.closeIfIdle(reason), "read whole, and not looked at yet")
+		assert.False(t, conn.closeIfIdle(reason), "the request was read but not handled yet")
 		conn.unhandled.Add(-1)
 		assert.True(t, conn.closeIfIdle(reason))
 		assert.Zero(t, s.ActiveConns())
-		assert.Zero(t, s.descriptors.InUse(), "closed, and given back")
+		assert.Zero(t, s.descriptors.InUse(), "the descriptor must be released on close")
 	}
 }
 
-// Silent connections make room first, then those idle longest; but one that was accepted a moment ago may have its first
-// request under way, and is the last.
-func TestOrderInWhichConnectionsMakeRoom(t *testing.T) {
+// Connections without a request are closed first, then those that have been idle longest. Connections accepted less than
+// NewConnGrace ago are closed last, because their first request may be on its way.
+func TestIdleConnectionCloseOrder(t *testing.T) {
 	now, timeouts := time.Now(), DefaultTimeouts
-	ago := func(span time.Duration) time.Time { return now.Add(-span) }
-	youngSilent := timeouts.newIdleConn(nil, true, ago(timeouts.Silence/2), now)
-	youngerSilent := timeouts.newIdleConn(nil, true, now, now)
-	oldSilent := timeouts.newIdleConn(nil, true, ago(2*timeouts.Silence), now)
-	olderSilent := timeouts.newIdleConn(nil, true, ago(time.Minute), now)
-	idle := timeouts.newIdleConn(nil, false, ago(timeouts.Silence), now)
+	ago := func(age time.Duration) time.Time { return now.Add(-age) }
+	newConn := timeouts.newIdleConn(nil, true, ago(timeouts.NewConnGrace/2), now)
+	newestConn := timeouts.newIdleConn(nil, true, now, now)
+	noRequest := timeouts.newIdleConn(nil, true, ago(2*timeouts.NewConnGrace), now)
+	longNoRequest := timeouts.newIdleConn(nil, true, ago(time.Minute), now)
+	idle := timeouts.newIdleConn(nil, false, ago(timeouts.NewConnGrace), now)
 	longIdle := timeouts.newIdleConn(nil, false, ago(time.Second), now)
-	conns := []idleConn{youngerSilent, idle, oldSilent, youngSilent, longIdle, olderSilent}
+	conns := []idleConn{newestConn, idle, noRequest, newConn, longIdle, longNoRequest}
 	slices.SortFunc(conns, idleConn.compare)
-	assert.Equal(t, []idleConn{olderSilent, oldSilent, longIdle, idle, youngSilent, youngerSilent}, conns)
+	assert.Equal(t, []idleConn{longNoRequest, noRequest, longIdle, idle, newConn, newestConn}, conns)
 }
--- a/internal/frontend/resp/validator.go
+++ b/internal/frontend/resp/validator.go
@@ -2,47 +2,49 @@
 
 import "errors"
 
-// The bounds of a request. Its arguments are the words of the protocol, each sent as a RESP bulk string.
+// The limits of a request, which is a RESP array of bulk strings. The command, the tag and so on are its arguments.
 const (
 	maxArguments     = 8
 	maxArgumentBytes = 20 << 10
-	maxLengthDigits  = 5 // of a count of arguments or a length in bytes
+	maxLengthDigits  = 5 // digits of a number of arguments or of a length in bytes
 )
 
 const (
-	arrayMarker      = '*' // before the count of arguments
-	bulkStringMarker = '$' // before the length of an argument
+	arrayMarker      = '*' // precedes the number of arguments
+	bulkStringMarker = '$' // precedes the length of an argument
 	lineEndBytes     = len("\r\n")
 )
 
-// errMalformedRequest ends a connection: after it the boundaries of requests are unknown, or there is no tag that an
-// answer could carry.
+// errMalformedRequest is returned for a request after which the connection is closed, because the boundaries of the following
+// requests are unknown, or because the request has no tag that could identify its answer.
 var errMalformedRequest = errors.New("malformed request")
 
-// validatorState is what a requestValidator expects next.
+// validatorState is the part of a request that a requestValidator expects next.
 type validatorState int
 
 const (
 	expectMarker validatorState = iota
 	expectDigits
-	expectLineFeed // after the carriage return of a count or length
-	expectArgument // bytes of an argument with its line end
+	expectLineFeed // after the carriage return of a header
+	expectArgument // bytes of an argument, including its line end
 )
 
-// requestValidator checks the bytes that a client sends before redcon parses them. Redcon trusts the lengths that it is
-// told: a claimed count of arguments keeps it in a loop, a claimed length makes its buffer grow without bound, and a
-// line with neither is taken for a command. Its zero value expects the begin of a request.
+// requestValidator checks the bytes that a client sends before redcon parses them. Redcon trusts the numbers in a request: a
+// huge number of arguments keeps it in a loop, a huge length makes its buffer grow without limit, and it treats a line that does
+// not begin with a marker as an inline command. Below, a header is a line that states a number of arguments or a length: marker,
+// digits, line end. The zero value expects the start of a request.
 type requestValidator struct {
 	state         validatorState
-	marker        byte // of the count or length being read
-	digits        int  // read of it so far
-	number        int  // their value
-	argumentsLeft int  // arguments of the request still to come
-	bytesLeft     int  // bytes of the argument, with its line end, still to come
-	completed     int  // requests that have come whole since takeCompleted
+	marker        byte // of the current header
+	digits        int  // digits of the current header read so far
+	value         int  // value of these digits
+	argumentsLeft int  // arguments of the request that have not begun yet
+	bytesLeft     int  // remaining bytes of the current argument, including its line end
+	completed     int  // requests completed since the last takeCompleted
 }
 
-// accept reports whether data may follow what was accepted before. After false the validator is not to be used again.
+// accept reports whether data is a valid continuation of the bytes accepted before. After it has returned false, the validator
+// must not be used again.
 func (v *requestValidator) accept(data []byte) bool {
 	for len(data) > 0 {
 		if v.state == expectArgument {
@@ -57,12 +59,12 @@
 	return true
 }
 
-// withinRequest reports whether a request has begun and is incomplete.
+// withinRequest reports whether a request has begun and is not complete.
 func (v *requestValidator) withinRequest() bool {
 	return v.state != expectMarker || v.argumentsLeft > 0
 }
 
-// skipArgument passes over up to available bytes of an argument and returns their number.
+// skipArgument skips the rest of the current argument, up to available bytes, and returns the number of bytes skipped.
 func (v *requestValidator) skipArgument(available int) int {
 	skipped := min(v.bytesLeft, available)
 	v.bytesLeft -= skipped
@@ -75,14 +77,14 @@
 	return skipped
 }
 
-// takeCompleted returns how many requests have come whole since it was last asked.
+// takeCompleted returns the number of requests completed since its last call.
 func (v *requestValidator) takeCompleted() int {
 	completed := v.completed
 	v.completed = 0
 	return completed
 }
 
-// acceptHeaderByte takes a byte of a count or length: its marker, its digits, its line end.
+// acceptHeaderByte processes one byte of a header and reports whether it is valid.
 func (v *requestValidator) acceptHeaderByte(b byte) bool {
 	switch v.state {
 	case expectMarker:
@@ -107,7 +109,7 @@
 	}
 	v.state = expectDigits
 	v.digits = 0
-	v.number = 0
+	v.value = 0
 	return b == v.marker
 }
 
@@ -116,19 +118,19 @@
 		return false
 	}
 	v.digits++
-	v.number = v.number*10 + int(b-'0')
+	v.value = v.value*10 + int(b-'0')
 	return true
 }
 
-// endHeader ends a count or length and reports whether it is within its bounds.
+// endHeader processes the end of a header and reports whether the header's value is within its limits.
 func (v *requestValidator) endHeader() bool {
 	if v.marker == arrayMarker {
 		v.state = expectMarker
-		v.argumentsLeft = v.number
-		return v.number >= 1 && v.number <= maxArguments
+		v.argumentsLeft = v.value
+		return v.value >= 1 && v.value <= maxArguments
 	}
 	v.state = expectArgument
 	v.argumentsLeft--
-	v.bytesLeft = v.number + lineEndBytes
-	return v.number <= maxArgumentBytes
+	v.bytesLeft = v.value + lineEndBytes
+	return v.value <= maxArgumentBytes
 }
--- a/internal/frontend/resp/validator_test.go
+++ b/internal/frontend/resp/validator_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The validator's verdict must not depend on how the network cuts a request into pieces.
-func TestValidatorAcceptsRequestsInOneAndInManyPieces(t *testing.T) {
+// The result of the validator must not depend on how the network splits a request.
+func TestValidatorAcceptsRequestsWholeAndByteByByte(t *testing.T) {
 	longest := "$20480\r\n" + strings.Repeat("x", maxArgumentBytes) + "\r\n"
 	for name, data := range map[string]string{
 		"one request":       "*2\r\n$5\r\nCHECK\r\n$1\r\n1\r\n",
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestValidatorRejectsWhatIsOutOfBounds(t *testing.T) {
+func TestValidatorRejectsInvalidRequests(t *testing.T) {
 	for name, data := range map[string]string{
 		"too many arguments":       "*9\r\n",
 		"argument too long":        "*1\r\n$20481\r\n",
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestValidatorKnowsAnIncompleteRequest(t *testing.T) {
+func TestValidatorReportsIncompleteRequest(t *testing.T) {
 	complete := "*2\r\n$5\r\nCHECK\r\n$1\r\n1\r\n"
 	var validator requestValidator
 	assert.False(t, validator.withinRequest(), "before the first byte")
