--- a/internal/frontend/invoke/catalog.go
+++ b/internal/frontend/invoke/catalog.go
@@ -8,10 +8,12 @@
 	"kitefall/internal/invocation/executor"
 )
 
-// minRunCost is the least cost of a run to the scheduler, in seconds: it takes a place and a frame each way.
+// minRunCost is the lowest cost of a run that the scheduler charges, in seconds of work. Even a run with a work
+// estimate of 0 occupies a slot at a worker and takes one frame to the worker and one back.
 const minRunCost = 0.01
 
-// Describe returns what the scheduler needs to know of a function, and whether the catalog has it.
+// Describe returns a function's key at the workers and the cost of one run, and reports whether the catalog has the
+// function.
 func (c *Config) Describe(name string) (executor.Function, bool) {
 	function := c.Functions[name]
 	if function == nil {
@@ -20,11 +22,11 @@
 	return executor.Function{Key: function.Key, Cost: max(function.WorkEstimate.Seconds(), minRunCost)}, true
 }
 
-// Call makes a call for a run of an invocation, with the properties of its function.
+// Call returns the call for one run of an invocation, with the properties that the catalog holds for its function.
 func (c *Config) Call(request *invocation.Request) (*call.Call, error) {
 	function := c.Functions[request.Function]
 	if function == nil {
-		return nil, fmt.Errorf("no function %q", request.Function)
+		return nil, fmt.Errorf("function %q is not in the catalog", request.Function)
 	}
 	return &call.Call{
 		Class:        function.Class,
--- a/internal/frontend/invoke/create.go
+++ b/internal/frontend/invoke/create.go
@@ -8,16 +8,17 @@
 	"kitefall/internal/invocation"
 )
 
-// answerGrace is how long past its deadline a synchronous invocation may take to store its outcome.
+// answerGrace is how long after the deadline of a synchronous invocation the server still waits for the outcome to be stored.
 const answerGrace = 250 * time.Millisecond
 
-// handleCreate creates an invocation. A synchronous one is answered with its outcome; a deferred one with that too, if
-// it comes while the client prefers to wait, or else with where to ask for it.
+// handleCreate creates an invocation. The response to a synchronous invocation is its outcome. The response to a deferred
+// one is its outcome if the invocation completes within the wait that the client prefers, and otherwise a pending document
+// with the path to poll.
 func (s *Server) handleCreate(w http.ResponseWriter, r *http.Request, tenant string) error {
 	if s.draining.Load() {
 		return rejected(rejectionRetryAfter).withDetail("the dispatcher takes no clients at present")
 	}
-	begin := time.Now()
+	receivedAt := time.Now()
 	preferences := parsePreferences(r.Header)
 	_, deferred := preferences[preferAsync]
 	request, err := s.parseRequest(w, r, tenant, deferred)
@@ -29,15 +30,15 @@
 		return err
 	}
 	if deferred {
-		return s.createDeferred(w, r, request, begin, wait)
+		return s.createDeferred(w, r, request, receivedAt, wait)
 	}
-	return s.invoke(w, r, request)
+	return s.createSynchronous(w, r, request)
 }
 
-// invoke runs a synchronous invocation and answers with its outcome.
-func (s *Server) invoke(w http.ResponseWriter, r *http.Request, request invocation.Request) error {
-	answerBy := s.executor.Clock().Machine(request.Expires).Add(answerGrace)
-	ctx, cancel := context.WithDeadline(r.Context(), answerBy)
+// createSynchronous runs a synchronous invocation and responds with its outcome.
+func (s *Server) createSynchronous(w http.ResponseWriter, r *http.Request, request invocation.Request) error {
+	answerDeadline := s.executor.Clock().Machine(request.Expires).Add(answerGrace)
+	ctx, cancel := context.WithDeadline(r.Context(), answerDeadline)
 	defer cancel()
 	view, err := s.executor.Invoke(ctx, request)
 	if err != nil {
@@ -46,17 +47,17 @@
 	return s.writeView(w, view)
 }
 
-// createDeferred submits a deferred invocation. Where the client prefers to wait, it waits for the outcome for that long
-// since begin.
+// createDeferred submits a deferred invocation. If the client prefers to wait, createDeferred waits for the outcome until
+// receivedAt + wait.
 func (s *Server) createDeferred(w http.ResponseWriter, r *http.Request, request invocation.Request,
-	begin time.Time, wait time.Duration) error {
+	receivedAt time.Time, wait time.Duration) error {
 	view, err := s.executor.Submit(request)
 	if err != nil {
 		return err
 	}
 	w.Header().Set("Preference-Applied", preferAsync)
 	if wait > 0 {
-		return s.awaitAndWriteView(w, r, begin.Add(wait), request.Tenant, view.ID)
+		return s.awaitAndWriteView(w, r, receivedAt.Add(wait), request.Tenant, view.ID)
 	}
 	return s.writeView(w, view)
 }
--- a/internal/frontend/invoke/evacuation.go
+++ b/internal/frontend/invoke/evacuation.go
@@ -5,30 +5,32 @@
 	"net/http"
 )
 
-// waitBound ends the waits of polls once its context is done. It is never changed.
-type waitBound struct {
-	ctx context.Context
-	end context.CancelFunc
+// pollContext is a context that all waiting polls share: cancelling it ends their waits. Its fields are never changed.
+type pollContext struct {
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-func newWaitBound() *waitBound {
-	ctx, end := context.WithCancel(context.Background())
-	return &waitBound{ctx: ctx, end: end}
+func newPollContext() *pollContext {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &pollContext{ctx: ctx, cancel: cancel}
 }
 
-// Evacuate sends the clients away until Rejoin: new invocations are rejected, and each connection ends after its next answer.
-// Invocations in flight go on, and polls are answered.
+// Evacuate makes clients move to other dispatchers, until Rejoin: new invocations are rejected, and each connection is closed
+// after its next response. Invocations in flight continue, and polls are still answered.
 func (s *Server) Evacuate() { s.draining.Store(true) }
 
-// EndWaits has polls answer at once with how their invocation stands, until Rejoin: one that waits would keep its connection.
-// It also closes the connections that are idle. A first request that crosses such a close is reset, so this comes late, when
-// clients have long noticed that they are sent away.
+// EndWaits makes every poll return at once with the current state of its invocation, until Rejoin, because a waiting poll
+// would keep its connection open. EndWaits also closes idle connections. A request that a client sends on an idle connection
+// while the server closes that connection gets a reset. EndWaits must therefore be called long enough after Evacuate that
+// clients have noticed the evacuation.
 func (s *Server) EndWaits() {
-	s.waits.Load().end()
+	s.pollContext.Load().cancel()
 	s.httpServer.SetKeepAlivesEnabled(false)
 }
 
-// closeWhileDraining has a connection end after its answer, gracefully, while clients are sent away.
+// closeWhileDraining wraps a handler so that, during an evacuation or a drain, each connection is closed gracefully after
+// its next response.
 func (s *Server) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
@@ -38,9 +40,9 @@
 	})
 }
 
-// Rejoin takes clients again.
+// Rejoin ends an evacuation: the server accepts new invocations and keeps connections open again.
 func (s *Server) Rejoin() {
-	s.waits.Store(newWaitBound())
+	s.pollContext.Store(newPollContext())
 	s.httpServer.SetKeepAlivesEnabled(true)
 	s.draining.Store(false)
 }
--- a/internal/frontend/invoke/headers.go
+++ b/internal/frontend/invoke/headers.go
@@ -11,41 +11,42 @@
 
 // The headers of a request to invoke a function.
 const (
-	timeoutHeader        = "Request-Timeout" // seconds until the deadline that the client asks for
-	delayHeader          = "Request-Delay"   // seconds before which no run of a deferred invocation begins
+	timeoutHeader        = "Request-Timeout" // time limit of the invocation, in seconds from receipt
+	delayHeader          = "Request-Delay"   // earliest run of a deferred invocation, in seconds from receipt
 	idempotencyKeyHeader = "Idempotency-Key"
 	priorityHeader       = "Priority" // RFC 9218
 	preferHeader         = "Prefer"   // RFC 7240
 )
 
-// The preferences that are understood.
+// The preferences of the Prefer header that the server supports.
 const (
 	preferAsync = "respond-async"
 	preferWait  = "wait"
 )
 
-// maxSeconds bounds the durations that a client may ask for.
-const maxSeconds = 86400
+// maxDurationSeconds is the longest duration that a header may request: one day. A longer Prefer: wait is capped to it, a
+// longer timeout or delay is rejected.
+const maxDurationSeconds = 86400
 
 // maxUrgency is the least urgent value of the Priority header's parameter u.
 const maxUrgency = 7
 
-// parseSeconds reads a header that is a number of seconds above 0; it returns 0 if there is none.
+// parseSeconds parses a header whose value is a positive number of seconds. It returns 0 if the header is absent.
 func parseSeconds(header http.Header, name string) (time.Duration, error) {
 	text := header.Get(name)
 	if text == "" {
 		return 0, nil
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
-	inRange := seconds > 0 && seconds <= maxSeconds // false for NaN
+	inRange := seconds > 0 && seconds <= maxDurationSeconds // both comparisons are false for NaN
 	if err != nil || !inRange {
 		return 0, badRequest(name + " is a number of seconds above 0")
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// parseUrgency reads the parameter u of the Priority header. What cannot be read counts as absent, as RFC 9218, section
-// 4, has it.
+// parseUrgency returns the parameter u of the Priority header. An invalid value counts as absent, as RFC 9218, section 4,
+// requires.
 func parseUrgency(header http.Header) invocation.Urgency {
 	members := strings.Join(header.Values(priorityHeader), ",")
 	for _, member := range strings.Split(members, ",") {
@@ -59,13 +60,13 @@
 	return invocation.DefaultUrgency
 }
 
-// parsePreferences reads the Prefer header, by RFC 7240, into values by name. Of several with one name the first
-// counts.
+// parsePreferences parses the Prefer header (RFC 7240) and returns the values by preference name. If a preference occurs
+// more than once, its first value counts.
 func parsePreferences(header http.Header) map[string]string {
 	preferences := map[string]string{}
 	for _, line := range header.Values(preferHeader) {
 		for _, preference := range strings.Split(line, ",") {
-			preference, _, _ = strings.Cut(preference, ";") // without its parameters
+			preference, _, _ = strings.Cut(preference, ";") // drop the preference's parameters
 			name, value, _ := strings.Cut(preference, "=")
 			name = strings.ToLower(strings.TrimSpace(name))
 			_, seen := preferences[name]
@@ -77,8 +78,8 @@
 	return preferences
 }
 
-// preferredWait returns how long the client prefers to wait for an outcome, within the operator's bound; 0 if it does not
-// say.
+// preferredWait returns how long the client prefers to wait for an outcome, capped at the operator's maximum. It returns 0
+// if the client states no wait.
 func (s *Server) preferredWait(preferences map[string]string) (time.Duration, error) {
 	text, ok := preferences[preferWait]
 	if !ok {
@@ -88,6 +89,6 @@
 	if err != nil || seconds < 0 {
 		return 0, badRequest("Prefer: wait is a whole number of seconds")
 	}
-	wait := time.Duration(min(seconds, maxSeconds)) * time.Second
+	wait := time.Duration(min(seconds, maxDurationSeconds)) * time.Second
 	return min(wait, s.config.MaxWait), nil
 }
--- a/internal/frontend/invoke/identity.go
+++ b/internal/frontend/invoke/identity.go
@@ -12,30 +12,30 @@
 	"github.com/spiffe/go-spiffe/v2/workloadapi"
 )
 
-// IdentitySource provides the server's own X.509 SVID and the trust bundles by which it verifies its clients'.
+// IdentitySource provides the server's own X.509 SVID and the trust bundles that verify the clients' SVIDs.
 type IdentitySource interface {
 	x509svid.Source
 	x509bundle.Source
 }
 
-// WaitForIdentity returns a source that follows the SPIFFE Workload API at addr, after its first update. It fails when
-// ctx ends before that. The caller closes the source.
+// WaitForIdentity returns a source that follows the SPIFFE Workload API at addr. It waits for the source's first update and
+// fails if ctx is done before that update. The caller must close the source.
 func WaitForIdentity(ctx context.Context, addr string) (*workloadapi.X509Source, error) {
 	return workloadapi.NewX509Source(ctx, workloadapi.WithClientOptions(workloadapi.WithAddr(addr)))
 }
 
-// errExpired means that a client's SVID has expired since its connection was made.
-var errExpired = errors.New("SVID has expired")
+// errSVIDExpired means that a client's SVID has expired since the connection's TLS handshake.
+var errSVIDExpired = errors.New("the client's SVID has expired")
 
-// tenantOf returns the tenant to whom the client's SPIFFE ID belongs. The TLS handshake has verified its SVID, which may have
-// expired since: a connection may be kept for any time.
+// tenantOf returns the tenant that the client's SPIFFE ID belongs to. The TLS handshake has verified the client's SVID, but a
+// connection may stay open for any time, so tenantOf checks on each request that the SVID has not expired since.
 func (c *Config) tenantOf(r *http.Request) (string, error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
-		return "", errors.New("no peer certificate")
+		return "", errors.New("the client sent no certificate")
 	}
 	certificate := r.TLS.PeerCertificates[0]
 	if time.Now().After(certificate.NotAfter) {
-		return "", errExpired
+		return "", errSVIDExpired
 	}
 	id, err := x509svid.IDFromCert(certificate)
 	if err != nil {
--- a/internal/frontend/invoke/identity_test.go
+++ b/internal/frontend/invoke/identity_test.go
@@ -13,8 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection may be kept beyond the end of the SVID that it was made with, which stands for nobody from then on.
-func TestIdentityEndsWithItsSVID(t *testing.T) {
+// A connection can stay open after the SVID that its TLS handshake verified has expired. From then on its requests must be
+// rejected.
+func TestExpiredSVIDIsRejected(t *testing.T) {
 	id := spiffeid.RequireFromString("spiffe://hospitals.example/desk/a")
 	config := &Config{tenantByID: map[spiffeid.ID]string{id: "acme"}}
 	uri, err := url.Parse(id.String())
@@ -27,5 +28,5 @@
 	require.NoError(t, err)
 	assert.Equal(t, "acme", tenant)
 	_, err = config.tenantOf(request(time.Now().Add(-time.Hour)))
-	assert.ErrorIs(t, err, errExpired)
+	assert.ErrorIs(t, err, errSVIDExpired)
 }
--- a/internal/frontend/invoke/options.go
+++ b/internal/frontend/invoke/options.go
@@ -6,48 +6,52 @@
 	"kitefall/internal/schedule"
 )
 
-const bytesPerMB = 1 << 20
+const bytesPerMiB = 1 << 20
 
-// StoreOptions returns the bounds of the invocation store.
+// StoreOptions returns the retention times and limits of the invocation store.
 func (c *Config) StoreOptions() store.Options {
 	return store.Options{
 		Retention:         c.Retention,
 		DeadRetention:     c.Deferred.DeadRetention,
 		MaxInvocations:    c.MaxInvocations,
 		MaxPerTenant:      c.Deferred.MaxPerTenant,
-		MaxBytesPerTenant: c.Deferred.MaxMBPerTenant * bytesPerMB,
+		MaxBytesPerTenant: c.Deferred.MaxMiBPerTenant * bytesPerMiB,
 	}
 }
 
-// SchedulerConfig returns how deferred invocations are scheduled. It is empty unless the file was validated.
-func (c *Config) SchedulerConfig() schedule.Config { return c.Deferred.scheduler }
+// SchedulerConfig returns the scheduler's configuration for deferred invocations. It is the zero value if the file was read
+// with ReadUnchecked.
+func (c *Config) SchedulerConfig() schedule.Config { return c.Deferred.schedulerConfig }
 
-// setScheduler derives the scheduler's configuration, with the quotas of the tenants and the weights of the classes.
-func (d *Deferred) setScheduler(settings balancer.Settings) {
-	scheduler := schedule.Default()
-	scheduler.MinConcurrency = d.MinConcurrency
-	scheduler.MaxConcurrency = d.MaxConcurrency
-	scheduler.MaxPerFunction = d.MaxPerFunction
-	scheduler.MaxRuns = d.MaxRuns
-	scheduler.Backoff = d.Backoff
-	scheduler.MaxBackoff = d.MaxBackoff
-	scheduler.RetryRatio = d.RetryRatio
-	scheduler.RetryRate = d.RetryRate
-	scheduler.BatchWait = d.BatchWait
-	scheduler.BatchSize = d.BatchSize
-	scheduler.StarvationLimit = d.StarvationLimit
-	if settings.IdleTTL > 0 { // workers keep idle copies for at least so long, unless a load needs their room
-		scheduler.WarmTTL = settings.IdleTTL * 2 / 3
+// setSchedulerConfig derives the scheduler's configuration from d and the settings: a tenant's quota becomes its weight, and
+// classes keep their weights.
+func (d *Deferred) setSchedulerConfig(settings balancer.Settings) {
+	config := schedule.Default()
+	config.MinConcurrency = d.MinConcurrency
+	config.MaxConcurrency = d.MaxConcurrency
+	config.MaxPerFunction = d.MaxPerFunction
+	config.MaxRuns = d.MaxRuns
+	config.Backoff = d.Backoff
+	config.MaxBackoff = d.MaxBackoff
+	config.RetryRatio = d.RetryRatio
+	config.RetryRate = d.RetryRate
+	config.BatchWait = d.BatchWait
+	config.BatchSize = d.BatchSize
+	config.StarvationLimit = d.StarvationLimit
+	// Workers keep an idle copy loaded for at least IdleTTL, unless another load needs its memory. WarmTTL stays below
+	// IdleTTL.
+	if settings.IdleTTL > 0 {
+		config.WarmTTL = settings.IdleTTL * 2 / 3
 	}
-	scheduler.Tenants = map[string]float64{}
+	config.Tenants = map[string]float64{}
 	for _, tenant := range settings.Tenants {
 		if tenant.Quota > 0 {
-			scheduler.Tenants[tenant.Name] = tenant.Quota
+			config.Tenants[tenant.Name] = tenant.Quota
 		}
 	}
-	scheduler.Classes = map[string]float64{}
+	config.Classes = map[string]float64{}
 	for _, class := range settings.Classes {
-		scheduler.Classes[class.Name] = class.Weight
+		config.Classes[class.Name] = class.Weight
 	}
-	d.scheduler = scheduler
+	d.schedulerConfig = config
 }
--- a/internal/frontend/invoke/poll.go
+++ b/internal/frontend/invoke/poll.go
@@ -8,17 +8,18 @@
 	"kitefall/internal/invocation"
 )
 
-// handlePoll answers with the outcome of an invocation, or that it is pending.
+// handlePoll responds with the outcome of an invocation, or with a pending document if the invocation has not completed
+// within the wait that the client prefers.
 func (s *Server) handlePoll(w http.ResponseWriter, r *http.Request, tenant string) error {
-	begin := time.Now()
+	receivedAt := time.Now()
 	wait, err := s.preferredWait(parsePreferences(r.Header))
 	if err != nil {
 		return err
 	}
-	return s.awaitAndWriteView(w, r, begin.Add(wait), tenant, r.PathValue(invocationParameter))
+	return s.awaitAndWriteView(w, r, receivedAt.Add(wait), tenant, r.PathValue(invocationParameter))
 }
 
-// handleCancel cancels an invocation. If its outcome came first, that stays and is the answer.
+// handleCancel cancels an invocation. If the invocation has already completed, its outcome is kept and is the response.
 func (s *Server) handleCancel(w http.ResponseWriter, r *http.Request, tenant string) error {
 	view, err := s.executor.Cancel(tenant, r.PathValue(invocationParameter))
 	if err != nil {
@@ -31,12 +32,13 @@
 	return nil
 }
 
-// awaitAndWriteView waits for the outcome of an invocation up to a moment, and answers with what there is then.
+// awaitAndWriteView waits for the outcome of an invocation until waitUntil, and then writes the outcome or a pending
+// document. EndWaits ends the wait early.
 func (s *Server) awaitAndWriteView(w http.ResponseWriter, r *http.Request, waitUntil time.Time,
 	tenant, id string) error {
 	ctx, cancel := context.WithDeadline(r.Context(), waitUntil)
 	defer cancel()
-	defer context.AfterFunc(s.waits.Load().ctx, cancel)()
+	defer context.AfterFunc(s.pollContext.Load().ctx, cancel)()
 	view, err := s.executor.Wait(ctx, tenant, id)
 	if err != nil {
 		return err
--- a/internal/frontend/invoke/problem.go
+++ b/internal/frontend/invoke/problem.go
@@ -13,26 +13,26 @@
 	"kitefall/internal/invocation/executor"
 )
 
-// problemTypePrefix comes before the name of a problem's type.
+// problemTypePrefix precedes a problem's name in the type member.
 const problemTypePrefix = "urn:kitefall:problem:"
 
 const (
-	quotaRetryAfter   = time.Minute      // after a rejection because too many invocations are kept
-	storageRetryAfter = 10 * time.Second // after a failure of the store
+	quotaRetryAfter   = time.Minute      // after a rejection because the store or a tenant's quota is full
+	storageRetryAfter = 10 * time.Second // after a store failure
 )
 
-// problem is a problem document by RFC 9457, with extension members. It is an error of a handler.
+// problem is a problem document (RFC 9457) with extension members. Handlers return it as an error.
 type problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
 	Status     int    `json:"status"`
 	Detail     string `json:"detail,omitempty"`
 	Instance   string `json:"instance,omitempty"`
-	Retryable  bool   `json:"retryable"`      // a retry does no harm
-	MayHaveRun bool   `json:"may_have_run"`   // the function may have run, or run still
-	RedrivenAs string `json:"heir,omitempty"` // the invocation that the operators have started in place of this one
+	Retryable  bool   `json:"retryable"`      // a retry does no harm: the function did not run, or is idempotent
+	MayHaveRun bool   `json:"may_have_run"`   // the function may have run, or may still be running
+	RedrivenAs string `json:"heir,omitempty"` // path of the invocation that an operator started to redrive this dead letter
 
-	retryAfter time.Duration // sent as Retry-After; 0: not sent
+	retryAfter time.Duration // value of the Retry-After header; 0: the header is not sent
 }
 
 func (p *problem) Error() string {
@@ -51,7 +51,7 @@
 	return p
 }
 
-// withRetryAfter makes the problem retryable after a time, 1 s at least.
+// withRetryAfter marks the problem as retryable after a duration, which is raised to 1 s if it is shorter.
 func (p *problem) withRetryAfter(retryAfter time.Duration) *problem {
 	p.Retryable = true
 	p.retryAfter = max(retryAfter, time.Second)
@@ -88,7 +88,7 @@
 		withRetryAfter(retryAfter)
 }
 
-// write answers with the problem.
+// write sends the problem as the response.
 func (p *problem) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "application/problem+json")
@@ -100,7 +100,7 @@
 	json.NewEncoder(w).Encode(p)
 }
 
-// problemFor returns the problem document for an error of a handler: a problem itself, or an error of the executor.
+// problemFor returns the problem document for an error that a handler returned: a *problem or an error of the executor.
 func problemFor(err error) *problem {
 	var p *problem
 	switch {
@@ -116,15 +116,16 @@
 		return rejected(quotaRetryAfter).withDetail("too many tickets are kept")
 	case errors.Is(err, invocation.ErrQuotaExceeded):
 		return rejected(quotaRetryAfter).withDetail("this tenant has too many tickets, or too large ones")
-	default: // the store does not work: no invocation was accepted that it does not hold
+	default: // The store failed. An invocation that could not be stored was not accepted, so a retry does no harm.
 		return newProblem(http.StatusServiceUnavailable, "storage", "Calls cannot be put on record at present").
 			withRetryAfter(storageRetryAfter)
 	}
 }
 
-// problemForOutcome returns the problem document for an invocation that was not served; now is by the executor's clock.
+// problemForOutcome returns the problem document for an invocation that completed without being served. The time now must be
+// from the executor's clock.
 func problemForOutcome(view executor.View, idempotent bool, now time.Time) *problem {
-	p := outcomeProblem(view, idempotent, now)
+	p := newOutcomeProblem(view, idempotent, now)
 	p.MayHaveRun = view.MayHaveRun
 	if view.Durable {
 		p.Instance = invocationPath(view.ID)
@@ -135,7 +136,7 @@
 	return p
 }
 
-func outcomeProblem(view executor.View, idempotent bool, now time.Time) *problem {
+func newOutcomeProblem(view executor.View, idempotent bool, now time.Time) *problem {
 	var p *problem
 	switch {
 	case view.Outcome == invocation.OutcomeRejected:
--- a/internal/frontend/invoke/reply.go
+++ b/internal/frontend/invoke/reply.go
@@ -9,10 +9,10 @@
 	"kitefall/internal/invocation/executor"
 )
 
-// pollInterval is what a client is told to leave between polls of a pending invocation, in seconds.
+// pollInterval is the pause between polls that the Retry-After header of a pending document recommends, in seconds.
 const pollInterval = "1"
 
-// pendingDocument is the answer about an invocation that has no outcome yet.
+// pendingDocument is the response body for an invocation that has no outcome yet.
 type pendingDocument struct {
 	Deadline     time.Time                 `json:"deadline"`
 	History      []invocation.HistoryEntry `json:"history"`
@@ -21,7 +21,7 @@
 	InvocationID string                    `json:"ticket"`
 }
 
-// writeView answers with the outcome of an invocation, or that it is pending.
+// writeView responds with the outcome of an invocation, or with a pending document if it has none yet.
 func (s *Server) writeView(w http.ResponseWriter, view executor.View) error {
 	if view.State == invocation.StateCompleted {
 		return s.writeOutcome(w, view)
@@ -45,10 +45,11 @@
 	})
 }
 
-// writeOutcome answers with the result of a completed invocation, or returns the problem that it ended with.
+// writeOutcome responds with the result of a completed invocation. If the invocation was not served, writeOutcome returns
+// the problem to respond with.
 func (s *Server) writeOutcome(w http.ResponseWriter, view executor.View) error {
-	function := s.config.Functions[view.Function] // nil if the operator has removed it
-	if view.Durable {                             // else it cannot be asked for
+	function := s.config.Functions[view.Function] // nil if the operator has removed the function
+	if view.Durable {                             // a client can poll only a stored invocation
 		w.Header().Set("Content-Location", invocationPath(view.ID))
 	}
 	if view.Outcome != invocation.OutcomeServed {
--- a/internal/frontend/invoke/request.go
+++ b/internal/frontend/invoke/request.go
@@ -12,11 +12,11 @@
 	"kitefall/internal/invocation"
 )
 
-// maxIdempotencyKeyBytes is the longest Idempotency-Key that is accepted.
+// maxIdempotencyKeyBytes is the maximum length of an Idempotency-Key.
 const maxIdempotencyKeyBytes = 255
 
-// parseRequest reads and validates a request to invoke a function. What the workers need to know comes from the catalog
-// alone. The error is a *problem.
+// parseRequest reads and validates a request to invoke a function. The function's class, idempotency and maximum run time
+// come from the catalog, never from the client. The error is a *problem.
 func (s *Server) parseRequest(w http.ResponseWriter, r *http.Request, tenant string, deferred bool,
 ) (invocation.Request, error) {
 	name := r.PathValue(functionParameter)
@@ -32,7 +32,7 @@
 		Deferred:   deferred,
 		RunTimeout: function.MaxDeadline,
 	}
-	now := s.executor.Clock().Now() // the times of a request are compared with those of the executor
+	now := s.executor.Clock().Now() // the executor compares the times of a request with this clock
 	if err := parseHeaders(r.Header, function, &request, now); err != nil {
 		return invocation.Request{}, err
 	}
@@ -45,7 +45,7 @@
 	return request, nil
 }
 
-// parseHeaders fills in what the headers say of a request for the function.
+// parseHeaders validates the headers and sets the request's key, urgency, start time and expiry.
 func parseHeaders(header http.Header, function *Function, request *invocation.Request, now time.Time) error {
 	if err := checkMediaType(header, function.ContentType); err != nil {
 		return err
@@ -85,25 +85,26 @@
 	return key, nil
 }
 
-// parseLifetime returns how long the invocation may take: what the client asks for, within the bounds of the function.
+// parseLifetime returns how long the invocation may take: the time that the client requests, capped at the function's
+// maximum, or the function's default.
 func parseLifetime(header http.Header, function *Function, deferred bool) (time.Duration, error) {
 	lifetime := function.Deadline
-	longest := function.MaxDeadline
+	limit := function.MaxDeadline
 	if deferred {
 		lifetime = function.Lifetime
-		longest = function.MaxLifetime
+		limit = function.MaxLifetime
 	}
-	asked, err := parseSeconds(header, timeoutHeader)
+	requested, err := parseSeconds(header, timeoutHeader)
 	if err != nil {
 		return 0, err
 	}
-	if asked > 0 {
-		lifetime = min(asked, longest)
+	if requested > 0 {
+		lifetime = min(requested, limit)
 	}
 	return lifetime, nil
 }
 
-// parseNotBefore returns the time before which no run may begin; zero if the client does not ask for a delay.
+// parseNotBefore returns the earliest time at which a run may start. It is zero if the client requests no delay.
 func parseNotBefore(header http.Header, deferred bool, lifetime time.Duration, now time.Time) (time.Time, error) {
 	delay, err := parseSeconds(header, delayHeader)
 	if err != nil || delay == 0 {
@@ -116,7 +117,7 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, error) {
-	// The read deadline is for the body alone: left in force it would end the wait for the outcome too.
+	// The read deadline applies only to the body: if it stayed set, it would also end the wait for the outcome.
 	controller := http.NewResponseController(w)
 	controller.SetReadDeadline(time.Now().Add(readTimeout))
 	defer controller.SetReadDeadline(time.Time{})
@@ -131,7 +132,8 @@
 	return body, nil
 }
 
-// fingerprint hashes all that a repeat under the same Idempotency-Key must share. It is stored: it must not change.
+// fingerprint hashes the function's name and the body, which every request with the same Idempotency-Key must share. The
+// hash is stored with the invocation, so its computation must not change.
 func fingerprint(function string, body []byte) []byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q\n", function)
--- a/internal/frontend/invoke/routes.go
+++ b/internal/frontend/invoke/routes.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The names of path parameters.
+// The path parameters of the routes.
 const (
 	functionParameter   = "function"
 	invocationParameter = "invocation"
@@ -18,21 +18,21 @@
 
 const invocationsPath = "/v1/invocations/"
 
-// rejectionRetryAfter is when to come back after a rejection for want of a slot, or during a drain.
+// rejectionRetryAfter is the Retry-After of a rejection because no slot is free, or because the server drains or evacuates.
 const rejectionRetryAfter = time.Second
 
 func invocationPath(id string) string { return invocationsPath + id }
 
-// handler handles a request of an authenticated tenant. An error that it returns becomes a problem document: then it
-// has written nothing itself.
+// handler handles a request of an authenticated tenant. If it returns an error, it must not have written a response: the
+// caller writes a problem document for the error.
 type handler func(w http.ResponseWriter, r *http.Request, tenant string) error
 
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/v1/functions/{"+functionParameter+"}/invocations", s.resource(map[string]handler{
+	mux.HandleFunc("/v1/functions/{"+functionParameter+"}/invocations", s.resourceHandler(map[string]handler{
 		http.MethodPost: s.handleCreate,
 	}))
-	mux.HandleFunc(invocationsPath+"{"+invocationParameter+"}", s.resource(map[string]handler{
+	mux.HandleFunc(invocationsPath+"{"+invocationParameter+"}", s.resourceHandler(map[string]handler{
 		http.MethodGet:    s.handlePoll,
 		http.MethodDelete: s.handleCancel,
 	}))
@@ -40,21 +40,23 @@
 	return mux
 }
 
-// resource serves one resource: it finds the handler of the method, the client's tenant, and a slot for the request.
-func (s *Server) resource(handlers map[string]handler) http.HandlerFunc {
-	allowed := strings.Join(slices.Sorted(maps.Keys(handlers)), ", ")
+// resourceHandler returns the HTTP handler of one resource. For each request it selects the handler of the method,
+// identifies the client's tenant and acquires a slot, in that order. If one of them fails, it responds with a problem
+// document.
+func (s *Server) resourceHandler(handlers map[string]handler) http.HandlerFunc {
+	allowedMethods := strings.Join(slices.Sorted(maps.Keys(handlers)), ", ")
 	return func(w http.ResponseWriter, r *http.Request) {
 		handle, ok := handlers[r.Method]
 		if !ok {
-			w.Header().Set("Allow", allowed)
+			w.Header().Set("Allow", allowedMethods)
 			methodNotAllowed().write(w)
 			return
 		}
 		tenant, err := s.config.tenantOf(r)
 		if err != nil {
 			s.forbiddenLog.Log(slog.LevelWarn, "invoke: request forbidden", "addr", r.RemoteAddr, "err", err)
-			if errors.Is(err, errExpired) {
-				w.Header().Set("Connection", "close") // the client comes back with its present one
+			if errors.Is(err, errSVIDExpired) {
+				w.Header().Set("Connection", "close") // the client must reconnect with its renewed SVID
 			}
 			forbidden().write(w)
 			return
@@ -70,8 +72,8 @@
 	}
 }
 
-// acquireSlot reports whether one more request may be in flight. It does not wait for a slot: a request that waits
-// holds memory and a goroutine.
+// acquireSlot takes a slot for a request and reports whether one was free. It does not wait for a slot, because a waiting
+// request would hold memory and a goroutine.
 func (s *Server) acquireSlot() bool {
 	select {
 	case s.slots <- struct{}{}:
--- a/internal/frontend/invoke/server.go
+++ b/internal/frontend/invoke/server.go
@@ -1,10 +1,10 @@
-// Package invoke is the frontend for devices on poor links: an API over HTTPS to invoke functions, synchronously or
-// deferred. Clients authenticate by their SPIFFE identities. Both kinds of request become invocations of package
-// executor, which decides all about them.
+// Package invoke is the frontend for devices on unreliable links: an HTTPS API to invoke functions, synchronously or
+// deferred. Clients authenticate with their SPIFFE identities. Both kinds of request become invocations, which package
+// executor runs and keeps.
 //
 //	POST   /v1/functions/{function}/invocations  invoke a function; with Prefer: respond-async, deferred
-//	GET    /v1/invocations/{invocation}          ask for the outcome; with Prefer: wait=SECONDS, wait for it
-//	DELETE /v1/invocations/{invocation}          cancel
+//	GET    /v1/invocations/{invocation}          poll the outcome; with Prefer: wait=SECONDS, wait for it
+//	DELETE /v1/invocations/{invocation}          cancel the invocation
 package invoke
 
 import (
@@ -24,10 +24,10 @@
 )
 
 const (
-	readTimeout          = 10 * time.Second // of the headers, and of the body: links are poor, but requests small
-	idleTimeout          = time.Minute      // of a connection
+	readTimeout          = 10 * time.Second // for the headers, and again for the body: links are slow, but requests are small
+	idleTimeout          = time.Minute      // of a connection without requests in flight
 	maxHeaderBytes       = 16 << 10
-	maxConcurrentStreams = 64 // of one HTTP/2 connection
+	maxConcurrentStreams = 64 // per HTTP/2 connection
 )
 
 // Server serves the invoke API. Its methods are safe for concurrent use.
@@ -36,20 +36,20 @@
 	executor     *executor.Executor
 	httpServer   *http.Server
 	slots        chan struct{} // holds an element for each request in flight
-	draining     atomic.Bool   // new invocations are rejected
-	waits        atomic.Pointer[waitBound]
+	draining     atomic.Bool   // new invocations are rejected, set by Drain and Evacuate
+	pollContext  atomic.Pointer[pollContext]
 	forbiddenLog *logthrottle.Logger
 }
 
-// New returns a server; Serve starts it. The config must have been validated.
-func New(config *Config, invocations *executor.Executor, identity IdentitySource) *Server {
+// New returns a server, which Serve starts. The config must have been validated, as by ReadConfig.
+func New(config *Config, invocationExecutor *executor.Executor, identity IdentitySource) *Server {
 	s := &Server{
 		config:       config,
-		executor:     invocations,
+		executor:     invocationExecutor,
 		slots:        make(chan struct{}, config.MaxInFlight),
 		forbiddenLog: logthrottle.New(),
 	}
-	s.waits.Store(newWaitBound())
+	s.pollContext.Store(newPollContext())
 	s.httpServer = &http.Server{
 		Handler:           s.closeWhileDraining(s.routes()),
 		TLSConfig:         newTLSConfig(identity),
@@ -64,7 +64,8 @@
 func newTLSConfig(identity IdentitySource) *tls.Config {
 	config := tlsconfig.MTLSServerConfig(identity, identity, tlsconfig.AuthorizeAny())
 	config.MinVersion = tls.VersionTLS12
-	// A resumed session would skip the check of the client's SVID: it could outlive a bundle that was withdrawn.
+	// A resumed TLS session skips the verification of the client's SVID, so it would still be accepted after the trust bundle
+	// that verified the SVID was withdrawn.
 	config.SessionTicketsDisabled = true
 	return config
 }
@@ -78,8 +79,8 @@
 	return err
 }
 
-// Drain rejects new invocations from now on, so that those in flight can be completed. Polls are still answered.
+// Drain rejects new invocations from now on, so that the number in flight falls to zero. Polls are still answered.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown accepts no more connections and waits for the requests in flight, until ctx ends.
+// Shutdown stops accepting connections and waits for the requests in flight, until ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error { return s.httpServer.Shutdown(ctx) }
--- a/internal/frontend/invoke/validate.go
+++ b/internal/frontend/invoke/validate.go
@@ -12,16 +12,16 @@
 	"kitefall/internal/tomlfile"
 )
 
-// maxLifetime is the longest lifetime that an operator may allow a deferred invocation.
-const maxLifetime = 30 * 24 * time.Hour
+// maxConfigurableLifetime is the longest value that the operator's file may set for most_life.
+const maxConfigurableLifetime = 30 * 24 * time.Hour
 
-// ReadConfig reads the operator's file and validates it against the classes and tenants of the settings. The error
-// joins one for each setting that cannot work, with its line.
+// ReadConfig reads the operator's file and validates it against the classes and tenants of the settings. The error joins one
+// error for each invalid setting, with its line in the file.
 func ReadConfig(path string, settings balancer.Settings) (*Config, error) {
 	return CheckConfig(path, settings, true)
 }
 
-// CheckConfig is ReadConfig, also for where the settings are not known: classes and tenants are not validated then.
+// CheckConfig is like ReadConfig, but if settingsKnown is false it checks nothing against classes and tenants.
 func CheckConfig(path string, settings balancer.Settings, settingsKnown bool) (*Config, error) {
 	config, file, err := read(path)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return config, nil
 }
 
-// configValidator collects what is wrong with an operator's file, and completes the configuration where that depends on
-// the settings.
+// configValidator collects the errors of an operator's file, and sets the fields of the configuration that depend on the
+// settings.
 type configValidator struct {
 	file          *tomlfile.File
 	settingsKnown bool
@@ -61,10 +61,10 @@
 	errs          []error
 }
 
-// require reports a setting as wrong unless ok.
-func (v *configValidator) require(ok bool, complaint string, key ...string) {
+// require records an error for a setting, given by its key, unless ok is true.
+func (v *configValidator) require(ok bool, message string, key ...string) {
 	if !ok {
-		v.errs = append(v.errs, v.file.Errorf(complaint, key...))
+		v.errs = append(v.errs, v.file.Errorf(message, key...))
 	}
 }
 
@@ -79,44 +79,45 @@
 	v.require(c.MaxConns >= 1, "has to be at least 1", "connections")
 }
 
-// checkTenants checks the SPIFFE IDs and their tenants, and parses them. Without tenants in the settings any is
-// accepted.
+// checkTenants validates and parses the SPIFFE IDs, and checks that the settings know their tenants. If the settings list no
+// tenants, every tenant is accepted.
 func (v *configValidator) checkTenants(c *Config) {
-	for text, tenant := range c.Tenants {
-		id, err := spiffeid.FromString(text)
-		v.require(err == nil, fmt.Sprintf("is no SPIFFE ID: %v", err), "tenants", text)
-		known := len(v.tenants) == 0 || v.tenants[tenant]
-		v.require(known, fmt.Sprintf("no tenant %q in the settings", tenant), "tenants", text)
+	for idText, tenant := range c.Tenants {
+		id, err := spiffeid.FromString(idText)
+		v.require(err == nil, fmt.Sprintf("is not a SPIFFE ID: %v", err), "tenants", idText)
+		tenantKnown := len(v.tenants) == 0 || v.tenants[tenant]
+		v.require(tenantKnown, fmt.Sprintf("no tenant %q in the settings", tenant), "tenants", idText)
 		c.tenantByID[id] = tenant
 	}
 }
 
-// checkFunction checks an entry of the catalog, after completing it with the defaults and its class's idempotency.
+// checkFunction sets the defaults and the idempotency of a catalog entry, and then validates the entry.
 func (v *configValidator) checkFunction(name string, f *Function) {
 	class, classKnown := v.classes[f.Class]
 	f.idempotent = classKnown && class.Idempotency == balancer.Idempotent
 	f.setDefaults()
-	require := func(ok bool, complaint, key string) { v.require(ok, complaint, "functions", name, key) }
+	require := func(ok bool, message, key string) { v.require(ok, message, "functions", name, key) }
 	require(classKnown || !v.settingsKnown, fmt.Sprintf("no class %q in the settings", f.Class), "class")
 	require(call.IsHexID(f.Key), "has to be 16 hex digits, the function's name at the workers", "key")
 	require(f.Deadline > 0, "has to be above 0", "deadline")
 	require(f.MaxDeadline >= f.Deadline, fmt.Sprintf("is below the deadline of %v", f.Deadline), "most_deadline")
-	// The balancer takes the longest time left that it has seen in a class for that of a first attempt. One beyond the
-	// class's own deadline would make it take first attempts from the other frontend for late retries.
+	// The balancer assumes that first attempts of a class start with the longest time until the deadline that it has seen in
+	// a request of that class. If invocations had more time than the class's own deadline, the balancer would take first
+	// attempts from the other frontend for late retries.
 	require(!classKnown || f.MaxDeadline <= class.Deadline,
-		fmt.Sprintf("is over the %v of class %s", class.Deadline, f.Class), "most_deadline")
+		fmt.Sprintf("exceeds the deadline of %v of class %s", class.Deadline, f.Class), "most_deadline")
 	require(f.Lifetime >= f.Deadline, fmt.Sprintf("is below the deadline of %v", f.Deadline), "life")
 	require(f.MaxLifetime >= f.Lifetime, fmt.Sprintf("is below the life of %v", f.Lifetime), "most_life")
-	require(f.MaxLifetime <= maxLifetime, fmt.Sprintf("is over %v", maxLifetime), "most_life")
+	require(f.MaxLifetime <= maxConfigurableLifetime, fmt.Sprintf("exceeds the maximum of %v", maxConfigurableLifetime), "most_life")
 	require(f.MaxBody >= 0 && f.MaxBody <= call.MaxBodyBytes,
 		fmt.Sprintf("has to be from 0 to %d", call.MaxBodyBytes), "most_body")
 }
 
-// checkDeferred derives the scheduler's configuration and checks it.
+// checkDeferred derives the scheduler's configuration and validates it, together with the limits of the store.
 func (v *configValidator) checkDeferred(d *Deferred, settings balancer.Settings) {
-	d.setScheduler(settings)
-	err := d.scheduler.Validate()
-	if d.DeadRetention <= 0 || d.MaxPerTenant < 0 || d.MaxMBPerTenant < 0 {
+	d.setSchedulerConfig(settings)
+	err := d.schedulerConfig.Validate()
+	if d.DeadRetention <= 0 || d.MaxPerTenant < 0 || d.MaxMiBPerTenant < 0 {
 		err = errors.Join(err, errors.New("dead_retention has to be above 0, tenant_tickets and tenant_mb 0 or more"))
 	}
 	if err != nil {
