--- a/internal/frontend/invoke/config_test.go
+++ b/internal/frontend/invoke/config_test.go
@@ -16,7 +16,8 @@
 	require.NoError(t, err)
 }
 
-// A file that would not do what it says stops the program, rather than run with a bound less.
+// An operator's file with an error must be rejected. If the error were ignored, for example a misspelled key, the
+// dispatcher would run without the limit that the file sets.
 func TestInvalidFilesAreRejected(t *testing.T) {
 	for valid, invalid := range map[string]string{
 		"most_body = 64":       "most_bodies = 64",
--- a/internal/frontend/invoke/harness_test.go
+++ b/internal/frontend/invoke/harness_test.go
@@ -47,7 +47,7 @@
 most_deadline = "4s"
 `
 
-// The paths of the functions in operatorsFile: bookPath's is not idempotent, lookPath's is.
+// The invocation paths of the functions in operatorsFile. The function book is not idempotent, the function look is.
 const (
 	bookPath = "/v1/functions/book/invocations"
 	lookPath = "/v1/functions/look/invocations"
@@ -61,7 +61,7 @@
 	return path
 }
 
-// testFrontend is a dispatcher with an invoke frontend. It can be restarted on its store.
+// testFrontend is a dispatcher with an invoke frontend. It can be restarted with the same store file.
 type testFrontend struct {
 	t         *testing.T
 	authority *fakes.Authority
@@ -69,7 +69,7 @@
 	clientA   *http.Client // of tenant a
 	clientB   *http.Client // of tenant b
 
-	// Of the present run.
+	// Set by start and replaced by restart.
 	url      string
 	core     *dispatch.Core
 	store    *store.Store
@@ -116,7 +116,8 @@
 	go f.server.Serve(ln)
 }
 
-// stop ends the dispatcher as a crash would: invocations in flight stay so in the store.
+// stop ends the dispatcher without waiting for requests in flight, as a crash would: the store keeps invocations in flight
+// as not completed.
 func (f *testFrontend) stop() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -125,28 +126,28 @@
 	f.executor.Close()
 }
 
-// restart stops the dispatcher and starts it on the same store.
+// restart stops the dispatcher and starts a new one on the same store file.
 func (f *testFrontend) restart(workers ...*fakes.Worker) {
 	f.t.Helper()
 	f.stop()
 	f.start(workers...)
 }
 
-// response is an answer of the API, read whole.
+// response is a response of the API with its complete body.
 type response struct {
 	status  int
 	header  http.Header
 	body    string
-	problem problem // its zero value if the answer is no problem document
+	problem problem // zero if the body is not a problem document
 }
 
-// location is where a deferred invocation can be asked for.
+// location returns the path at which a deferred invocation can be polled.
 func (r response) location() string { return r.header.Get("Location") }
 
-// problem is what a client needs to know of a problem document.
+// problem holds the members of a problem document that the tests check.
 type problem struct {
 	status     int
-	name       string // the type without its prefix
+	name       string // the type without the prefix urn:kitefall:problem:
 	retryable  bool
 	mayHaveRun bool
 }
@@ -168,7 +169,7 @@
 	}
 }
 
-// send sends a request, with headers as pairs of name and value.
+// send sends a request. The headers are alternating names and values.
 func (f *testFrontend) send(ctx context.Context, client *http.Client, method, path, body string,
 	headers ...string) (response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader(body))
@@ -177,27 +178,27 @@
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
-	answer, err := client.Do(request)
+	httpResponse, err := client.Do(request)
 	if err != nil {
 		return response{}, err
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
+	defer httpResponse.Body.Close()
+	data, err := io.ReadAll(httpResponse.Body)
 	require.NoError(f.t, err)
-	received := response{status: answer.StatusCode, header: answer.Header, body: string(data)}
-	if answer.Header.Get("Content-Type") == "application/problem+json" {
-		received.problem = parseProblem(f.t, data)
-		require.Equal(f.t, answer.StatusCode, received.problem.status)
+	result := response{status: httpResponse.StatusCode, header: httpResponse.Header, body: string(data)}
+	if httpResponse.Header.Get("Content-Type") == "application/problem+json" {
+		result.problem = parseProblem(f.t, data)
+		require.Equal(f.t, httpResponse.StatusCode, result.problem.status)
 	}
-	return received, nil
+	return result, nil
 }
 
-// mustSend sends a request that must be answered.
+// mustSend sends a request and fails the test if no response arrives.
 func (f *testFrontend) mustSend(client *http.Client, method, path, body string, headers ...string) response {
 	f.t.Helper()
-	received, err := f.send(context.Background(), client, method, path, body, headers...)
+	result, err := f.send(context.Background(), client, method, path, body, headers...)
 	require.NoError(f.t, err)
-	return received
+	return result
 }
 
 // invoke invokes a function for tenant a.
@@ -214,13 +215,13 @@
 	return accepted
 }
 
-// poll polls an invocation of tenant a once, with the longest wait that is allowed.
+// poll polls an invocation of tenant a once and waits up to 20 s, the default maximum.
 func (f *testFrontend) poll(path string) response {
 	f.t.Helper()
 	return f.mustSend(f.clientA, http.MethodGet, path, "", "Prefer", "wait=20")
 }
 
-// awaitOutcome polls an invocation of tenant a until it has an outcome.
+// awaitOutcome polls an invocation of tenant a once and waits up to 10 s for its outcome.
 func (f *testFrontend) awaitOutcome(path string) response {
 	f.t.Helper()
 	return f.mustSend(f.clientA, http.MethodGet, path, "", "Prefer", "wait=10")
--- a/internal/frontend/invoke/invoke_test.go
+++ b/internal/frontend/invoke/invoke_test.go
@@ -27,23 +27,23 @@
 
 	deferred := f.invokeDeferred(bookPath, `"slot 2"`)
 	assert.Equal(t, "respond-async", deferred.header.Get("Preference-Applied"))
-	received := w.Next()
-	assert.Contains(t, received.Fields, "profile=reserva,thing=7f3a9c21e0b4d655,max=")
+	workerCall := w.Next()
+	assert.Contains(t, workerCall.Fields, "profile=reserva,thing=7f3a9c21e0b4d655,max=")
 	pending := f.mustSend(f.clientA, http.MethodGet, deferred.location(), "")
 	assert.Equal(t, http.StatusAccepted, pending.status)
-	received.OK(`"booked too"`)
+	workerCall.OK(`"booked too"`)
 	assert.Equal(t, `"booked too"`, f.awaitOutcome(deferred.location()).body)
 
 	go func() { w.Next().OK(`"booked at once"`) }()
-	waitedFor := f.invoke(bookPath, `"slot 3"`, "Prefer", "respond-async, wait=10")
-	assert.Equal(t, http.StatusOK, waitedFor.status)
-	assert.Equal(t, `"booked at once"`, waitedFor.body)
+	deferredWithWait := f.invoke(bookPath, `"slot 3"`, "Prefer", "respond-async, wait=10")
+	assert.Equal(t, http.StatusOK, deferredWithWait.status)
+	assert.Equal(t, `"booked at once"`, deferredWithWait.body)
 
-	other := f.mustSend(f.clientB, http.MethodGet, deferred.location(), "")
-	assert.Equal(t, problem{status: 404, name: "not-found"}, other.problem, "only its tenant sees an invocation")
+	otherTenant := f.mustSend(f.clientB, http.MethodGet, deferred.location(), "")
+	assert.Equal(t, problem{status: 404, name: "not-found"}, otherTenant.problem, "invocation visible to another tenant")
 }
 
-func TestPendingInvocationIsDescribed(t *testing.T) {
+func TestPendingInvocationDocument(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
@@ -55,8 +55,9 @@
 	assert.Regexp(t, `^\{"deadline":"[^"]+","history":\[\{.+\}\],"runs":1,"status":"pending","ticket":"`+id+`"\}\n$`, pending.body)
 }
 
-// The link breaks while a device waits; it resends, and later polls.
-func TestResentInvocationFindsItsOutcome(t *testing.T) {
+// A device's connection breaks while the device waits for a synchronous invocation. The device resends the request with the
+// same Idempotency-Key, deferred, and polls. The function must run once, and each resend must get the original outcome.
+func TestResentInvocationGetsTheOriginalOutcome(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -65,54 +66,55 @@
 		_, err := f.send(ctx, f.clientA, http.MethodPost, bookPath, `"slot"`, "Idempotency-Key", "k1")
 		sendErr <- err
 	}()
-	received := w.Next()
+	workerCall := w.Next()
 	cancel()
 	require.Error(t, <-sendErr)
 	deferred := f.invokeDeferred(bookPath, `"slot"`, "Idempotency-Key", "k1")
-	received.OK(`"booked"`)
+	workerCall.OK(`"booked"`)
 	assert.Equal(t, `"booked"`, f.awaitOutcome(deferred.location()).body)
 	f.restart(w)
 	resent := f.invoke(bookPath, `"slot"`, "Idempotency-Key", "k1")
-	assert.Equal(t, http.StatusOK, resent.status, "also after a restart")
-	assert.Equal(t, `"booked"`, resent.body, "also after a restart")
+	assert.Equal(t, http.StatusOK, resent.status, "the key is still known after a restart")
+	assert.Equal(t, `"booked"`, resent.body, "the result is still known after a restart")
 	assert.Equal(t, 1, w.CallCount(`"slot"`))
 	reused := f.invoke(bookPath, `"other slot"`, "Idempotency-Key", "k1")
 	assert.Equal(t, problem{status: 422, name: "key-reused"}, reused.problem)
 }
 
-func TestCancelledInvocationKeepsItsOutcome(t *testing.T) {
+func TestLateAnswerDoesNotReplaceCancellation(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	received := w.Next()
+	workerCall := w.Next()
 	cancelled := f.mustSend(f.clientA, http.MethodDelete, deferred.location(), "")
 	assert.Equal(t, http.StatusNoContent, cancelled.status)
-	assert.Equal(t, received.ID, <-w.Cancelled)
-	received.OK(`"too late"`)
+	assert.Equal(t, workerCall.ID, <-w.Cancelled)
+	workerCall.OK(`"too late"`)
 	go func() { w.Next().OK(`"next"`) }()
-	assert.Equal(t, `"next"`, f.invoke(lookPath, `"day"`).body) // on the same connection: the late answer has been read
+	// This answer comes on the same worker connection, so the dispatcher has read the late answer before it.
+	assert.Equal(t, `"next"`, f.invoke(lookPath, `"day"`).body)
 	outcome := f.awaitOutcome(deferred.location())
 	assert.Equal(t, problem{status: 409, name: "given-up", mayHaveRun: true}, outcome.problem)
 }
 
-func TestDeadlineExceededStaysTheOutcome(t *testing.T) {
+func TestLateAnswerDoesNotReplaceDeadlineOutcome(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`, "Request-Timeout", "0.2")
-	received := w.Next()
+	workerCall := w.Next()
 	outcome := f.awaitOutcome(deferred.location())
 	assert.Equal(t, problem{status: 504, name: "deadline", mayHaveRun: true}, outcome.problem)
-	received.OK(`"too late"`)
+	workerCall.OK(`"too late"`)
 	assert.Equal(t, http.StatusGatewayTimeout, f.awaitOutcome(deferred.location()).status)
 }
 
-func TestRejectionSaysWhenToRetry(t *testing.T) {
+func TestRejectionHasRetryAfter(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	const codeFull = 67
 	go func() {
-		for received := range w.Calls {
-			received.Answer(codeFull, "", "")
+		for workerCall := range w.Calls {
+			workerCall.Answer(codeFull, "", "")
 		}
 	}()
 	rejected := f.invoke(bookPath, `"slot"`)
@@ -124,15 +126,15 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	received := w.Next()
+	workerCall := w.Next()
 	f.server.Drain()
 	rejected := f.invoke(bookPath, `"late slot"`)
 	assert.Equal(t, problem{status: 503, name: "refused", retryable: true}, rejected.problem)
-	received.OK(`"booked"`)
+	workerCall.OK(`"booked"`)
 	assert.Equal(t, `"booked"`, f.awaitOutcome(deferred.location()).body)
 }
 
-func TestExpiredInvocationAndBrokenStore(t *testing.T) {
+func TestExpiredInvocationAndClosedStore(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
@@ -141,34 +143,36 @@
 	require.NoError(t, f.store.DeleteExpired(f.executor.Clock().Now().Add(2*time.Hour)))
 	expired := f.awaitOutcome(deferred.location())
 	assert.Equal(t, problem{status: 410, name: "expired"}, expired.problem)
-	require.NoError(t, f.store.Close()) // from here on nothing can be stored
+	require.NoError(t, f.store.Close()) // from now on nothing can be stored
 	notStored := f.invoke(bookPath, `"slot"`)
 	assert.Equal(t, problem{status: 503, name: "storage", retryable: true}, notStored.problem)
-	assert.Equal(t, 1, w.CallCount(`"slot"`), "what is not stored does not run")
+	assert.Equal(t, 1, w.CallCount(`"slot"`), "an invocation that was not stored must not run")
 	require.NoError(t, os.WriteFile(f.storePath, []byte(strings.Repeat("no database ", 4096)), 0o600))
 	_, err := store.Open(f.storePath, store.Options{})
 	assert.ErrorIs(t, err, invocation.ErrStorage)
 }
 
-// An evacuated server rejects new invocations and lets no poll wait; those in flight go on, and it takes clients again.
-func TestEvacuationEndsWaitsAndRejoinTakesClientsAgain(t *testing.T) {
+// During an evacuation the server rejects new invocations, and after EndWaits no poll waits. Invocations in flight continue.
+// After Rejoin the server accepts new invocations.
+func TestEvacuationEndsWaitingPollsAndRejoinAcceptsInvocations(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	received := w.Next()
-	waited := make(chan int, 1)
-	go func() { waited <- f.poll(deferred.location()).status }()
-	require.Never(t, func() bool { return len(waited) > 0 }, 100*time.Millisecond, 10*time.Millisecond)
+	workerCall := w.Next()
+	pollStatus := make(chan int, 1)
+	go func() { pollStatus <- f.poll(deferred.location()).status }()
+	require.Never(t, func() bool { return len(pollStatus) > 0 }, 100*time.Millisecond, 10*time.Millisecond)
 	f.server.Evacuate()
-	f.clientA.CloseIdleConnections() // as the server does: what crosses that would be an error of the client's
+	// A request on an idle connection would fail if the server closed that connection at the same time.
+	f.clientA.CloseIdleConnections()
 	assert.Equal(t, problem{status: 503, name: "refused", retryable: true}, f.invoke(bookPath, `"late slot"`).problem)
 	f.server.EndWaits()
-	assert.Equal(t, http.StatusAccepted, <-waited)
-	assert.Equal(t, http.StatusAccepted, f.poll(deferred.location()).status, "nor do later ones wait")
+	assert.Equal(t, http.StatusAccepted, <-pollStatus)
+	assert.Equal(t, http.StatusAccepted, f.poll(deferred.location()).status, "polls after EndWaits do not wait either")
 	f.server.Rejoin()
-	received.OK(`"booked"`)
+	workerCall.OK(`"booked"`)
 	assert.Equal(t, `"booked"`, f.awaitOutcome(deferred.location()).body)
-	again := f.invokeDeferred(bookPath, `"next slot"`)
+	next := f.invokeDeferred(bookPath, `"next slot"`)
 	w.Next().OK(`"booked again"`)
-	assert.Equal(t, `"booked again"`, f.awaitOutcome(again.location()).body)
+	assert.Equal(t, `"booked again"`, f.awaitOutcome(next.location()).body)
 }
--- a/internal/frontend/invoke/request_test.go
+++ b/internal/frontend/invoke/request_test.go
@@ -25,32 +25,33 @@
 		{"wrong method", "GET", bookPath, "", nil, 405},
 		{"wrong media type", "POST", bookPath, "", []string{"Content-Type", "text/plain"}, 415},
 		{"encoded body", "POST", bookPath, "", []string{"Content-Encoding", "gzip"}, 415},
-		{"large body", "POST", bookPath, strings.Repeat("x", 65), nil, 413},
-		{"timeout that is no number", "POST", bookPath, "", []string{"Request-Timeout", "soon"}, 400},
-		{"long key", "POST", bookPath, "", []string{"Idempotency-Key", strings.Repeat("x", 256)}, 400},
-		{"wait that is no number", "GET", unknownPath, "", []string{"Prefer", "wait=long"}, 400},
+		{"body over the limit", "POST", bookPath, strings.Repeat("x", 65), nil, 413},
+		{"non-numeric timeout", "POST", bookPath, "", []string{"Request-Timeout", "soon"}, 400},
+		{"idempotency key over the limit", "POST", bookPath, "", []string{"Idempotency-Key", strings.Repeat("x", 256)}, 400},
+		{"non-numeric wait", "GET", unknownPath, "", []string{"Prefer", "wait=long"}, 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			received := f.mustSend(f.clientA, c.method, c.path, c.body, c.headers...)
-			assert.Equal(t, c.status, received.status)
-			assert.NotEmpty(t, received.problem.name)
+			result := f.mustSend(f.clientA, c.method, c.path, c.body, c.headers...)
+			assert.Equal(t, c.status, result.status)
+			assert.NotEmpty(t, result.problem.name)
 		})
 	}
 }
 
-func TestWrongMethodNamesTheAllowedOnes(t *testing.T) {
+func TestWrongMethodResponseListsAllowedMethods(t *testing.T) {
 	f := newTestFrontend(t)
-	received := f.mustSend(f.clientA, http.MethodPut, "/v1/invocations/none", "")
-	assert.Equal(t, problem{status: 405, name: "method"}, received.problem)
-	assert.Equal(t, "DELETE, GET", received.header.Get("Allow"))
+	result := f.mustSend(f.clientA, http.MethodPut, "/v1/invocations/none", "")
+	assert.Equal(t, problem{status: 405, name: "method"}, result.problem)
+	assert.Equal(t, "DELETE, GET", result.header.Get("Allow"))
 }
 
-func TestClientsOfNoTenantAreForbidden(t *testing.T) {
+func TestClientsWithoutTenantAreForbidden(t *testing.T) {
 	f := newTestFrontend(t, fakes.NewWorker(t))
 	unknown := f.authority.Client(fakes.Domain + "/desk/unknown")
-	received := f.mustSend(unknown, http.MethodPost, bookPath, "")
-	assert.Equal(t, problem{status: 403, name: "forbidden"}, received.problem)
-	foreign := fakes.NewAuthority(t).Client(fakes.Domain + "/desk/a") // a tenant's name by another authority
-	_, err := f.send(context.Background(), foreign, http.MethodPost, bookPath, "")
+	result := f.mustSend(unknown, http.MethodPost, bookPath, "")
+	assert.Equal(t, problem{status: 403, name: "forbidden"}, result.problem)
+	// The SPIFFE ID belongs to a tenant, but the server does not trust the authority that issued the SVID.
+	untrusted := fakes.NewAuthority(t).Client(fakes.Domain + "/desk/a")
+	_, err := f.send(context.Background(), untrusted, http.MethodPost, bookPath, "")
 	assert.Error(t, err)
 }
--- a/internal/frontend/invoke/restart_test.go
+++ b/internal/frontend/invoke/restart_test.go
@@ -10,7 +10,8 @@
 	"kitefall/internal/fakes"
 )
 
-// The dispatcher ends while a reserva is at a worker: nobody can tell any more whether it ran.
+// The dispatcher stops while a worker runs a call of class reserva, which is not idempotent. After the restart the dispatcher
+// cannot know whether the function ran, so the invocation must fail as may-have-run and must not be retried.
 func TestNonIdempotentInvocationInFlightAtARestartIsNotRetried(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
@@ -22,7 +23,7 @@
 		assert.Equal(t, problem{status: 502, name: "may-have-run", mayHaveRun: true}, outcome.problem)
 	}
 	resent := f.invoke(bookPath, `"slot"`, "Idempotency-Key", "k1")
-	assert.Equal(t, http.StatusBadGateway, resent.status, "a resend gets the same answer")
+	assert.Equal(t, http.StatusBadGateway, resent.status, "a resend must get the same outcome")
 	assert.Equal(t, 1, w.CallCount(`"slot"`))
 }
 
@@ -36,7 +37,7 @@
 	assert.Equal(t, `"free"`, f.awaitOutcome(deferred.location()).body)
 }
 
-// Without workers nothing is attempted, so even a reserva may run after a restart.
+// Without workers no attempt was sent, so that even an invocation of class reserva may run after the restart.
 func TestNonIdempotentInvocationNeverAttemptedRunsOnceAfterARestart(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t)
@@ -47,30 +48,31 @@
 	assert.Equal(t, 1, w.CallCount(`"slot"`))
 }
 
-// Workers die mid-call and others take their place: no reserva runs twice, each invocation has one outcome.
-func TestWorkersThatDieMidCall(t *testing.T) {
+// Half of the workers reset the connection during a call, and each worker is then replaced. No call of class reserva may run
+// twice, and a resend must get the outcome of the first request.
+func TestWorkerConnectionResetDoesNotRepeatCall(t *testing.T) {
 	f := newTestFrontend(t)
 	for i := range 8 {
 		w := fakes.NewWorker(t)
 		f.core.UpdateEndpoints(fakes.Endpoints(w))
 		body := fmt.Sprintf(`"slot %d"`, i)
 		deferred := f.invokeDeferred(bookPath, body, "Idempotency-Key", body)
-		received := w.Next()
-		wantProblem := ""
+		workerCall := w.Next()
+		wantProblemName := ""
 		if i%2 == 0 {
-			received.ResetConn()
-			wantProblem = "may-have-run"
+			workerCall.ResetConn()
+			wantProblemName = "may-have-run"
 		} else {
-			received.OK(`"booked"`)
+			workerCall.OK(`"booked"`)
 		}
 		outcome := f.awaitOutcome(deferred.location())
-		assert.Equal(t, wantProblem, outcome.problem.name, outcome.body)
-		successor := fakes.NewWorker(t)
-		f.core.UpdateEndpoints(fakes.Endpoints(successor)) // it would get the call, were it sent again
+		assert.Equal(t, wantProblemName, outcome.problem.name, outcome.body)
+		replacement := fakes.NewWorker(t)
+		f.core.UpdateEndpoints(fakes.Endpoints(replacement)) // a second attempt would go to this worker
 		resent := f.invoke(bookPath, body, "Idempotency-Key", body)
 		assert.Equal(t, outcome.status, resent.status)
 		assert.Equal(t, outcome.body, resent.body)
 		assert.Equal(t, 1, w.CallCount(body))
-		assert.Equal(t, 0, successor.CallCount(body))
+		assert.Equal(t, 0, replacement.CallCount(body))
 	}
 }
