--- a/internal/frontend/invoke/config.go
+++ b/internal/frontend/invoke/config.go
@@ -18,7 +18,7 @@
 	Store          string               `toml:"store"`        // path of the invocation store
 	Control        string               `toml:"control"`      // path of the control socket; default: Store + ".sock"
 	Retention      time.Duration        `toml:"retention"`    // how long an invocation is kept after its completion
-	MaxWait        time.Duration        `toml:"most_wait"`    // maximum time that a request may wait for an outcome
+	MaxWait        time.Duration        `toml:"most_wait"`    // upper limit of the wait that Prefer: wait requests
 	MaxInFlight    int                  `toml:"most_open"`    // maximum number of HTTP requests in flight
 	MaxInvocations int64                `toml:"most_tickets"` // maximum number of invocations in the store
 	Deferred       Deferred             `toml:"deferred"`
--- a/internal/frontend/invoke/server.go
+++ b/internal/frontend/invoke/server.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	readTimeout          = 10 * time.Second // for the headers, and again for the body: links are slow, but requests are small
+	readTimeout          = 10 * time.Second // for the headers, and again for the body: links are poor, but requests are small
 	idleTimeout          = time.Minute      // of a connection without requests in flight
 	maxHeaderBytes       = 16 << 10
 	maxConcurrentStreams = 64 // per HTTP/2 connection
@@ -36,7 +36,7 @@
 	executor     *executor.Executor
 	httpServer   *http.Server
 	slots        chan struct{} // holds an element for each request in flight
-	draining     atomic.Bool   // new invocations are rejected, set by Drain and Evacuate
+	draining     atomic.Bool   // new invocations are rejected; set by Drain and Evacuate, cleared by Rejoin
 	pollContext  atomic.Pointer[pollContext]
 	forbiddenLog *logthrottle.Logger
 }
@@ -64,8 +64,8 @@
 func newTLSConfig(identity IdentitySource) *tls.Config {
 	config := tlsconfig.MTLSServerConfig(identity, identity, tlsconfig.AuthorizeAny())
 	config.MinVersion = tls.VersionTLS12
-	// A resumed TLS session skips the verification of the client's SVID, so it would still be accepted after the trust bundle
-	// that verified the SVID was withdrawn.
+	// A resumed TLS session skips the verification of the client's SVID, so the session would still be accepted after the
+	// trust bundle that verified the SVID was withdrawn.
 	config.SessionTicketsDisabled = true
 	return config
 }
