--- a/internal/invocation/effect.go
+++ b/internal/invocation/effect.go
@@ -1,21 +1,21 @@
 package invocation
 
-// Effect is something that the caller of Step has to do after a transition.
+// Effect is an action that the caller of Step must carry out after a transition.
 type Effect uint8
 
 // The effects.
 const (
-	EffectPersist   Effect = 1 << iota // store the new state before anything else is done or told
-	EffectNotify                       // tell the owner the final outcome
-	EffectCancelRun                    // cancel the run in progress
-	EffectSchedule                     // hand the invocation to the scheduler
-	EffectDelete                       // delete all but the fact that the invocation existed
+	EffectPersist   Effect = 1 << iota // store the new state before any other effect, write to a worker or reply
+	EffectNotify                       // report the final outcome to the clients that wait for it
+	EffectCancelRun                    // cancel the run in progress at the dispatcher
+	EffectSchedule                     // hand the invocation to the scheduler for its next run
+	EffectDelete                       // delete the invocation; only a record that it existed is kept
 )
 
 // Effects is a set of effects. The zero value is the empty set.
 type Effects uint8
 
-// effects returns the set of the given effects.
+// effects returns the set of the given members.
 func effects(members ...Effect) Effects {
 	set := Effects(0)
 	for _, member := range members {
@@ -24,8 +24,8 @@
 	return set
 }
 
-// Has reports whether the set contains an effect.
+// Has reports whether the set contains effect.
 func (e Effects) Has(effect Effect) bool { return e&Effects(effect) != 0 }
 
-// without returns the set less one effect.
+// without returns the set without effect.
 func (e Effects) without(effect Effect) Effects { return e &^ Effects(effect) }
--- a/internal/invocation/guard.go
+++ b/internal/invocation/guard.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// minRunTime is the least time that must be left until the deadline for another run to be worth starting.
+// minRunTime is the minimum time that must be left between the earliest start of another run and the invocation's
+// deadline. With less time left, another run is not worth starting.
 const minRunTime = 50 * time.Millisecond
 
-// guard is the condition of a transition: it restricts the transition to some invocations and inputs.
+// guard is the condition under which a transition applies to an invocation, an input and a time.
 type guard struct {
-	name  string // shown in the transition's name
+	name  string // part of the transition's name in test output; empty for always
 	holds func(inv *Invocation, input Input, now time.Time) bool
 }
 
@@ -53,7 +54,8 @@
 	}
 )
 
-// anotherRunFollows reports whether the scheduler has granted another run and enough time is left for it.
+// anotherRunFollows reports whether a deferred invocation gets another run: the scheduler has granted one, and at least
+// minRunTime is left for it.
 func anotherRunFollows(inv *Invocation, input Input, _ time.Time) bool {
 	if !inv.Deferred || input.RetryAt.IsZero() {
 		return false
@@ -61,11 +63,11 @@
 	return input.RetryAt.Add(minRunTime).Before(inv.Expires)
 }
 
-// redrivable reports whether an invocation is a dead letter that was not redriven before.
+// redrivable reports whether an invocation is a dead letter that has not been redriven.
 func redrivable(inv *Invocation) bool { return inv.DeadLetter && inv.RedrivenAs == "" }
 
-// safeToRedrive reports whether a redrive cannot run a function twice that must run once, or an operator has confirmed
-// that it did not run and has given a reason.
+// safeToRedrive reports whether a redrive cannot execute a non-idempotent function twice: the function is idempotent, it
+// did not run, or an operator has confirmed that it did not run and has given a reason.
 func safeToRedrive(inv *Invocation, input Input) bool {
 	confirmed := input.Confirmed && input.Note != ""
 	return inv.Idempotent || !inv.MayHaveRun || confirmed
--- a/internal/invocation/history.go
+++ b/internal/invocation/history.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// MaxHistory is the maximum length of a history. A longer one keeps its first entries, which tell how the
-	// invocation began, and the latest ones.
+	// MaxHistory is the maximum number of entries in a history. When it is reached, each new entry replaces the oldest
+	// one that is not among the first firstHistoryEntries.
 	MaxHistory = 24
 
-	// firstHistoryEntries is how many of the oldest entries are always kept.
+	// firstHistoryEntries is the number of oldest entries that are always kept, because they show how the invocation
+	// began.
 	firstHistoryEntries = 4
 )
 
-// HistoryEntry is one transition in an invocation's history.
+// HistoryEntry records one transition of an invocation. Run is the number of runs started until then.
 type HistoryEntry struct {
 	At    time.Time `cbor:"1,keyasint" json:"at"`
 	Run   int       `cbor:"2,keyasint,omitempty" json:"run,omitempty"`
@@ -19,7 +20,7 @@
 	Note  string    `cbor:"4,keyasint,omitempty" json:"note,omitempty"`
 }
 
-// appendHistory adds an entry. It never changes the old slice: copies of the invocation may share it.
+// appendHistory adds an entry. It does not modify the existing slice, because copies of the invocation may share it.
 func (inv *Invocation) appendHistory(entry HistoryEntry) {
 	if len(inv.History) >= MaxHistory {
 		kept := append([]HistoryEntry(nil), inv.History[:firstHistoryEntries]...)
--- a/internal/invocation/state.go
+++ b/internal/invocation/state.go
@@ -1,44 +1,45 @@
 package invocation
 
-// State is the stage of an invocation's life. Its numbers are stored.
+// State is a state of an invocation's state machine. The numbers are stored and must not change.
 type State uint8
 
-// The states. StateSubmitted is never stored: nothing of a submitted invocation can have been written to a worker, so
-// after a restart it is StateWaiting again (see Invocation.Persisted).
+// The states. StateSubmitted is never stored: after a restart a submitted invocation is in StateWaiting and may run again
+// (see Invocation.Persisted). This is safe because an invocation that is not idempotent enters StateRunning, which is
+// stored, before its first byte is written to a worker.
 const (
 	StateWaiting   State = 1 + iota // no run is in progress
-	StateSubmitted                  // a run was submitted to the dispatcher; no attempt was written to a worker
-	StateRunning                    // it is stored that an attempt may have been written to a worker
+	StateSubmitted                  // a run was submitted to the dispatcher; unless idempotent, nothing was written to a worker
+	StateRunning                    // an attempt may have been written to a worker, and the store has recorded this
 	StateCompleted                  // the outcome is final
 )
 
-// stateNames are shown to operators and must not change.
+// stateNames are the names by state number. They are shown to operators and must not change.
 var stateNames = [...]string{"none", "waiting", "offered", "running", "ended"}
 
-// String returns the state's name in operators' listings.
+// String returns the state's name as shown to operators.
 func (s State) String() string { return stateNames[s] }
 
-// Outcome says how an invocation completed. Its numbers are stored.
+// Outcome is how an invocation completed. The numbers are stored and must not change.
 type Outcome uint8
 
-// The outcomes. OutcomeNone is that of an invocation that has not completed.
+// The outcomes. OutcomeNone means that the invocation has not completed.
 const (
 	OutcomeNone             Outcome = iota
-	OutcomeServed                   // there is a result
-	OutcomeRejected                 // it did not run; a retry does no harm
-	OutcomeFailed                   // it failed; Invocation.MayHaveRun tells whether it may have run
-	OutcomeDeadlineExceeded         // its deadline passed
-	OutcomeCancelled                // its owner cancelled it
+	OutcomeServed                   // a worker executed the function and returned a result
+	OutcomeRejected                 // the function did not run; the client may safely retry
+	OutcomeFailed                   // there is no result; Invocation.MayHaveRun tells whether the function may have run
+	OutcomeDeadlineExceeded         // the deadline passed before there was another outcome
+	OutcomeCancelled                // the tenant that owns the invocation cancelled it
 )
 
-// outcomeNames are shown to operators and must not change.
+// outcomeNames are the names by outcome number. They are shown to operators and must not change.
 var outcomeNames = [...]string{"open", "served", "refused", "failed", "late", "given up"}
 
-// String returns the outcome's name in operators' listings.
+// String returns the outcome's name as shown to operators.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Urgency is the urgency of RFC 9218: 0 is the most urgent, 7 the least.
+// Urgency is an urgency as defined by RFC 9218: 0 is the most urgent, 7 the least.
 type Urgency uint8
 
-// DefaultUrgency applies where a request names none (RFC 9218, section 4.1).
+// DefaultUrgency applies if a request states no urgency (RFC 9218, section 4.1).
 const DefaultUrgency Urgency = 3
--- a/internal/invocation/step.go
+++ b/internal/invocation/step.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// transitionKey selects the transitions of one state and event.
+// transitionKey is a combination of state and event.
 type transitionKey struct {
 	from  State
 	event Event
 }
 
-// transitionIndex finds the transitions of a state and event, in the order of the table.
+// transitionIndex holds the transitions for each state and event, in the order of the table.
 var transitionIndex = indexTransitions(Transitions)
 
 func indexTransitions(table []Transition) map[transitionKey][]*Transition {
@@ -24,9 +24,9 @@
 	return index
 }
 
-// Step applies an input to an invocation. It returns the transition taken and the effects that the caller has to carry
-// out; those of an ephemeral invocation never include EffectPersist. A transition that rejects its event returns its
-// error, one of this package's, and leaves the invocation unchanged.
+// Step applies an input to an invocation. It returns the transition taken and the effects that the caller must carry out.
+// The effects of an ephemeral invocation never include EffectPersist. If the transition rejects the event, Step leaves
+// the invocation unchanged and returns the transition's error, one of this package's errors.
 func Step(inv *Invocation, input Input, now time.Time) (*Transition, Effects, error) {
 	for _, transition := range transitionIndex[transitionKey{inv.State, input.Event}] {
 		if !transition.guard.holds(inv, input, now) {
@@ -37,11 +37,11 @@
 		}
 		return transition, transition.apply(inv, input, now), nil
 	}
-	// A test of the table proves that one of the guards always holds.
+	// Not reached with an event after EventCreated: TestEveryTransition checks that a guard holds for every combination.
 	return nil, 0, fmt.Errorf("no transition from %v on %v", inv.State, input.Event)
 }
 
-// apply changes the invocation and returns the effects.
+// apply carries out the transition on the invocation and returns its effects.
 func (t *Transition) apply(inv *Invocation, input Input, now time.Time) Effects {
 	previous := inv.State
 	inv.State = t.To
@@ -52,7 +52,8 @@
 		inv.Outcome = t.Outcome
 		inv.CompletedAt = now
 	}
-	// A further attempt of a run is no entry of the history; an operator's change of a completed invocation is.
+	// A transition that leaves an incomplete invocation in its state, such as a further attempt of the same run, is not
+	// recorded in the history. Changes of a completed invocation, such as a redrive, are.
 	if previous != t.To || previous == StateCompleted {
 		inv.appendHistory(HistoryEntry{At: now, Run: inv.Runs, Event: input.Event, Note: input.Note})
 	}
--- a/internal/invocation/store/apply.go
+++ b/internal/invocation/store/apply.go
@@ -7,11 +7,12 @@
 	"kitefall/internal/invocation"
 )
 
-// stateNew stands for the previous state of an invocation that was not stored before.
+// stateNew is passed as the previous state of an invocation that was not stored before.
 const stateNew invocation.State = 0
 
-// Apply applies an input to an invocation, stores what the effects ask for, and returns the invocation as it stands
-// then. With an error nothing has changed; ErrCompleted comes with the invocation.
+// Apply applies an input to an invocation, stores the new state and the result if the effects include EffectPersist, and
+// returns the invocation after the change. On an error nothing has changed. With an error of invocation.Step, such as
+// ErrCompleted, Apply also returns the invocation.
 func (s *Store) Apply(
 	id string, input invocation.Input, result []byte, now time.Time,
 ) (inv *invocation.Invocation, effects invocation.Effects, err error) {
@@ -53,7 +54,7 @@
 	return inv, effects, nil
 }
 
-// put stores an invocation and updates its indexes. previous is the state that was stored before, or stateNew.
+// put stores an invocation and updates the indexes. previous is its state before the change, or stateNew.
 func (s *Store) put(tx *durable.Tx, inv *invocation.Invocation, previous invocation.State) {
 	id := []byte(inv.ID)
 	if previous == invocation.StateSubmitted {
@@ -73,7 +74,7 @@
 	}
 }
 
-// retentionKey returns the key of a completed invocation in retentionBucket.
+// retentionKey returns the key of a completed invocation in retentionBucket, which begins with the end of its retention.
 func (s *Store) retentionKey(inv *invocation.Invocation) []byte {
 	retention := s.options.Retention
 	if inv.DeadLetter {
@@ -82,7 +83,7 @@
 	return timeKey(inv.CompletedAt.Add(retention), inv.ID)
 }
 
-// delete removes an invocation and keeps the bare fact that it existed for another Retention.
+// delete removes an invocation. A record that it existed is kept until Options.Retention after now.
 func (s *Store) delete(tx *durable.Tx, inv *invocation.Invocation, now time.Time) {
 	id := []byte(inv.ID)
 	if inv.DeadLetter {
@@ -103,7 +104,7 @@
 	tx.Put(expiredUntilBucket, timeKey(until, inv.ID), nil)
 }
 
-// holdsKey reports whether an invocation has an Idempotency-Key that no later one has taken over.
+// holdsKey reports whether an invocation has an Idempotency-Key that no later invocation has taken over.
 func holdsKey(tx *durable.Tx, inv *invocation.Invocation) bool {
 	if inv.IdempotencyKey == "" {
 		return false
--- a/internal/invocation/store/benchmark_test.go
+++ b/internal/invocation/store/benchmark_test.go
@@ -14,18 +14,19 @@
 	"kitefall/internal/invocation"
 )
 
-// BenchmarkLives takes deferred invocations through their life, 64 at once: created, submitted, started, served.
-func BenchmarkLives(b *testing.B) {
+// BenchmarkLifecycles measures how many deferred invocations a second the store takes through the state machine, with 64 at
+// once: created, submitted, started and served.
+func BenchmarkLifecycles(b *testing.B) {
 	s, _ := openNew(b, Options{})
 	numbers := make(chan int, b.N)
 	for i := range b.N {
 		numbers <- i
 	}
 	close(numbers)
-	var clients sync.WaitGroup
+	var workers sync.WaitGroup
 	b.ResetTimer()
 	for range 64 {
-		clients.Go(func() {
+		workers.Go(func() {
 			for i := range numbers {
 				id := fmt.Sprintf("%026d", i*7919%1000003)
 				create(b, s, id, newRequest(id))
@@ -33,12 +34,13 @@
 			}
 		})
 	}
-	clients.Wait()
+	workers.Wait()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "lives/s")
 }
 
-// BenchmarkOneReserva measures what the store adds to a synchronous call of one client that is not idempotent: its
-// start and its outcome are stored. In the same run it measures two bare writes and syncs of as many bytes.
+// BenchmarkOneReserva measures the time that the store adds to a synchronous non-idempotent call of a single client, for
+// which the start and the outcome are stored. For comparison, the same run measures two writes of bareRecordSize bytes to
+// a plain file, each with a sync.
 func BenchmarkOneReserva(b *testing.B) {
 	s, path := openNew(b, Options{})
 	bare := newBareFile(b, filepath.Join(filepath.Dir(path), "bare"))
@@ -70,10 +72,10 @@
 const (
 	bareFileSize   = 8 << 20
 	bareRecordSize = 400
-	bareRecords    = 10000 // that are written in turn
+	bareRecords    = 10000 // number of positions in the file that are written in turn
 )
 
-// bareFile is a preallocated file for writes without the store.
+// bareFile is a preallocated plain file, to measure writes without the store.
 type bareFile struct{ *os.File }
 
 func newBareFile(b *testing.B, path string) bareFile {
@@ -87,7 +89,7 @@
 	return bareFile{file}
 }
 
-// write writes and syncs a record.
+// write writes the record with a number, modulo bareRecords, and syncs it.
 func (f bareFile) write(b *testing.B, number int) {
 	b.Helper()
 	offset := int64(number % bareRecords * bareRecordSize)
--- a/internal/invocation/store/cache.go
+++ b/internal/invocation/store/cache.go
@@ -2,11 +2,12 @@
 
 import "kitefall/internal/invocation"
 
-// maxCached is the maximum number of invocations in the cache.
+// maxCached is the number of invocations at which the cache is cleared.
 const maxCached = 1024
 
-// invocationCache holds invocations that the writer has written recently, so that it need not decode them for their
-// next change. It is not safe for concurrent use, and is cleared when a change is undone.
+// invocationCache holds recently changed invocations, so that the writer's goroutine need not decode them for their next
+// change. It is cleared when a change is rolled back, because it may contain that change. It is not safe for concurrent
+// use.
 type invocationCache struct {
 	byID map[string]*invocation.Invocation
 }
@@ -15,7 +16,7 @@
 	return invocationCache{byID: map[string]*invocation.Invocation{}}
 }
 
-// get returns a copy of an invocation, or nil.
+// get returns a copy of a cached invocation, or nil.
 func (c *invocationCache) get(id string) *invocation.Invocation {
 	if inv := c.byID[id]; inv != nil {
 		return new(*inv)
@@ -23,7 +24,7 @@
 	return nil
 }
 
-// put keeps a copy of an invocation, without its body.
+// put caches a copy of an invocation without its body. A full cache is cleared first.
 func (c *invocationCache) put(inv *invocation.Invocation) {
 	if len(c.byID) >= maxCached {
 		c.clear()
--- a/internal/invocation/store/clock.go
+++ b/internal/invocation/store/clock.go
@@ -8,13 +8,14 @@
 	"kitefall/internal/monotonic"
 )
 
-// StartClock returns the clock of the times in the store, for a run that starts now. Its times go on from those of the last
-// run: by the machine's uptime, if it was not booted since, and else by the wall clock, but never back. A wall clock that
-// was set between two runs therefore neither expires nor delays anything, unless the machine was booted.
+// StartClock returns the clock for all times in the store, for a run of the program that starts now. The clock continues
+// from the previous run: by the machine's uptime if the machine was not rebooted since then, and otherwise by the wall
+// clock. It never goes back. A wall clock that was set between two runs therefore neither expires nor delays invocations,
+// unless the machine was rebooted.
 func (s *Store) StartClock(wall time.Time, uptime monotonic.Uptime) (*monotonic.Clock, error) {
 	var begin time.Time
 	err := s.update(func(tx *durable.Tx) error {
-		begin = startOfClock(tx, wall, uptime)
+		begin = clockStart(tx, wall, uptime)
 		tx.Put(clockBucket, latestTimeKey, encodeTime(begin))
 		tx.Put(clockBucket, startKey, encodeStart(begin, uptime))
 		return nil
@@ -25,8 +26,8 @@
 	return monotonic.Start(begin), nil
 }
 
-// startOfClock returns the time at which the clock of a run starts.
-func startOfClock(tx *durable.Tx, wall time.Time, uptime monotonic.Uptime) time.Time {
+// clockStart returns the time at which the clock of this run starts.
+func clockStart(tx *durable.Tx, wall time.Time, uptime monotonic.Uptime) time.Time {
 	begin := wall
 	lastBegin, lastUptime, known := decodeStart(tx.Get(clockBucket, startKey))
 	if elapsed, sameBoot := uptime.Since(lastUptime); known && sameBoot {
@@ -38,8 +39,8 @@
 	return begin
 }
 
-// AdvanceClock stores the latest time that the program has known and returns it, so that time does not go back over a
-// restart.
+// AdvanceClock stores now as the latest known time, unless a later one is stored already, and returns the stored time. It
+// keeps the clock from going back when the program restarts.
 func (s *Store) AdvanceClock(now time.Time) (latest time.Time, err error) {
 	err = s.update(func(tx *durable.Tx) error {
 		latest = now
@@ -54,14 +55,14 @@
 	return latest, storageError(err)
 }
 
-// encodeStart returns the record of a run's start: its time, the uptime then (8 bytes each) and the identity of the boot.
+// encodeStart returns the record of a run's start: the clock's time and the uptime (8 bytes each), then the boot ID.
 func encodeStart(begin time.Time, uptime monotonic.Uptime) []byte {
 	record := encodeTime(begin)
 	record = binary.BigEndian.AppendUint64(record, uint64(uptime.Elapsed))
 	return append(record, uptime.BootID...)
 }
 
-// decodeStart reads the record of a run's start and reports whether there is one.
+// decodeStart decodes the record of a run's start. known is false if there is no such record.
 func decodeStart(record []byte) (begin time.Time, uptime monotonic.Uptime, known bool) {
 	if len(record) < startLength {
 		return time.Time{}, monotonic.Uptime{}, false
--- a/internal/invocation/store/create.go
+++ b/internal/invocation/store/create.go
@@ -8,9 +8,9 @@
 	"kitefall/internal/invocation"
 )
 
-// FindByKey returns the invocation that holds the Idempotency-Key of a request, or nil if the key is free. A rejection
-// promises that a retry does no harm, so the key is free again at its RetryAt. FindByKey fails with ErrKeyReused if the
-// key was used for another request.
+// FindByKey returns the invocation that holds the Idempotency-Key of a request, or nil if the key is free. The key of a
+// rejected invocation is free again from its RetryAt, because the function did not run and a retry is safe. FindByKey
+// fails with ErrKeyReused if the key was used for another request.
 func (s *Store) FindByKey(request *invocation.Request, now time.Time) (existing *invocation.Invocation, err error) {
 	err = s.db.View(func(tx *durable.Tx) error {
 		existing, err = findByKey(tx, request, now)
@@ -40,9 +40,9 @@
 	return existing, nil
 }
 
-// Create stores a new invocation as it stands, with its result if it has completed. If its Idempotency-Key belongs to
-// another invocation, Create returns that one and stores nothing. It fails with ErrKeyReused, ErrStoreFull and
-// ErrQuotaExceeded.
+// Create stores a new invocation in any state, together with its body and its result, if there is one. If another
+// invocation holds its Idempotency-Key, Create returns the other invocation and stores nothing. It fails with
+// ErrKeyReused, ErrStoreFull or ErrQuotaExceeded.
 func (s *Store) Create(
 	inv *invocation.Invocation, result []byte, now time.Time,
 ) (existing *invocation.Invocation, err error) {
@@ -56,7 +56,7 @@
 	return existing, storageError(err)
 }
 
-// insert stores a new invocation with its body and result.
+// insert stores a new invocation with its body and result, and checks and updates the usage counts.
 func (s *Store) insert(tx *durable.Tx, inv *invocation.Invocation, result []byte) error {
 	if err := s.admit(tx, inv); err != nil {
 		return err
--- a/internal/invocation/store/deadletter.go
+++ b/internal/invocation/store/deadletter.go
@@ -7,10 +7,11 @@
 	"kitefall/internal/invocation"
 )
 
-// Redrive runs a dead letter again, as a new invocation with the same request and as much time. If the dead letter may
-// have run and is not idempotent, the operator has to confirm that it did not run and give a reason; otherwise Redrive
-// fails with ErrNotConfirmed. The dead letter keeps its outcome. Its Idempotency-Key goes over to the new invocation,
-// so that a late repeat of its owner finds that one; Redrive fails with ErrSuperseded if the key is taken already.
+// Redrive stores a new invocation with the request of a dead letter and, counted from now, as much time until its deadline.
+// If the dead letter may have run and is not idempotent, the operator must confirm that it did not run and give a reason;
+// otherwise Redrive fails with ErrNotConfirmed. The dead letter keeps its outcome. Its Idempotency-Key passes to the new
+// invocation, so that a late repeat by the client finds the new one. If another invocation holds the key already, Redrive
+// fails with ErrSuperseded.
 func (s *Store) Redrive(
 	id, successorID string, confirmed bool, reason string, now time.Time,
 ) (successor *invocation.Invocation, err error) {
@@ -26,7 +27,7 @@
 			return err
 		}
 		if deadLetter.IdempotencyKey != "" && !holdsKey(tx, deadLetter) {
-			return invocation.ErrSuperseded // both would run
+			return invocation.ErrSuperseded // the function would run for both invocations
 		}
 		request := deadLetter.Request
 		request.NotBefore = time.Time{}
@@ -39,9 +40,9 @@
 	return successor, storageError(err)
 }
 
-// Purge deletes dead letters that completed at least minAge before now: the named ones, or all of them if ids is empty.
-// With a minAge of 0 none is too young, whatever the clock said when it completed. Purge returns how many it deleted, and
-// fails with ErrNotDeadLetter at the first name that is none.
+// Purge deletes dead letters that completed at least minAge before now: those with the given IDs, or all if ids is empty.
+// A minAge of 0 also selects dead letters whose time of completion is after now. Purge stops at the first error and
+// returns the number deleted until then. The error is ErrNotDeadLetter for an invocation that is not a dead letter.
 func (s *Store) Purge(ids []string, minAge time.Duration, now time.Time) (purged int, err error) {
 	if len(ids) == 0 {
 		deadLetters, err := s.List(Filter{DeadLetters: true})
@@ -64,7 +65,7 @@
 	return purged, nil
 }
 
-// purge deletes one dead letter, if it is old enough, and reports whether it did.
+// purge deletes one dead letter if it is at least minAge old, and reports whether it deleted it.
 func (s *Store) purge(id string, minAge time.Duration, now time.Time) (deleted bool, err error) {
 	err = s.update(func(tx *durable.Tx) error {
 		inv, err := load(tx, id)
--- a/internal/invocation/store/deadletter_test.go
+++ b/internal/invocation/store/deadletter_test.go
@@ -10,11 +10,11 @@
 	"kitefall/internal/invocation"
 )
 
-// operatorTime is when the tests' operator handles dead letters.
+// operatorTime is the time at which the tests redrive and purge dead letters.
 var operatorTime = noon.Add(3 * time.Hour)
 
-// openWithDeadLetters opens a new store with three dead letters, failed, expired and rejected, and with the cancelled
-// invocation, which is none.
+// openWithDeadLetters opens a new store with three dead letters, which have failed, expired and been rejected, and with a
+// cancelled invocation, which is not a dead letter.
 func openWithDeadLetters(t *testing.T) *Store {
 	t.Helper()
 	s, _ := openNew(t, Options{})
@@ -53,11 +53,11 @@
 		assert.Equal(t, "slot", string(successor.Body))
 		deadLetter, err := s.Get("failed")
 		require.NoError(t, err)
-		assert.Equal(t, invocation.OutcomeFailed, deadLetter.Outcome, "its own outcome stays")
+		assert.Equal(t, invocation.OutcomeFailed, deadLetter.Outcome, "a redrive does not change the outcome of the dead letter")
 		assert.Equal(t, "n1", deadLetter.RedrivenAs)
 		existing, err := s.FindByKey(new(newRequest("key of failed")), operatorTime)
 		require.NoError(t, err)
-		assert.Equal(t, "n1", existing.ID, "its owner's late repeat finds the successor")
+		assert.Equal(t, "n1", existing.ID, "a late repeat with the same key finds the successor")
 		_, err = s.Redrive("failed", "n2", true, "once more", operatorTime)
 		assert.ErrorIs(t, err, invocation.ErrNotDeadLetter)
 	})
@@ -71,7 +71,7 @@
 		assert.ErrorIs(t, err, invocation.ErrSuperseded)
 		deadLetter, err := s.Get("rejected")
 		require.NoError(t, err)
-		assert.Empty(t, deadLetter.RedrivenAs, "nothing of the attempt stays")
+		assert.Empty(t, deadLetter.RedrivenAs, "a failed redrive changes nothing")
 	})
 }
 
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	purged, err := s.Purge(nil, 1000*time.Hour, operatorTime)
 	require.NoError(t, err)
-	assert.Zero(t, purged, "none is so old")
+	assert.Zero(t, purged, "no dead letter is old enough")
 	purged, err = s.Purge([]string{"expired"}, time.Nanosecond, operatorTime)
 	require.NoError(t, err)
 	assert.Equal(t, 1, purged)
--- a/internal/invocation/store/expiry.go
+++ b/internal/invocation/store/expiry.go
@@ -9,15 +9,16 @@
 	"kitefall/internal/invocation"
 )
 
-// maxDeleteBatch is the maximum number of records that one change deletes: the writer has other changes to carry out.
+// maxDeleteBatch is the maximum number of index keys that one change deletes, so that other changes, which the writer
+// carries out one at a time, are not held up for long.
 const maxDeleteBatch = 256
 
-// DeleteExpired deletes the invocations whose retention is over, and the records of those deleted long ago.
+// DeleteExpired deletes the invocations whose retention is over, and the records of earlier deletions that are over too.
 func (s *Store) DeleteExpired(now time.Time) error {
 	for {
 		deleted := 0
 		err := s.update(func(tx *durable.Tx) (err error) {
-			deleted, err = s.deleteBatch(tx, now)
+			deleted, err = s.deleteExpiredBatch(tx, now)
 			return err
 		})
 		if err != nil {
@@ -29,13 +30,13 @@
 	}
 }
 
-// deleteBatch deletes at most maxDeleteBatch records and returns how many it was.
-func (s *Store) deleteBatch(tx *durable.Tx, now time.Time) (deleted int, err error) {
-	batch := deleteBatch{tx: tx, limit: timeKey(now, "")}
+// deleteExpiredBatch deletes what is due for at most maxDeleteBatch index keys and returns the number of these keys.
+func (s *Store) deleteExpiredBatch(tx *durable.Tx, now time.Time) (deleted int, err error) {
+	batch := deleteBatch{tx: tx, cutoff: timeKey(now, "")}
 	retentionErr := batch.deleteDue(retentionBucket, func(id string) error {
 		_, _, err := s.apply(tx, id, invocation.Input{Event: invocation.EventDelete}, nil, now)
-		wasPurged := errors.Is(err, invocation.ErrNotFound) || errors.Is(err, invocation.ErrExpired)
-		if wasPurged {
+		alreadyDeleted := errors.Is(err, invocation.ErrNotFound) || errors.Is(err, invocation.ErrExpired)
+		if alreadyDeleted {
 			return nil
 		}
 		return err
@@ -47,17 +48,18 @@
 	return batch.size, errors.Join(retentionErr, expiredErr)
 }
 
-// deleteBatch deletes keys of time-ordered buckets.
+// deleteBatch deletes due keys from buckets whose keys begin with a time.
 type deleteBatch struct {
-	tx    *durable.Tx
-	limit []byte // keys from this one on are not due
-	size  int    // keys deleted so far
+	tx     *durable.Tx
+	cutoff []byte // this key and later ones are not due
+	size   int    // number of keys deleted so far, in all buckets
 }
 
-// deleteDue deletes the due keys of a bucket, and calls deleteID for the ID of each, up to the size of the batch.
+// deleteDue deletes the due keys of a bucket and calls deleteID with the ID in each key. It stops when the batch has
+// maxDeleteBatch keys, or at the first error.
 func (b *deleteBatch) deleteDue(bucket int, deleteID func(id string) error) (err error) {
 	b.tx.Scan(bucket, nil, func(key, _ []byte) bool {
-		if b.size == maxDeleteBatch || bytes.Compare(key, b.limit) >= 0 {
+		if b.size == maxDeleteBatch || bytes.Compare(key, b.cutoff) >= 0 {
 			return false
 		}
 		b.size++
--- a/internal/invocation/store/format_test.go
+++ b/internal/invocation/store/format_test.go
@@ -15,7 +15,8 @@
 	"kitefall/internal/invocation"
 )
 
-// storedRecord is an invocation as testdata/format2.json has it. Its field names are those of that file.
+// storedRecord is an invocation as listed in testdata/format2.json. The field names are the names in that file; a comment
+// gives the present name where it differs.
 type storedRecord struct {
 	ID          string
 	Tenant      string
@@ -24,31 +25,31 @@
 	Fingerprint []byte
 	Function    string
 	Class       string
-	Safe        bool // idempotent
+	Safe        bool // Idempotent
 	Deferred    bool
 	Urgency     int
 	NotBefore   time.Time
 	Expires     time.Time
-	Patience    int64 // run timeout in nanoseconds
+	Patience    int64 // RunTimeout, in nanoseconds
 	Body        string
 
 	Created    time.Time
 	State      string
-	Due        time.Time // next run
+	Due        time.Time // NextRunAt
 	Runs       int
 	Bytes      int64
 	Outcome    string
-	Ended      time.Time // completed
+	Ended      time.Time // CompletedAt
 	MayHaveRun bool
 	RetryAt    time.Time
-	Dead       bool   // dead letter
-	Origin     string // redrive of
-	Heir       string // redriven as
+	Dead       bool   // DeadLetter
+	Origin     string // RedriveOf
+	Heir       string // RedrivenAs
 	Result     string
 	History    []invocation.HistoryEntry
 }
 
-// openEarlierStore opens a copy of the store in testdata, which an earlier version has written.
+// openEarlierStore opens a copy of the store in testdata/format2, which an earlier version of the program wrote.
 func openEarlierStore(t *testing.T) *Store {
 	t.Helper()
 	directory := t.TempDir()
@@ -59,7 +60,7 @@
 	return s
 }
 
-// readRecord reads everything that the store has of an invocation.
+// readRecord reads everything that the store holds for an invocation.
 func readRecord(t *testing.T, s *Store, inv *invocation.Invocation) storedRecord {
 	t.Helper()
 	body, err := s.Body(inv.ID)
@@ -106,7 +107,8 @@
 	return record
 }
 
-// A store that was written before the packages and identifiers were renamed opens and reads the same.
+// Guards the stored format against changes of names in the code: a store that an earlier version wrote opens, and every
+// field of every invocation has the same value.
 func TestEarlierStoreReadsTheSame(t *testing.T) {
 	s := openEarlierStore(t)
 	data, err := os.ReadFile("testdata/format2.json")
@@ -122,7 +124,7 @@
 	}
 }
 
-// The stored numbers of states, outcomes and events mean the same.
+// The stored numbers of states, outcomes and events must keep their meaning.
 func TestEarlierStoreStatesAndOutcomes(t *testing.T) {
 	s := openEarlierStore(t)
 	expected := map[string]struct {
@@ -161,7 +163,7 @@
 		invocation.EventServed}, events)
 }
 
-// The buckets and the keys of the indexes are the same.
+// The names of the buckets and the keys of the indexes must not change: an index that is not found reads as empty.
 func TestEarlierStoreIndexes(t *testing.T) {
 	s := openEarlierStore(t)
 	count, err := s.Verify()
@@ -187,7 +189,7 @@
 	assert.True(t, latest.Equal(noon.Add(20*time.Minute)), latest)
 }
 
-// An invocation is encoded to the bytes that the earlier version wrote.
+// An invocation must be encoded to the same bytes that the earlier version wrote.
 func TestEarlierStoreEncoding(t *testing.T) {
 	s := openEarlierStore(t)
 	read := 0
@@ -196,7 +198,7 @@
 		tx.Scan(invocationsBucket, nil, func(_, value []byte) bool {
 			inv, err := decode(value)
 			errs = errors.Join(errs, err)
-			assert.Equal(t, value, encode(inv), "the same bytes are written")
+			assert.Equal(t, value, encode(inv), "the encoding has changed")
 			read++
 			return true
 		})
@@ -205,13 +207,13 @@
 	assert.Equal(t, 13, read)
 }
 
-// A store of the earlier version can be changed.
+// A store that the earlier version wrote can be changed: expired invocations are deleted.
 func TestEarlierStoreTakesChanges(t *testing.T) {
 	s := openEarlierStore(t)
 	require.NoError(t, s.DeleteExpired(noon.Add(24*time.Hour)))
 	count, err := s.Verify()
 	require.NoError(t, err)
-	assert.Equal(t, 6, count, "the incomplete ones")
+	assert.Equal(t, 6, count, "only the incomplete invocations are left")
 	_, err = s.Get("served")
 	assert.ErrorIs(t, err, invocation.ErrExpired)
 }
--- a/internal/invocation/store/helpers_test.go
+++ b/internal/invocation/store/helpers_test.go
@@ -12,7 +12,7 @@
 
 var noon = time.Date(2026, 3, 2, 12, 0, 0, 0, time.UTC)
 
-// The inputs that the tests apply.
+// Inputs that the tests apply to invocations.
 var (
 	submit = invocation.Input{Event: invocation.EventSubmit}
 	start  = invocation.Input{Event: invocation.EventStart}
@@ -23,8 +23,8 @@
 	expire = invocation.Input{Event: invocation.EventExpire}
 )
 
-// openNew opens a new store, with a retention of an hour and without limits unless the options say otherwise. It
-// returns the store and its path.
+// openNew opens a new store and returns it with its path. Unless the options say otherwise, the retention is one hour and
+// the number of invocations is not limited.
 func openNew(t testing.TB, options Options) (*Store, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tickets.db")
@@ -40,7 +40,7 @@
 	return s, path
 }
 
-// newRequest returns a deferred request that is not idempotent. An empty key means none.
+// newRequest returns a deferred, non-idempotent request with an Idempotency-Key; empty: without one.
 func newRequest(key string) invocation.Request {
 	return invocation.Request{
 		Tenant:         "a",
@@ -62,7 +62,7 @@
 	require.Nil(t, existing)
 }
 
-// apply applies inputs a second after noon.
+// apply applies inputs in order, each one second after noon.
 func apply(t testing.TB, s *Store, id string, inputs ...invocation.Input) {
 	t.Helper()
 	for _, input := range inputs {
@@ -71,7 +71,7 @@
 	}
 }
 
-// incompleteStates returns the states of the incomplete invocations by their IDs.
+// incompleteStates returns the states of the incomplete invocations by ID.
 func incompleteStates(t *testing.T, s *Store) map[string]invocation.State {
 	t.Helper()
 	states := map[string]invocation.State{}
--- a/internal/invocation/store/migrate.go
+++ b/internal/invocation/store/migrate.go
@@ -13,17 +13,17 @@
 	"kitefall/internal/durable"
 )
 
-// migration holds the paths of a migration from the first format.
+// migration holds the paths and the lock deadline of a migration from the first format.
 type migration struct {
 	path         string    // the store
-	original     string    // where the file of the first format is kept
-	converted    string    // the complete new file, until it is renamed
-	temporary    string    // the new store while it is written
-	lockDeadline time.Time // how long another process may hold the file
+	original     string    // where the file in the first format is kept
+	converted    string    // the complete new file, until it is renamed to path
+	temporary    string    // the new store, while it is being written
+	lockDeadline time.Time // until when to wait for another process to release the file
 }
 
-// migrate converts a store of the first format to the present one. The old file is kept beside it as PATH.v1. An
-// interrupted migration does no harm: the new file gets its name only when it is complete.
+// migrate converts a store in the first format to the current one and keeps the old file as PATH.v1. After an interruption
+// the next call finishes or repeats the migration: the new file is renamed to path only when it is complete.
 func migrate(path string, lockDeadline time.Time) error {
 	m := &migration{
 		path:         path,
@@ -37,7 +37,7 @@
 		return m.resume()
 	}
 	if err != nil || info.Size() == 0 {
-		return err // an empty file is Open's concern
+		return err // an empty file is left to durable.Open
 	}
 	needed, err := m.isV1()
 	if err != nil || !needed {
@@ -56,9 +56,9 @@
 
 func (m *migration) run() error {
 	if _, err := os.Lstat(m.original); !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s is of the first format, and %s is there already: move one away", m.path, m.original)
+		return fmt.Errorf("%s is in the first format, but %s already exists: move one away", m.path, m.original)
 	}
-	m.removeTemporary() // of an interrupted migration
+	m.removeTemporary() // left by an interrupted migration
 	os.Remove(m.converted)
 	migrated, err := m.convert()
 	m.removeTemporary()
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// replaceOriginal gives the new file the store's name. The original is moved away first: were that to fail, the second
-// rename would overwrite it.
+// replaceOriginal moves the original to its backup path and then renames the new file to the store's path. If the first
+// rename fails, the second must not follow, because it would overwrite the original.
 func (m *migration) replaceOriginal() error {
 	if err := os.Rename(m.path, m.original); err != nil {
 		return err
@@ -87,11 +87,12 @@
 	}
 }
 
-// isV1 reports whether the file is a store of the first format. It reports false for a broken file, which Open refuses.
-func (m *migration) isV1() (is bool, err error) {
+// isV1 reports whether the file is a store in the first format. For a damaged file it returns false; Open then rejects the
+// file.
+func (m *migration) isV1() (matches bool, err error) {
 	defer func() {
-		if recover() != nil { // bbolt panics on some broken files
-			is = false
+		if recover() != nil { // bbolt panics on some damaged files
+			matches = false
 			err = nil
 		}
 	}()
@@ -108,17 +109,17 @@
 		if err != nil || tx.Size() > info.Size() {
 			return err
 		}
-		is = hasV1Buckets(tx)
+		matches = hasV1Buckets(tx)
 		return nil
 	})
-	return is, err
+	return matches, err
 }
 
 func (m *migration) openOriginal() (*bolt.DB, error) {
 	return bolt.Open(m.path, 0o600, &bolt.Options{Timeout: time.Until(m.lockDeadline), ReadOnly: true})
 }
 
-// convert writes the converted file and returns the number of its invocations.
+// convert writes the file m.converted in the current format and returns the number of migrated invocations.
 func (m *migration) convert() (migrated int, err error) {
 	original, err := m.openOriginal()
 	if err != nil {
@@ -149,7 +150,7 @@
 	return migrated, db.Snapshot(m.converted)
 }
 
-// checkPages looks through all pages of the file.
+// checkPages checks all pages of the file. The error for a damaged page wraps durable.ErrDamaged.
 func checkPages(tx *bolt.Tx, path string) error {
 	var damage error
 	for err := range tx.Check() {
--- a/internal/invocation/store/migrate_test.go
+++ b/internal/invocation/store/migrate_test.go
@@ -15,7 +15,7 @@
 	"kitefall/internal/invocation"
 )
 
-// writeV1Store writes a file of the first format.
+// writeV1Store writes a store in the first format, with three invocations and the record of an expired one.
 func writeV1Store(t *testing.T, path string) {
 	t.Helper()
 	const common = `"Tenant":"a","Name":"book","Body":"c2xvdA==",` +
@@ -43,21 +43,21 @@
 	require.NoError(t, db.Close())
 }
 
-// A file of the first format is migrated: what is incomplete goes on, what has completed can be asked for, and what may
-// have run does not run again. The old file is kept beside the new one.
+// A file in the first format is migrated: an incomplete invocation is waiting, one that may have run is running (so that
+// recovery does not run it again), and a completed one keeps its result. The old file is kept beside the new one.
 func TestMigrationFromV1(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tickets.db")
 	writeV1Store(t, path)
 	original, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for range 2 { // the second start has nothing to migrate
+	for range 2 { // the second Open has nothing to migrate
 		requireMigrated(t, path)
 	}
 	kept, err := os.ReadFile(path + ".v1")
 	require.NoError(t, err)
 	assert.Equal(t, original, kept)
 
-	// As if the migration had been interrupted between its two renames.
+	// The state after an interruption between the two renames of the migration.
 	require.NoError(t, os.Rename(path, path+".v2"))
 	require.NoError(t, os.RemoveAll(durable.LogDir(path)))
 	s, err := Open(path, Options{})
@@ -68,7 +68,7 @@
 	assert.Equal(t, int64(3), usage.Invocations)
 }
 
-// requireMigrated opens the store and checks what it holds.
+// requireMigrated opens the store and checks the migrated invocations.
 func requireMigrated(t *testing.T, path string) {
 	t.Helper()
 	s, err := Open(path, Options{Retention: time.Hour})
@@ -88,7 +88,8 @@
 	require.NoError(t, s.Close())
 }
 
-// Where the original cannot be moved away, the migration fails and leaves it in place.
+// If the original cannot be moved to its backup path, the migration must fail and leave it in place: the second rename
+// would overwrite it.
 func TestMigrationDoesNotOverwriteTheOriginal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tickets.db")
 	writeV1Store(t, path)
--- a/internal/invocation/store/query.go
+++ b/internal/invocation/store/query.go
@@ -5,8 +5,8 @@
 	"kitefall/internal/invocation"
 )
 
-// Get reads an invocation, without its body. It fails with ErrNotFound, and with ErrExpired for one that was deleted
-// recently; that comes with an invocation that has its ID and tenant alone.
+// Get reads an invocation without its body. It fails with ErrExpired while a record of the invocation's deletion is kept, and
+// otherwise with ErrNotFound. Together with ErrExpired it returns an invocation with only the ID and tenant set.
 func (s *Store) Get(id string) (inv *invocation.Invocation, err error) {
 	err = s.db.View(func(tx *durable.Tx) error {
 		inv, err = load(tx, id)
@@ -15,10 +15,10 @@
 	return inv, storageError(err)
 }
 
-// Body reads the body of an invocation's request; nil: there is none.
+// Body reads the body of an invocation's request. It returns nil if there is none.
 func (s *Store) Body(id string) ([]byte, error) { return s.read(bodiesBucket, id) }
 
-// Result reads the result of a served invocation; nil: there is none.
+// Result reads the result of a served invocation. It returns nil if there is none.
 func (s *Store) Result(id string) ([]byte, error) { return s.read(resultsBucket, id) }
 
 func (s *Store) read(bucket int, id string) (value []byte, err error) {
@@ -29,14 +29,14 @@
 	return value, storageError(err)
 }
 
-// ForEachIncomplete calls each for every invocation that has not completed, those of one tenant together, and stops at
-// its first error.
-func (s *Store) ForEachIncomplete(each func(*invocation.Invocation) error) error {
+// ForEachIncomplete calls visit for every invocation that has not completed, ordered by tenant and ID. It stops at the
+// first error and returns it.
+func (s *Store) ForEachIncomplete(visit func(*invocation.Invocation) error) error {
 	return storageError(s.db.View(func(tx *durable.Tx) (err error) {
 		tx.Scan(incompleteBucket, nil, func(key, _ []byte) bool {
 			var inv *invocation.Invocation
 			if inv, err = load(tx, idOfIncompleteKey(key)); err == nil {
-				err = each(inv)
+				err = visit(inv)
 			}
 			return err == nil
 		})
@@ -44,11 +44,11 @@
 	}))
 }
 
-// Filter selects the invocations that List returns. Its zero value selects all. The JSON names are those of the control
-// socket.
+// Filter selects the invocations that List returns. The zero value selects all. The JSON names belong to the protocol of
+// the control socket and must not change.
 type Filter struct {
 	Tenant      string `json:"Tenant"`
-	DeadLetters bool   `json:"Dead"` // dead letters only, oldest first
+	DeadLetters bool   `json:"Dead"` // dead letters only, in the order of completion
 	Incomplete  bool   `json:"Open"` // invocations without a final outcome only
 	Limit       int    `json:"Most"` // maximum number of results; 0: no limit
 }
@@ -72,7 +72,7 @@
 	return found, storageError(err)
 }
 
-// index returns the bucket that holds the selected invocations, and how to get the ID from its keys.
+// index returns the bucket whose keys List scans, and the function that extracts the ID from such a key.
 func (f Filter) index() (bucket int, idOf func(key []byte) string) {
 	switch {
 	case f.DeadLetters:
@@ -94,13 +94,14 @@
 	if err != nil {
 		return nil, err
 	}
-	// A submission is not stored: it is applied again.
+	// StateSubmitted is not stored with the invocation, so the submission in submittedBucket is applied to it again.
 	if at := tx.Get(submittedBucket, []byte(id)); len(at) == timeLength {
 		_, _, err = invocation.Step(inv, invocation.Input{Event: invocation.EventSubmit}, decodeTime(at))
 	}
 	return inv, err
 }
 
+// loadExpired returns the error for an invocation that is not stored: ErrExpired with its ID and tenant, or ErrNotFound.
 func loadExpired(tx *durable.Tx, id string) (*invocation.Invocation, error) {
 	record := tx.Get(expiredBucket, []byte(id))
 	if len(record) < timeLength {
@@ -110,7 +111,7 @@
 	return &invocation.Invocation{ID: id, Request: invocation.Request{Tenant: tenant}}, invocation.ErrExpired
 }
 
-// loadCached is load for the writer.
+// loadCached returns an invocation from the cache, or else reads it like load. Only the writer's goroutine may call it.
 func (s *Store) loadCached(tx *durable.Tx, id string) (*invocation.Invocation, error) {
 	if inv := s.cache.get(id); inv != nil {
 		return inv, nil
--- a/internal/invocation/store/store.go
+++ b/internal/invocation/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps invocations on disk, on top of package durable. It decides nothing about them: package invocation
-// does. layout.go describes what is stored.
+// Package store keeps invocations on disk, on top of package durable. The state machine in package invocation decides how
+// an invocation may change. layout.go describes the stored data.
 //
-// A Store is safe for concurrent use. Changes are carried out one after another on the writer's goroutine of the
-// underlying durable.DB, and are on the disk when the method that made them returns.
+// A Store is safe for concurrent use. Changes are carried out one after another on the writer goroutine of the underlying
+// durable.DB. A change is on the disk when the method that made it returns.
 package store
 
 import (
@@ -14,29 +14,30 @@
 	"kitefall/internal/invocation"
 )
 
-// Options limit what is kept and for how long.
+// Options set how many invocations are kept, and for how long.
 type Options struct {
-	// Retention is how long a completed invocation is kept. For as long again it is known to have expired.
+	// Retention is how long an invocation is kept after it has completed. After its deletion, a record that it existed is
+	// kept for as long again.
 	Retention time.Duration
 
-	// DeadRetention is how long a dead letter is kept, at least Retention.
+	// DeadRetention is how long a dead letter is kept after it has completed. A value below Retention is raised to it.
 	DeadRetention time.Duration
 
 	MaxInvocations    int64 // maximum number of invocations of all tenants
-	MaxPerTenant      int64 // maximum number of invocations of one tenant; 0: no limit of its own
-	MaxBytesPerTenant int64 // maximum size of bodies and results of one tenant; 0: no limit of its own
+	MaxPerTenant      int64 // maximum number of invocations per tenant; 0: no limit per tenant
+	MaxBytesPerTenant int64 // maximum total size of bodies and results per tenant; 0: no limit
 
 	Durable durable.Options
 }
 
-// Store keeps invocations on disk. Its zero value is not usable: see Open.
+// Store keeps invocations on disk. The zero value is not usable; call Open.
 type Store struct {
 	db      *durable.DB
 	options Options
-	cache   invocationCache // used by the writer's goroutine only
+	cache   invocationCache // used by the writer goroutine only
 }
 
-// Open opens the store at path, or creates it. A file of the first format is migrated. A damaged file is refused, not
+// Open opens the store at path, or creates it. A file in the first format is migrated. A damaged file is rejected, not
 // repaired. Errors wrap invocation.ErrStorage.
 func Open(path string, options Options) (*Store, error) {
 	if !options.Durable.ReadOnly {
@@ -55,22 +56,22 @@
 	return s, nil
 }
 
-// Close closes the store.
+// Close closes the underlying database.
 func (s *Store) Close() error { return s.db.Close() }
 
-// update has the writer carry out a change. An error of change undoes it.
+// update runs change on the writer goroutine. If change returns an error, nothing that it wrote is kept.
 func (s *Store) update(change func(*durable.Tx) error) error {
 	return s.db.Update(func(tx *durable.Tx) error {
 		err := change(tx)
-		if err != nil { // the cache may hold what is undone
+		if err != nil { // the cache may hold the change, which is rolled back
 			s.cache.clear()
 		}
 		return err
 	})
 }
 
-// ownErrors are the errors of package invocation that the store returns as they are.
-var ownErrors = []error{
+// unwrappedErrors are the errors of package invocation that storageError does not wrap.
+var unwrappedErrors = []error{
 	invocation.ErrNotFound,
 	invocation.ErrExpired,
 	invocation.ErrKeyReused,
@@ -83,13 +84,13 @@
 	invocation.ErrInvalidTransition,
 }
 
-// storageError wraps every error that is not in ownErrors in invocation.ErrStorage.
+// storageError wraps an error in invocation.ErrStorage, unless it is one of unwrappedErrors or nil.
 func storageError(err error) error {
 	if err == nil {
 		return nil
 	}
-	for _, own := range ownErrors {
-		if errors.Is(err, own) {
+	for _, unwrapped := range unwrappedErrors {
+		if errors.Is(err, unwrapped) {
 			return err
 		}
 	}
--- a/internal/invocation/store/store_test.go
+++ b/internal/invocation/store/store_test.go
@@ -12,17 +12,17 @@
 	"kitefall/internal/monotonic"
 )
 
-// A rejection invites a retry, which a client makes under the same key. Until its time has come the key still belongs
-// to the rejected invocation.
+// A client retries a rejected request with the same Idempotency-Key. Until RetryAt the key belongs to the rejected
+// invocation; from then on a new invocation takes the key, or the retry would only find the old rejection.
 func TestKeyIsFreeOnceRejectedClientMayRetry(t *testing.T) {
 	s, _ := openNew(t, Options{MaxInvocations: 2})
 	request := newRequest("k")
 	create(t, s, "t1", request)
 	apply(t, s, "t1", submit, reject)
 	_, _, err := s.Apply("t1", served, nil, noon)
-	assert.ErrorIs(t, err, invocation.ErrCompleted, "the first outcome wins")
+	assert.ErrorIs(t, err, invocation.ErrCompleted, "the first outcome is final")
 	_, _, err = s.Apply("t1", start, nil, noon)
-	assert.ErrorIs(t, err, invocation.ErrCompleted, "what has completed does not run")
+	assert.ErrorIs(t, err, invocation.ErrCompleted, "a completed invocation does not run")
 
 	existing, err := s.Create(invocation.New("t2", request, noon), nil, noon.Add(time.Second))
 	require.NoError(t, err)
@@ -39,7 +39,8 @@
 	assert.ErrorIs(t, err, invocation.ErrStoreFull)
 }
 
-// A restart finds an invocation in each state.
+// After a restart an invocation in each state is found in the state from which recovery must continue: a submitted one is
+// waiting, a running one is still running. Bodies, usage and indexes survive.
 func TestStatesAfterRestart(t *testing.T) {
 	s, path := openNew(t, Options{})
 	for _, id := range []string{"waiting", "submitted", "running", "completed"} {
@@ -75,12 +76,12 @@
 	create(t, s, "t1", newRequest(""))
 	create(t, s, "t2", newRequest(""))
 	_, err := s.Create(invocation.New("t3", newRequest(""), noon), nil, noon)
-	assert.ErrorIs(t, err, invocation.ErrQuotaExceeded, "12 bytes")
+	assert.ErrorIs(t, err, invocation.ErrQuotaExceeded, "a third body makes 12 bytes, above the limit of 10")
 	empty := newRequest("")
 	empty.Body = nil
 	create(t, s, "t3", empty)
 	_, err = s.Create(invocation.New("t4", empty, noon), nil, noon)
-	assert.ErrorIs(t, err, invocation.ErrQuotaExceeded, "4 invocations")
+	assert.ErrorIs(t, err, invocation.ErrQuotaExceeded, "a fourth invocation is above the limit of 3")
 	empty.Tenant = "b"
 	create(t, s, "t4", empty)
 
@@ -89,7 +90,8 @@
 	create(t, s, "t5", newRequest(""))
 }
 
-// Kept, expired, unknown: a completed invocation is kept for a while, the fact that it existed for as long again.
+// A completed invocation is kept for its retention, then only a record that it expired, for Retention, and then nothing.
+// The 600 invocations make more than one batch.
 func TestDeleteExpired(t *testing.T) {
 	s, _ := openNew(t, Options{DeadRetention: 3 * time.Hour})
 	for i := range 600 {
@@ -112,7 +114,7 @@
 	assert.Equal(t, "a", inv.Tenant)
 	existing, err := s.FindByKey(new(newRequest("t007")), noon)
 	require.NoError(t, err)
-	assert.Nil(t, existing, "its key is free")
+	assert.Nil(t, existing, "the key of a deleted invocation is free")
 	_, err = s.Get("dead")
 	require.NoError(t, err)
 
@@ -128,7 +130,7 @@
 	assert.Equal(t, Usage{Invocations: 1, Bytes: 4}, usage)
 }
 
-// The latest time known does not go back over a restart, although the machine's clock does.
+// The latest known time must not go back over a restart when the wall clock was set back in between.
 func TestTimeDoesNotGoBack(t *testing.T) {
 	s, path := openNew(t, Options{})
 	_, err := s.AdvanceClock(noon)
@@ -142,8 +144,8 @@
 	assert.True(t, latest.Equal(noon), latest)
 }
 
-// The wall clock is set between two runs. On one boot of the machine the uptime tells how much time has passed; after
-// another boot the wall clock does, but time never goes back.
+// The wall clock is set between two runs of the program. Without a reboot the machine's uptime gives the time that has
+// passed; after a reboot the wall clock does. The store's clock must never go back.
 func TestClockGoesOnFromTheLastRun(t *testing.T) {
 	s, _ := openNew(t, Options{})
 	defer s.Close()
@@ -154,9 +156,9 @@
 		return clock.Now().UTC().Truncate(time.Minute)
 	}
 	assert.Equal(t, noon, start(noon, "first", time.Hour))
-	assert.Equal(t, noon.Add(5*time.Minute), start(noon.Add(24*time.Hour), "first", time.Hour+5*time.Minute), "set forward")
-	assert.Equal(t, noon.Add(9*time.Minute), start(noon.Add(-time.Hour), "first", time.Hour+9*time.Minute), "set back")
-	assert.Equal(t, noon.Add(time.Hour), start(noon.Add(time.Hour), "second", time.Minute), "booted: the wall clock counts")
-	assert.Equal(t, noon.Add(time.Hour), start(noon, "third", time.Minute), "booted, and behind: time stands")
-	assert.Equal(t, noon.Add(2*time.Hour), start(noon.Add(2*time.Hour), "", 0), "no uptime")
+	assert.Equal(t, noon.Add(5*time.Minute), start(noon.Add(24*time.Hour), "first", time.Hour+5*time.Minute), "wall clock set forward")
+	assert.Equal(t, noon.Add(9*time.Minute), start(noon.Add(-time.Hour), "first", time.Hour+9*time.Minute), "wall clock set back")
+	assert.Equal(t, noon.Add(time.Hour), start(noon.Add(time.Hour), "second", time.Minute), "rebooted: the wall clock applies")
+	assert.Equal(t, noon.Add(time.Hour), start(noon, "third", time.Minute), "rebooted, behind: time stays")
+	assert.Equal(t, noon.Add(2*time.Hour), start(noon.Add(2*time.Hour), "", 0), "uptime unknown: the wall clock applies")
 }
--- a/internal/invocation/store/usage.go
+++ b/internal/invocation/store/usage.go
@@ -7,17 +7,17 @@
 	"kitefall/internal/invocation"
 )
 
-// allTenants is the name under which the usage of all tenants is counted.
+// allTenants is the tenant name under which the total usage of all tenants is stored.
 const allTenants = ""
 
-// Usage is what is kept for a tenant: the number of invocations and the size of their bodies and results.
+// Usage is the number of stored invocations and the total size of their bodies and results.
 type Usage struct{ Invocations, Bytes int64 }
 
 func (u Usage) plus(invocations, bytes int64) Usage {
 	return Usage{Invocations: u.Invocations + invocations, Bytes: u.Bytes + bytes}
 }
 
-// Usage returns what is kept for a tenant, or for all tenants under the empty name.
+// Usage returns the usage of a tenant, or of all tenants together if tenant is empty.
 func (s *Store) Usage(tenant string) (usage Usage, err error) {
 	err = s.db.View(func(tx *durable.Tx) error {
 		usage = usageOf(tx, tenant)
@@ -44,14 +44,14 @@
 	tx.Put(usageBucket, usageKey(tenant), data)
 }
 
-// addUsage adds to the usage of a tenant and of all tenants.
+// addUsage adds to the usage of a tenant and to the total of all tenants. The amounts may be negative.
 func addUsage(tx *durable.Tx, tenant string, invocations, bytes int64) {
 	putUsage(tx, tenant, usageOf(tx, tenant).plus(invocations, bytes))
 	putUsage(tx, allTenants, usageOf(tx, allTenants).plus(invocations, bytes))
 }
 
-// admit counts a new invocation, unless the store is full or the tenant's quota is used up: ErrStoreFull and
-// ErrQuotaExceeded.
+// admit adds a new invocation to the usage. It fails with ErrStoreFull if the store holds MaxInvocations, and with
+// ErrQuotaExceeded if the invocation would exceed a limit of the tenant; nothing is added then.
 func (s *Store) admit(tx *durable.Tx, inv *invocation.Invocation) error {
 	total := usageOf(tx, allTenants)
 	if total.Invocations >= s.options.MaxInvocations {
--- a/internal/invocation/store/v1.go
+++ b/internal/invocation/store/v1.go
@@ -11,26 +11,26 @@
 	"kitefall/internal/invocation"
 )
 
-// The buckets of the first format, which kept invocations in JSON in a bbolt file.
+// The buckets of the first format, which stored invocations as JSON in a bbolt file.
 var (
 	v1Invocations = []byte("tickets")
 	v1Keys        = []byte("keys")
 	v1Ends        = []byte("ends")
 	v1Expired     = []byte("expired")
 
-	// laterFormatBucket is in every file of a later format.
+	// laterFormatBucket exists in every file in a later format, and in no file in the first.
 	laterFormatBucket = []byte("kitefall")
 )
 
 const (
-	// v1Retention is how long migrated invocations are kept: the first format did not say.
+	// v1Retention is the retention of migrated completed invocations, because the first format did not store one.
 	v1Retention = 24 * time.Hour
 
-	// noLimit is a number of invocations that is never reached.
+	// noLimit is a MaxInvocations that is never reached.
 	noLimit = 1 << 62
 )
 
-// v1Outcomes are the names of the outcomes in the first format.
+// v1Outcomes maps the outcome names of the first format to outcomes.
 var v1Outcomes = map[string]invocation.Outcome{
 	"":         invocation.OutcomeNone,
 	"served":   invocation.OutcomeServed,
@@ -40,7 +40,7 @@
 	"given up": invocation.OutcomeCancelled,
 }
 
-// v1Invocation is an invocation in the first format.
+// v1Invocation is an invocation as the first format stored it, under the JSON names below.
 type v1Invocation struct {
 	ID             string    `json:"ID"`
 	Tenant         string    `json:"Tenant"`
@@ -62,7 +62,8 @@
 	return tx.Bucket(laterFormatBucket) == nil && tx.Bucket(v1Invocations) != nil && tx.Bucket(v1Ends) != nil
 }
 
-// importV1 copies everything from a file of the first format and returns the number of invocations.
+// importV1 imports all invocations and records of expired ones from a file in the first format. It returns the number of
+// invocations read.
 func (s *Store) importV1(tx *bolt.Tx, path string) (imported int, err error) {
 	err = tx.Bucket(v1Invocations).ForEach(func(_, data []byte) error {
 		old := &v1Invocation{}
@@ -82,7 +83,8 @@
 	return imported, err
 }
 
-// importV1Invocation stores an invocation of the first format. Its key is dropped if a later invocation holds it.
+// importV1Invocation stores an invocation of the first format. Its Idempotency-Key is dropped unless holdsKey is true:
+// then a later invocation holds the key.
 func (s *Store) importV1Invocation(old *v1Invocation, holdsKey bool) error {
 	inv, err := old.convert()
 	if err != nil {
@@ -94,8 +96,8 @@
 	return s.update(func(tx *durable.Tx) error { return s.insert(tx, inv, old.Result) })
 }
 
-// convert returns the invocation in the present format. The first one did not store its class, so what may have run
-// counts as not idempotent and does not run again.
+// convert returns the invocation in the current format. The first format did not store the class, so the invocation
+// counts as not idempotent and does not run again if it may have run.
 func (old *v1Invocation) convert() (*invocation.Invocation, error) {
 	outcome, known := v1Outcomes[old.Outcome]
 	if !known {
@@ -133,13 +135,13 @@
 	return inv, nil
 }
 
-// importV1Expired stores the record of an expired invocation, which has the same format in both.
+// importV1Expired stores the record of an expired invocation. Both formats encode this record in the same way.
 func (s *Store) importV1Expired(id string, record []byte) error {
 	if len(record) < timeLength {
-		return fmt.Errorf("%w: the record of the expired ticket %s is too short", durable.ErrDamaged, id)
+		return fmt.Errorf("%w: the record of expired ticket %s is too short", durable.ErrDamaged, id)
 	}
 	until := decodeTime(record)
-	record = append([]byte{}, record...) // bbolt's memory is valid in its transaction only
+	record = append([]byte{}, record...) // bbolt's memory is valid only during its transaction
 	return s.update(func(tx *durable.Tx) error {
 		tx.Put(expiredBucket, []byte(id), record)
 		tx.Put(expiredUntilBucket, timeKey(until, id), nil)
--- a/internal/invocation/transitions.go
+++ b/internal/invocation/transitions.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// Transition is one row of the state machine's table. It applies to an invocation in state From that meets Event, if
-// its guard holds. It either moves the invocation to state To or rejects the event with an error.
+// Transition is one row of the state machine's table. It applies when Event occurs in state From and the guard holds. It
+// either moves the invocation to state To or rejects the event with an error.
 type Transition struct {
 	From    State
 	Event   Event
 	guard   guard
-	To      State   // zero if the event is rejected
+	To      State   // next state; zero if the event is rejected
 	Outcome Outcome // the outcome, if the transition completes the invocation
 	Effects Effects
-	update  update // what else changes; may be nil
-	err     error  // the event is rejected with this error, and nothing changes
+	update  update // changes to the invocation besides state and outcome; may be nil
+	err     error  // if set, the event is rejected with this error, and nothing changes
 }
 
 // Combinations of effects and updates that several transitions share.
 var (
-	completed             = effects(EffectPersist, EffectNotify)
-	completedAndCancelRun = effects(EffectPersist, EffectNotify, EffectCancelRun)
-	persistAndSchedule    = effects(EffectPersist, EffectSchedule)
+	persistAndNotify          = effects(EffectPersist, EffectNotify)
+	persistNotifyAndCancelRun = effects(EffectPersist, EffectNotify, EffectCancelRun)
+	persistAndSchedule        = effects(EffectPersist, EffectSchedule)
 
 	setRejected = chain(setRetryAt, setDeadLetter)
 	setFailed   = chain(setMayHaveRun, setDeadLetter)
 )
 
-// Transitions is the table of the state machine. Of the transitions for a state and an event, the first whose guard
-// holds is taken. The last one for each state and event has the guard always.
+// Transitions is the table of the state machine. Step takes the first transition for the state and event whose guard
+// holds. The last transition for each state and event has the guard always.
 var Transitions = slices.Concat(waitingTransitions, submittedTransitions, runningTransitions, completedTransitions)
 
-// waitingTransitions are those of an invocation without a run in progress.
+// waitingTransitions are the transitions from StateWaiting, in which no run is in progress.
 var waitingTransitions = []Transition{
 	{From: StateWaiting, Event: EventSubmit, guard: beforeNextRun, err: ErrInvalidTransition},
 	{From: StateWaiting, Event: EventSubmit, guard: beforeExpiry, To: StateSubmitted, update: countRun},
@@ -39,89 +39,90 @@
 	{From: StateWaiting, Event: EventRejected, guard: always, err: ErrInvalidTransition},
 	{From: StateWaiting, Event: EventFailed, guard: always, err: ErrInvalidTransition},
 	{From: StateWaiting, Event: EventCancel, guard: always,
-		To: StateCompleted, Outcome: OutcomeCancelled, Effects: completed},
+		To: StateCompleted, Outcome: OutcomeCancelled, Effects: persistAndNotify},
 	{From: StateWaiting, Event: EventExpire, guard: beforeExpiry, err: ErrInvalidTransition},
 	{From: StateWaiting, Event: EventExpire, guard: always,
-		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: completed, update: setDeadLetter},
+		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setDeadLetter},
 	{From: StateWaiting, Event: EventRestart, guard: beforeExpiry,
 		To: StateWaiting, Effects: effects(EffectSchedule)},
 	{From: StateWaiting, Event: EventRestart, guard: always,
-		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: completed, update: setDeadLetter},
+		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setDeadLetter},
 	{From: StateWaiting, Event: EventWithdraw, guard: always,
-		To: StateCompleted, Outcome: OutcomeFailed, Effects: completed, update: setDeadLetter},
+		To: StateCompleted, Outcome: OutcomeFailed, Effects: persistAndNotify, update: setDeadLetter},
 	{From: StateWaiting, Event: EventRedrive, guard: always, err: ErrNotDeadLetter},
 	{From: StateWaiting, Event: EventDelete, guard: always, err: ErrInvalidTransition},
 }
 
-// submittedTransitions are those of an invocation whose run has not reached a worker, unless it is idempotent: an
-// idempotent one runs without EventStart, so it may have run.
+// submittedTransitions are the transitions from StateSubmitted, in which a run has not reached a worker. An idempotent
+// invocation is the exception: its attempts are written to workers without EventStart, so its function may have run.
 var submittedTransitions = []Transition{
 	{From: StateSubmitted, Event: EventSubmit, guard: always, err: ErrInvalidTransition},
 	{From: StateSubmitted, Event: EventStart, guard: always, To: StateRunning, Effects: effects(EffectPersist)},
 	{From: StateSubmitted, Event: EventServed, guard: always,
-		To: StateCompleted, Outcome: OutcomeServed, Effects: completed, update: addResultBytes},
+		To: StateCompleted, Outcome: OutcomeServed, Effects: persistAndNotify, update: addResultBytes},
 	{From: StateSubmitted, Event: EventRejected, guard: willRetry,
 		To: StateWaiting, Effects: persistAndSchedule, update: setNextRun},
 	{From: StateSubmitted, Event: EventRejected, guard: deadlineExceeded,
-		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: completed, update: setDeadLetter},
+		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setDeadLetter},
 	{From: StateSubmitted, Event: EventRejected, guard: always,
-		To: StateCompleted, Outcome: OutcomeRejected, Effects: completed, update: setRejected},
+		To: StateCompleted, Outcome: OutcomeRejected, Effects: persistAndNotify, update: setRejected},
 	{From: StateSubmitted, Event: EventFailed, guard: willRetryIdempotent,
 		To: StateWaiting, Effects: persistAndSchedule, update: setNextRun},
 	{From: StateSubmitted, Event: EventFailed, guard: deadlineExceeded,
-		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: completed, update: setFailed},
+		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setFailed},
 	{From: StateSubmitted, Event: EventFailed, guard: always,
-		To: StateCompleted, Outcome: OutcomeFailed, Effects: completed, update: setFailed},
-	// Only an idempotent invocation can have run here: any other goes through EventStart first.
+		To: StateCompleted, Outcome: OutcomeFailed, Effects: persistAndNotify, update: setFailed},
+	// In StateSubmitted only an idempotent function can have run: for any other, EventStart comes first.
 	{From: StateSubmitted, Event: EventCancel, guard: isIdempotent,
-		To: StateCompleted, Outcome: OutcomeCancelled, Effects: completedAndCancelRun, update: setMayHaveRun},
+		To: StateCompleted, Outcome: OutcomeCancelled, Effects: persistNotifyAndCancelRun, update: setMayHaveRun},
 	{From: StateSubmitted, Event: EventCancel, guard: always,
-		To: StateCompleted, Outcome: OutcomeCancelled, Effects: completedAndCancelRun},
-	// The run ends by itself, before the deadline.
+		To: StateCompleted, Outcome: OutcomeCancelled, Effects: persistNotifyAndCancelRun},
+	// The run in progress ends by the deadline and then reports its own outcome.
 	{From: StateSubmitted, Event: EventExpire, guard: always, err: ErrInvalidTransition},
 	{From: StateSubmitted, Event: EventRestart, guard: beforeExpiry,
 		To: StateWaiting, Effects: effects(EffectSchedule)},
 	{From: StateSubmitted, Event: EventRestart, guard: always,
-		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: completed, update: setDeadLetter},
-	// The run may still complete it.
+		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setDeadLetter},
+	// The run in progress may still complete the invocation.
 	{From: StateSubmitted, Event: EventWithdraw, guard: always, err: ErrInvalidTransition},
 	{From: StateSubmitted, Event: EventRedrive, guard: always, err: ErrNotDeadLetter},
 	{From: StateSubmitted, Event: EventDelete, guard: always, err: ErrInvalidTransition},
 }
 
-// runningTransitions are those of an invocation whose run may have reached a worker.
+// runningTransitions are the transitions from StateRunning, in which the run may have reached a worker.
 var runningTransitions = []Transition{
 	{From: StateRunning, Event: EventSubmit, guard: always, err: ErrInvalidTransition},
 	{From: StateRunning, Event: EventStart, guard: always,
 		To: StateRunning}, // a further attempt of the same run
 	{From: StateRunning, Event: EventServed, guard: always,
-		To: StateCompleted, Outcome: OutcomeServed, Effects: completed, update: addResultBytes},
+		To: StateCompleted, Outcome: OutcomeServed, Effects: persistAndNotify, update: addResultBytes},
 	{From: StateRunning, Event: EventRejected, guard: willRetry,
 		To: StateWaiting, Effects: persistAndSchedule, update: setNextRun},
 	{From: StateRunning, Event: EventRejected, guard: deadlineExceeded,
-		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: completed, update: setDeadLetter},
+		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setDeadLetter},
 	{From: StateRunning, Event: EventRejected, guard: always,
-		To: StateCompleted, Outcome: OutcomeRejected, Effects: completed, update: setRejected},
+		To: StateCompleted, Outcome: OutcomeRejected, Effects: persistAndNotify, update: setRejected},
 	{From: StateRunning, Event: EventFailed, guard: willRetryIdempotent,
 		To: StateWaiting, Effects: persistAndSchedule, update: setNextRun},
 	{From: StateRunning, Event: EventFailed, guard: deadlineExceeded,
-		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: completed, update: setFailed},
+		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setFailed},
 	{From: StateRunning, Event: EventFailed, guard: always,
-		To: StateCompleted, Outcome: OutcomeFailed, Effects: completed, update: setFailed},
+		To: StateCompleted, Outcome: OutcomeFailed, Effects: persistAndNotify, update: setFailed},
 	{From: StateRunning, Event: EventCancel, guard: always,
-		To: StateCompleted, Outcome: OutcomeCancelled, Effects: completedAndCancelRun, update: setMayHaveRun},
+		To: StateCompleted, Outcome: OutcomeCancelled, Effects: persistNotifyAndCancelRun, update: setMayHaveRun},
 	{From: StateRunning, Event: EventExpire, guard: always, err: ErrInvalidTransition},
 	{From: StateRunning, Event: EventRestart, guard: isIdempotent,
 		To: StateWaiting, Effects: persistAndSchedule},
-	// It may have run before the restart, and nobody can tell any more: a second run could book twice.
+	// The function may have run before the restart, and its answer is lost. It is not idempotent, so another run could
+	// repeat its effect, such as a booking.
 	{From: StateRunning, Event: EventRestart, guard: always,
-		To: StateCompleted, Outcome: OutcomeFailed, Effects: completed, update: setFailed},
+		To: StateCompleted, Outcome: OutcomeFailed, Effects: persistAndNotify, update: setFailed},
 	{From: StateRunning, Event: EventWithdraw, guard: always, err: ErrInvalidTransition},
 	{From: StateRunning, Event: EventRedrive, guard: always, err: ErrNotDeadLetter},
 	{From: StateRunning, Event: EventDelete, guard: always, err: ErrInvalidTransition},
 }
 
-// completedTransitions are those of an invocation with a final outcome, which never changes.
+// completedTransitions are the transitions from StateCompleted. The outcome is final: none of them changes it.
 var completedTransitions = []Transition{
 	{From: StateCompleted, Event: EventSubmit, guard: always, err: ErrCompleted},
 	{From: StateCompleted, Event: EventStart, guard: always, err: ErrCompleted},
--- a/internal/invocation/transitions_test.go
+++ b/internal/invocation/transitions_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// name describes the transition by its state, event and guard. It is unique in the table.
+// name describes the transition by its state, event and guard. The name is unique in the table.
 func (t *Transition) name() string {
 	name := t.From.String() + ", " + t.Event.String()
 	if t.guard.name != "" {
@@ -20,7 +20,7 @@
 
 var noon = time.Date(2026, 3, 2, 12, 0, 0, 0, time.UTC)
 
-// scenario is a combination of everything that the guards look at.
+// scenario is one combination of the conditions on which guards and updates depend.
 type scenario struct {
 	idempotent         bool
 	deferred           bool
@@ -34,7 +34,7 @@
 	withIdempotencyKey bool
 }
 
-// allScenarios returns every combination.
+// allScenarios returns every combination of the conditions.
 func allScenarios() []scenario {
 	var scenarios []scenario
 	for bits := range 1 << 10 {
@@ -55,7 +55,7 @@
 	return scenarios
 }
 
-// invocation returns an invocation in a state, and the time at which it meets the event.
+// invocation returns an invocation in the given state, and the time at which the event occurs.
 func (s scenario) invocation(state State) (*Invocation, time.Time) {
 	request := Request{Tenant: "a", Idempotent: s.idempotent, Deferred: s.deferred, Expires: noon.Add(time.Hour)}
 	if s.withIdempotencyKey {
@@ -79,7 +79,7 @@
 	return inv, now
 }
 
-// input returns an event with its data.
+// input returns the input for an event in this scenario.
 func (s scenario) input(event Event, now time.Time) Input {
 	input := Input{
 		Event:            event,
@@ -95,8 +95,8 @@
 	return input
 }
 
-// Every state meets every event in every scenario. Each transition of the table is taken by some, and the invariants
-// hold for all.
+// Applies every event in every state and scenario. The test fails if a combination has no transition, if a transition is
+// never taken, if a rejected event changes the invocation, or if an accepted event breaks an invariant.
 func TestEveryTransition(t *testing.T) {
 	taken := map[*Transition]int{}
 	for _, s := range allScenarios() {
@@ -117,11 +117,11 @@
 		}
 	}
 	for i := range Transitions {
-		assert.NotZero(t, taken[&Transitions[i]], "no test takes the transition: %s", Transitions[i].name())
+		assert.NotZero(t, taken[&Transitions[i]], "no scenario takes the transition: %s", Transitions[i].name())
 	}
 }
 
-// requireInvariants checks what must hold after every transition that accepts its event.
+// requireInvariants checks the invariants that hold after every transition that accepts its event.
 func requireInvariants(
 	t *testing.T, s scenario, transition *Transition, before, after *Invocation, effects Effects, now time.Time,
 ) {
@@ -130,17 +130,17 @@
 	completes := before.State != StateCompleted && after.State == StateCompleted
 	starts := before.State != StateRunning && after.State == StateRunning
 
-	require.Equal(t, completes, effects.Has(EffectNotify), "notified exactly when it completes: %s", name)
+	require.Equal(t, completes, effects.Has(EffectNotify), "EffectNotify exactly on completion: %s", name)
 	require.Equal(t, completes, after.Outcome != before.Outcome, name)
 	if !after.Ephemeral && (completes || starts) {
-		require.True(t, effects.Has(EffectPersist), "stored first: %s", name)
+		require.True(t, effects.Has(EffectPersist), "a start and an outcome must be stored: %s", name)
 	}
 	if after.Ephemeral {
 		require.False(t, effects.Has(EffectPersist), name)
 	}
-	provesRun := transition.Event == EventRejected || transition.Event == EventServed
-	if before.State == StateRunning && after.State != StateRunning && !s.idempotent && !provesRun {
-		require.True(t, after.State == StateCompleted && after.MayHaveRun, "what may have run does not run again: %s", name)
+	runIsKnown := transition.Event == EventRejected || transition.Event == EventServed
+	if before.State == StateRunning && after.State != StateRunning && !s.idempotent && !runIsKnown {
+		require.True(t, after.State == StateCompleted && after.MayHaveRun, "may have run, must not run again: %s", name)
 	}
 	if after.State == StateSubmitted {
 		require.False(t, now.Before(after.NextRunAt) || !now.Before(after.Expires), name)
@@ -156,92 +156,94 @@
 	if completes {
 		failed := after.Outcome != OutcomeServed && after.Outcome != OutcomeCancelled
 		isDeadLetter := s.deferred && failed
-		// The scenarios also have incomplete dead letters, which never occur.
+		// The scenarios also include incomplete invocations marked as dead letters, which do not occur in practice.
 		require.True(t, after.DeadLetter == isDeadLetter || s.deadLetter, name)
 	}
 }
 
-// Random events beside a model that knows what really ran: an invocation that is not idempotent never runs twice.
+// Applies random events and records which runs reach a worker. A non-idempotent invocation must not run again unless the
+// earlier run was rejected, and no invocation may report more than one outcome.
 func TestRandomEventsRunNonIdempotentOnce(t *testing.T) {
 	for seed := range uint64(3000) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		world := newRandomWorld(random)
+		lifecycle := newRandomLifecycle(random)
 		for range 60 {
-			world.step()
+			lifecycle.step()
 		}
-		if !world.inv.Idempotent {
-			require.LessOrEqual(t, world.runs, 1+rejectedRuns(world.inv), "seed %d: %v", seed, world.inv.History)
+		if !lifecycle.inv.Idempotent {
+			require.LessOrEqual(t, lifecycle.runs, 1+rejectedRuns(lifecycle.inv), "seed %d: %v", seed, lifecycle.inv.History)
 		}
-		require.LessOrEqual(t, world.notifications, 1, "seed %d", seed)
-		require.LessOrEqual(t, len(world.inv.History), MaxHistory)
+		require.LessOrEqual(t, lifecycle.notifications, 1, "seed %d", seed)
+		require.LessOrEqual(t, len(lifecycle.inv.History), MaxHistory)
 	}
 }
 
-// randomWorld applies random events to an invocation and knows what the workers did.
-type randomWorld struct {
+// randomLifecycle applies random events to an invocation and records the runs that reach a worker.
+type randomLifecycle struct {
 	random        *rand.Rand
 	inv           *Invocation
 	now           time.Time
-	written       bool // an attempt of the present run was written to a worker
-	runs          int  // runs that were written to a worker
-	notifications int
+	written       bool // an attempt of the current run was written to a worker
+	runs          int  // number of runs with an attempt written to a worker
+	notifications int  // number of transitions with EffectNotify
 }
 
-func newRandomWorld(random *rand.Rand) *randomWorld {
+func newRandomLifecycle(random *rand.Rand) *randomLifecycle {
 	idempotent := random.IntN(2) == 0
 	deferred := random.IntN(4) > 0
 	request := Request{Idempotent: idempotent, Deferred: deferred, Expires: noon.Add(time.Minute)}
-	return &randomWorld{random: random, inv: New("t", request, noon), now: noon}
+	return &randomLifecycle{random: random, inv: New("t", request, noon), now: noon}
 }
 
-// step applies one random event.
-func (w *randomWorld) step() {
-	w.now = w.now.Add(time.Duration(w.random.IntN(3000)) * time.Millisecond)
-	input := w.randomInput()
-	if !w.possible(input) {
+// step advances the time and applies one random event, unless the event cannot occur now.
+func (l *randomLifecycle) step() {
+	l.now = l.now.Add(time.Duration(l.random.IntN(3000)) * time.Millisecond)
+	input := l.randomInput()
+	if !l.canOccur(input) {
 		return
 	}
-	if input.Event == EventRestart && w.inv.State == StateSubmitted {
-		*w.inv = w.inv.Persisted()
+	if input.Event == EventRestart && l.inv.State == StateSubmitted {
+		*l.inv = l.inv.Persisted()
 	}
-	previous := w.inv.State
-	_, effects, err := Step(w.inv, input, w.now)
+	previous := l.inv.State
+	_, effects, err := Step(l.inv, input, l.now)
 	if err != nil {
 		return
 	}
-	starts := w.inv.State == StateRunning && previous != StateRunning
-	startsUnstored := w.inv.Idempotent && w.inv.State == StateSubmitted && w.random.IntN(2) == 0
-	if starts || startsUnstored {
-		w.written = true
-		w.runs++
+	starts := l.inv.State == StateRunning && previous != StateRunning
+	reachesWorkerUnstored := l.inv.Idempotent && l.inv.State == StateSubmitted && l.random.IntN(2) == 0
+	if starts || reachesWorkerUnstored {
+		l.written = true
+		l.runs++
 	}
-	if w.inv.State != StateRunning && w.inv.State != StateSubmitted {
-		w.written = false
+	if l.inv.State != StateRunning && l.inv.State != StateSubmitted {
+		l.written = false
 	}
 	if effects.Has(EffectNotify) {
-		w.notifications++
+		l.notifications++
 	}
 }
 
-func (w *randomWorld) randomInput() Input {
+func (l *randomLifecycle) randomInput() Input {
 	input := Input{
-		Event:            EventSubmit + Event(w.random.IntN(int(lastEvent-EventSubmit))),
-		DeadlineExceeded: w.random.IntN(4) == 0,
+		Event:            EventSubmit + Event(l.random.IntN(int(lastEvent-EventSubmit))),
+		DeadlineExceeded: l.random.IntN(4) == 0,
 	}
-	if w.random.IntN(3) > 0 {
-		input.RetryAt = w.now.Add(time.Second)
+	if l.random.IntN(3) > 0 {
+		input.RetryAt = l.now.Add(time.Second)
 	}
 	return input
 }
 
-// possible reports whether the event can occur: the dispatcher tells the truth about what may have run.
-func (w *randomWorld) possible(input Input) bool {
+// canOccur reports whether the event can occur, given that the dispatcher reports correctly whether a worker may have run
+// the function. EventRejected after a write stands for a worker that reports that it did not run the function.
+func (l *randomLifecycle) canOccur(input Input) bool {
 	switch input.Event {
 	case EventRejected:
-		return !w.written || w.random.IntN(2) != 0
+		return !l.written || l.random.IntN(2) != 0
 	case EventFailed:
-		mayRunUnstored := w.inv.Idempotent && w.inv.State == StateSubmitted
-		return w.written || mayRunUnstored
+		mayHaveRunUnstored := l.inv.Idempotent && l.inv.State == StateSubmitted
+		return l.written || mayHaveRunUnstored
 	case EventRedrive:
 		return false
 	default:
@@ -249,7 +251,7 @@
 	}
 }
 
-// rejectedRuns returns the number of runs that certainly did not run.
+// rejectedRuns returns the number of runs that ended without the function having run.
 func rejectedRuns(inv *Invocation) int {
 	count := 0
 	for _, entry := range inv.History {
--- a/internal/invocation/update.go
+++ b/internal/invocation/update.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// update changes an invocation in a transition, beyond its state and outcome.
+// update is the part of a transition that changes fields other than State, Outcome and CompletedAt.
 type update func(inv *Invocation, input Input, now time.Time)
 
-// chain returns an update that carries out the given ones in order.
+// chain returns an update that carries out the given updates in order.
 func chain(updates ...update) update {
 	return func(inv *Invocation, input Input, now time.Time) {
 		for _, change := range updates {
@@ -24,11 +24,11 @@
 
 func addResultBytes(inv *Invocation, input Input, _ time.Time) { inv.Bytes += input.Bytes }
 
-// setRetryAt keeps when the client may retry by itself.
+// setRetryAt sets the time from which the client may retry.
 func setRetryAt(inv *Invocation, input Input, now time.Time) {
 	inv.RetryAt = now.Add(input.RetryAfter)
 }
 
-// setDeadLetter keeps a deferred invocation for the operators. The client of a synchronous one learns the outcome at
-// once, so it is no dead letter.
+// setDeadLetter marks a deferred invocation as a dead letter, which operators can redrive or purge. A synchronous
+// invocation does not become one, because its client gets the outcome at once.
 func setDeadLetter(inv *Invocation, _ Input, _ time.Time) { inv.DeadLetter = inv.Deferred }
