--- a/internal/invocation/guard.go
+++ b/internal/invocation/guard.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minRunTime is the minimum time that must be left between the earliest start of another run and the invocation's
-// deadline. With less time left, another run is not worth starting.
+// minRunTime is the least time for which another run is worth starting: more than this must be left between its earliest
+// start and the invocation's deadline.
 const minRunTime = 50 * time.Millisecond
 
 // guard is the condition under which a transition applies to an invocation, an input and a time.
@@ -54,8 +54,8 @@
 	}
 )
 
-// anotherRunFollows reports whether a deferred invocation gets another run: the scheduler has granted one, and at least
-// minRunTime is left for it.
+// anotherRunFollows reports whether a deferred invocation gets another run: the scheduler has granted one, and more
+// than minRunTime is left for it.
 func anotherRunFollows(inv *Invocation, input Input, _ time.Time) bool {
 	if !inv.Deferred || input.RetryAt.IsZero() {
 		return false
--- a/internal/invocation/store/benchmark_test.go
+++ b/internal/invocation/store/benchmark_test.go
@@ -39,8 +39,8 @@
 }
 
 // BenchmarkOneReserva measures the time that the store adds to a synchronous non-idempotent call of a single client, for
-// which the start and the outcome are stored. For comparison, the same run measures two writes of bareRecordSize bytes to
-// a plain file, each with a sync.
+// which the start and the outcome are stored. For comparison, the same run measures two writes of as many bytes
+// (bareRecordSize each) to a plain file, each with a sync.
 func BenchmarkOneReserva(b *testing.B) {
 	s, path := openNew(b, Options{})
 	bare := newBareFile(b, filepath.Join(filepath.Dir(path), "bare"))
--- a/internal/invocation/store/cache.go
+++ b/internal/invocation/store/cache.go
@@ -5,7 +5,7 @@
 // maxCached is the number of invocations at which the cache is cleared.
 const maxCached = 1024
 
-// invocationCache holds recently changed invocations, so that the writer's goroutine need not decode them for their next
+// invocationCache holds recently changed invocations, so that the writer goroutine need not decode them for their next
 // change. It is cleared when a change is rolled back, because it may contain that change. It is not safe for concurrent
 // use.
 type invocationCache struct {
--- a/internal/invocation/store/deadletter.go
+++ b/internal/invocation/store/deadletter.go
@@ -41,7 +41,7 @@
 }
 
 // Purge deletes dead letters that completed at least minAge before now: those with the given IDs, or all if ids is empty.
-// A minAge of 0 also selects dead letters whose time of completion is after now. Purge stops at the first error and
+// A minAge of 0 selects all of them, even if the clock was ahead when they completed. Purge stops at the first error and
 // returns the number deleted until then. The error is ErrNotDeadLetter for an invocation that is not a dead letter.
 func (s *Store) Purge(ids []string, minAge time.Duration, now time.Time) (purged int, err error) {
 	if len(ids) == 0 {
--- a/internal/invocation/store/format_test.go
+++ b/internal/invocation/store/format_test.go
@@ -163,7 +163,7 @@
 		invocation.EventServed}, events)
 }
 
-// The names of the buckets and the keys of the indexes must not change: an index that is not found reads as empty.
+// The names of the buckets and the keys of the indexes must not change.
 func TestEarlierStoreIndexes(t *testing.T) {
 	s := openEarlierStore(t)
 	count, err := s.Verify()
--- a/internal/invocation/store/query.go
+++ b/internal/invocation/store/query.go
@@ -111,7 +111,7 @@
 	return &invocation.Invocation{ID: id, Request: invocation.Request{Tenant: tenant}}, invocation.ErrExpired
 }
 
-// loadCached returns an invocation from the cache, or else reads it like load. Only the writer's goroutine may call it.
+// loadCached returns an invocation from the cache, or else reads it like load. Only the writer goroutine may call it.
 func (s *Store) loadCached(tx *durable.Tx, id string) (*invocation.Invocation, error) {
 	if inv := s.cache.get(id); inv != nil {
 		return inv, nil
--- a/internal/invocation/store/store.go
+++ b/internal/invocation/store/store.go
@@ -17,7 +17,7 @@
 // Options set how many invocations are kept, and for how long.
 type Options struct {
 	// Retention is how long an invocation is kept after it has completed. After its deletion, a record that it existed is
-	// kept for as long again.
+	// kept for another Retention.
 	Retention time.Duration
 
 	// DeadRetention is how long a dead letter is kept after it has completed. A value below Retention is raised to it.
--- a/internal/invocation/store/v1.go
+++ b/internal/invocation/store/v1.go
@@ -83,8 +83,8 @@
 	return imported, err
 }
 
-// importV1Invocation stores an invocation of the first format. Its Idempotency-Key is dropped unless holdsKey is true:
-// then a later invocation holds the key.
+// importV1Invocation stores an invocation of the first format. If holdsKey is false, a later invocation holds its
+// Idempotency-Key, and the key is dropped from this one.
 func (s *Store) importV1Invocation(old *v1Invocation, holdsKey bool) error {
 	inv, err := old.convert()
 	if err != nil {
