--- a/internal/invocation/executor/executor.go
+++ b/internal/invocation/executor/executor.go
@@ -1,9 +1,13 @@
-// Package executor accepts requests, has the dispatcher run them and keeps their outcomes. It decides nothing by
-// itself: package invocation rules what an invocation may do next, package schedule which one runs next.
+// Package executor accepts requests as invocations, runs them through the dispatcher and keeps their outcomes. Package
+// invocation defines the state transitions of an invocation, and package schedule decides which deferred invocation
+// runs next.
 //
-// A deferred call is stored when it is accepted. A synchronous one is submitted to the dispatcher at once and is stored
-// only when something could otherwise be lost: a call that is not idempotent just before its first byte is written to
-// a worker, a call with an Idempotency-Key before its outcome is told, and an idempotent call without a key never.
+// A deferred invocation is stored when it is accepted. A synchronous invocation, also called a foreground invocation, is
+// submitted to the dispatcher at once and is stored only where information could otherwise be lost:
+//
+//   - An invocation that is not idempotent is stored just before its first byte is written to a worker.
+//   - An invocation with an Idempotency-Key is stored before its outcome is returned to a client.
+//   - An idempotent invocation without a key is never stored.
 package executor
 
 import (
@@ -20,37 +24,38 @@
 	"kitefall/internal/schedule"
 )
 
-// storeRetryDelay is the pause before an operation that the store has failed is tried again.
+// storeRetryDelay is the time from a failed store operation to its next attempt.
 const storeRetryDelay = time.Second
 
-// Core runs calls. It is implemented by dispatch.Core.
+// Core runs calls at workers. It is implemented by dispatch.Core.
 type Core interface {
 	Submit(*call.Call) (*dispatch.Handle, error)
 }
 
-// Function describes an entry of the catalogue to the scheduler.
+// Function holds the properties of a catalogue entry that the scheduler needs.
 type Function struct {
 	Key  string  // the function's name at the workers
-	Cost float64 // cost of a run relative to other functions
+	Cost float64 // cost of one run, relative to the runs of other functions
 }
 
 // Catalog is the operator's catalogue of functions. It is safe for concurrent use.
 type Catalog interface {
-	// Describe returns a function by its name and reports whether the catalogue has it.
+	// Describe returns the function of the given name and reports whether the catalogue contains it.
 	Describe(function string) (Function, bool)
 
-	// Call returns the call for a run of a request. The executor sets its ID and deadline.
+	// Call returns the call that runs a request once. The executor sets the call's ID and deadline. Call fails if
+	// the catalogue does not contain the request's function.
 	Call(request *invocation.Request) (*call.Call, error)
 }
 
-// View is an invocation as it stands, with its result if it was served.
+// View is a snapshot of an invocation, with its result if it was served.
 type View struct {
 	*invocation.Invocation
 	Result  []byte
-	Durable bool // the invocation is stored: it can be asked for by its ID
+	Durable bool // the invocation is stored, so clients can look it up by its ID
 }
 
-// Executor accepts requests and keeps their outcomes. It is safe for concurrent use. Its zero value is not usable: see
+// Executor accepts requests and keeps their outcomes. It is safe for concurrent use. Its zero value is not usable; use
 // New.
 type Executor struct {
 	store     *store.Store
@@ -69,8 +74,8 @@
 	goroutines sync.WaitGroup
 }
 
-// New returns an executor that runs what the store holds, under the scheduler's settings. It starts with Recover. New
-// fails if the settings are invalid.
+// New returns an executor that runs the invocations of a store, with the given configuration of the scheduler. Recover
+// starts the executor. New fails if the configuration is invalid.
 func New(
 	s *store.Store, core Core, catalogue Catalog, config schedule.Config, clock *monotonic.Clock,
 ) (*Executor, error) {
@@ -93,18 +98,20 @@
 	return e, nil
 }
 
-// Clock returns the clock of the times that invocations bear. Times of other clocks must not be compared with them.
+// Clock returns the clock from which all times in invocations are taken. Times of other clocks must not be compared with
+// them.
 func (e *Executor) Clock() *monotonic.Clock { return e.clock }
 
-// Close waits for the executor's goroutines and closes the store. Invocations that have not completed stay in the
-// store for the next start of the program.
+// Close stops the executor's goroutines, waits until they have returned and closes the store. Stored invocations that
+// have not completed are recovered at the next start of the program.
 func (e *Executor) Close() error {
 	e.cancel()
 	e.goroutines.Wait()
 	return e.store.Close()
 }
 
-// waitToRetryStore waits before the store is tried again. It returns false at once if the executor is closed.
+// waitToRetryStore waits for storeRetryDelay and returns true. If the executor is closed first, it returns false at
+// once.
 func (e *Executor) waitToRetryStore() bool {
 	select {
 	case <-time.After(storeRetryDelay):
@@ -114,7 +121,7 @@
 	}
 }
 
-// retryLater calls retry after storeRetryDelay on a goroutine of its own, unless the executor is closed before.
+// retryLater calls retry after storeRetryDelay on a new goroutine, unless the executor is closed first.
 func (e *Executor) retryLater(retry func()) {
 	e.goroutines.Go(func() {
 		if e.waitToRetryStore() {
--- a/internal/invocation/executor/executor_test.go
+++ b/internal/invocation/executor/executor_test.go
@@ -16,17 +16,18 @@
 	"kitefall/internal/invocation"
 )
 
-// resultFull is the workers' code for a call that is rejected since the worker is full.
-const resultFull = 67
+// codeFull is the code with which a full worker rejects a call.
+const codeFull = 67
 
-// A rejection does not complete a deferred invocation: it is retried, and its history tells.
+// A deferred invocation whose first runs are rejected must be retried until it is served. Its history must begin with
+// EventCreated and end with EventServed.
 func TestRejectedRunIsRetried(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
 	var received atomic.Int64
 	worker.Serve(func(c *fakes.Call) {
 		if received.Add(1) <= 3 {
-			c.Answer(resultFull, "", "")
+			c.Answer(codeFull, "", "")
 			return
 		}
 		c.OK("booked")
@@ -39,41 +40,44 @@
 	assert.Equal(t, invocation.EventServed, view.History[len(view.History)-1].Event)
 }
 
-// An invocation is cancelled in every state: it has one outcome, and a run that was written is cancelled.
+// An invocation is cancelled while it waits, while it runs and after it was cancelled. Its outcome must be
+// OutcomeCancelled each time, and a run that was written to a worker must be cancelled there. Another tenant must not find
+// the invocation in any state.
 func TestCancelInEveryState(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
 
-	later := h.newRequest(reserva, "later")
-	later.NotBefore = h.executor.clock.Now().Add(30 * time.Second)
-	waiting := h.submit(later)
-	assertHiddenFromOthers(h, waiting)
-	view := cancelOwn(h, waiting)
+	delayed := h.newRequest(reserva, "later")
+	delayed.NotBefore = h.executor.clock.Now().Add(30 * time.Second)
+	waiting := h.submit(delayed)
+	assertHiddenFromOtherTenants(h, waiting)
+	view := cancelAsOwner(h, waiting)
 	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome)
 	assert.False(t, view.MayHaveRun)
 
 	running := h.submit(h.newRequest(reserva, "running"))
 	received := worker.Next()
-	assertHiddenFromOthers(h, running)
-	view = cancelOwn(h, running)
+	assertHiddenFromOtherTenants(h, running)
+	view = cancelAsOwner(h, running)
 	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome)
 	assert.True(t, view.MayHaveRun)
 	assert.Equal(t, received.ID, <-worker.Cancelled)
 
 	received.OK("too late")
 	assert.Equal(t, invocation.OutcomeCancelled, h.wait(running).Outcome)
-	assertHiddenFromOthers(h, running)
-	view = cancelOwn(h, running)
-	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome, "once more")
+	assertHiddenFromOtherTenants(h, running)
+	view = cancelAsOwner(h, running)
+	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome, "a repeated cancellation must not change the outcome")
 }
 
-// Invocations are cancelled at every moment between their acceptance and their completion, also while their start is
-// being stored: each has one outcome, and no run's place in the scheduler is lost.
+// Invocations are cancelled at various moments between their acceptance and their completion, also while their start is
+// being stored. Each must have one outcome, and the scheduler and the dispatcher must hold no run at the end: a cancelled
+// run that kept its place in the scheduler would lower the concurrency for good.
 func TestCancelAtEveryMoment(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
 	worker.Serve(func(c *fakes.Call) { c.OK("x") })
-	go func() { // ends with the worker
+	go func() { // keeps the worker from blocking on its channel of cancellations
 		for range worker.Cancelled {
 		}
 	}()
@@ -83,7 +87,7 @@
 			view, err := h.executor.Submit(h.newRequest(reserva, fmt.Sprintf("race %d", i)))
 			assert.NoError(t, err)
 			for range i % 40 {
-				h.executor.Wait(cancelledContext, "a", view.ID) // lets the others go on
+				h.executor.Wait(cancelledContext, "a", view.ID) // delays the cancellation by a varying time
 			}
 			cancelled, err := h.executor.Cancel("a", view.ID)
 			assert.NoError(t, err)
@@ -94,12 +98,12 @@
 		})
 	}
 	cancelling.Wait()
-	idle := func() bool { return h.scheduled() == 0 && h.core.InFlight() == 0 }
+	idle := func() bool { return h.scheduledCount() == 0 && h.core.InFlight() == 0 }
 	require.Eventually(t, idle, 10*time.Second, time.Millisecond)
 }
 
-// assertHiddenFromOthers checks that the invocation does not exist for another tenant.
-func assertHiddenFromOthers(h *harness, id string) {
+// assertHiddenFromOtherTenants checks that another tenant can neither look up nor cancel the invocation.
+func assertHiddenFromOtherTenants(h *harness, id string) {
 	h.t.Helper()
 	_, err := h.executor.Wait(cancelledContext, "b", id)
 	assert.ErrorIs(h.t, err, invocation.ErrNotFound)
@@ -107,15 +111,17 @@
 	assert.ErrorIs(h.t, err, invocation.ErrNotFound)
 }
 
-func cancelOwn(h *harness, id string) View {
+// cancelAsOwner cancels an invocation as the tenant that owns it.
+func cancelAsOwner(h *harness, id string) View {
 	h.t.Helper()
 	view, err := h.executor.Cancel("a", id)
 	require.NoError(h.t, err)
 	return view
 }
 
-// The disk fills up and has space again: requests are refused meanwhile, no outcome is told that is not stored, and
-// nothing is lost.
+// The disk is full for a time. Meanwhile, requests that have to be stored must be refused, requests that need no storage
+// must be served, and an outcome that could not be stored must not be returned. Once the disk has space again, the
+// outcome of the earlier run must be returned. That run must have reached the worker once, and the refused requests never.
 func TestFullDisk(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
@@ -124,9 +130,9 @@
 	h.disk.full.Store(true)
 	_, err := h.executor.Submit(h.newRequest(reserva, "full"))
 	assert.ErrorIs(t, err, invocation.ErrStorage)
-	keyed := h.newRequest(reserva, "full too")
-	keyed.IdempotencyKey = "k"
-	_, err = h.executor.Invoke(context.Background(), keyed)
+	withKey := h.newRequest(reserva, "full too")
+	withKey.IdempotencyKey = "k"
+	_, err = h.executor.Invoke(context.Background(), withKey)
 	assert.ErrorIs(t, err, invocation.ErrStorage)
 
 	ephemeral := make(chan View, 1)
@@ -139,7 +145,7 @@
 	assert.Equal(t, "free", string((<-ephemeral).Result))
 
 	received.OK("booked")
-	assert.Equal(t, invocation.StateRunning, h.current(id).State, "an outcome that is not stored is not told")
+	assert.Equal(t, invocation.StateRunning, h.current(id).State, "an outcome that is not stored must not be returned")
 	h.disk.full.Store(false)
 	assert.Equal(t, "booked", string(h.wait(id).Result))
 	assert.Equal(t, 1, worker.CallCount("before"))
@@ -147,7 +153,7 @@
 	assert.Equal(t, 0, worker.CallCount("full too"))
 }
 
-// A reader that sees a synchronous call served also sees its result.
+// A view of a served foreground invocation must contain its result, whether the invocation is in memory or stored.
 func TestOutcomeIsVisibleWithResult(t *testing.T) {
 	tests := map[string]struct {
 		class  string
@@ -174,7 +180,8 @@
 	}
 }
 
-// Synchronous and deferred requests come under one key at the same moment: one run, and one outcome for all.
+// Synchronous and deferred requests with the same Idempotency-Key arrive at the same time. They must cause one run and get
+// the same result. A different request with a used key must fail with ErrKeyReused.
 func TestConcurrentRequestsUnderOneKey(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
@@ -201,6 +208,7 @@
 	assert.ErrorIs(t, err, invocation.ErrKeyReused)
 }
 
+// invokeOrSubmit makes a synchronous request if invoke is set, and a deferred one otherwise.
 func invokeOrSubmit(h *harness, request invocation.Request, invoke bool) (View, error) {
 	if invoke {
 		return h.executor.Invoke(context.Background(), request)
@@ -208,7 +216,9 @@
 	return h.executor.Submit(request)
 }
 
-// A restart finds invocations in every state; one function is no longer in the catalogue, one deadline has passed.
+// The program restarts with invocations in different states. A running reserva must fail as a dead letter, since it may
+// have run; a running consulta must run again; a waiting invocation must run; one whose deadline has passed must expire;
+// one whose function is no longer in the catalogue must fail. The dead letter can then be redriven.
 func TestRestart(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
@@ -216,17 +226,17 @@
 	runningConsulta := h.submit(h.newRequest(consulta, "c"))
 	worker.Next()
 	worker.Next()
-	later := h.newRequest(reserva, "later")
-	later.NotBefore = h.executor.clock.Now().Add(200 * time.Millisecond)
-	waiting := h.submit(later)
-	expiring := later
+	delayed := h.newRequest(reserva, "later")
+	delayed.NotBefore = h.executor.clock.Now().Add(200 * time.Millisecond)
+	waiting := h.submit(delayed)
+	expiring := delayed
 	expiring.NotBefore = h.executor.clock.Now().Add(time.Millisecond)
 	expiring.Expires = h.executor.clock.Now().Add(2 * time.Millisecond)
 	expiring.RunTimeout = time.Millisecond
 	expired := h.submit(expiring)
-	removed := later
-	removed.Function = "g"
-	withdrawn := h.submit(removed)
+	forRemovedFunction := delayed
+	forRemovedFunction.Function = "g"
+	withdrawn := h.submit(forRemovedFunction)
 	h.catalogue.removed["g"] = true
 
 	h.restart(fakes.NewCore(t, worker))
@@ -247,34 +257,35 @@
 	require.NoError(t, err)
 	worker.Next().OK("booked now")
 	assert.Equal(t, "booked now", string(h.wait(successor.ID).Result))
-	assert.Equal(t, invocation.OutcomeFailed, h.wait(runningReserva).Outcome, "its own outcome stays")
+	assert.Equal(t, invocation.OutcomeFailed, h.wait(runningReserva).Outcome, "a redrive must not change the dead letter's outcome")
 }
 
-// The machine's clock is set back by an hour between two starts, and later forward. A clock set back neither delays nor
-// completes anything; one set forward completes what would have expired by then, and nothing else.
+// The machine's wall clock is set back by an hour between two starts, then forward, then back again. A clock that was set
+// back must neither delay nor expire an invocation. A clock that was set forward must expire the invocations whose
+// deadline it has passed, and no others.
 func TestClockChangesBetweenStarts(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
-	inMoments := h.newRequest(reserva, "soon")
-	inMoments.NotBefore = h.executor.clock.Now().Add(300 * time.Millisecond)
-	inHalfMinute := h.newRequest(reserva, "minute")
-	inHalfMinute.NotBefore = h.executor.clock.Now().Add(30 * time.Second)
-	inHours := h.newRequest(reserva, "day")
-	inHours.NotBefore = h.executor.clock.Now().Add(2 * time.Hour)
-	inHours.Expires = h.executor.clock.Now().Add(24 * time.Hour)
-	first := h.submit(inMoments)
-	second := h.submit(inHalfMinute)
-	third := h.submit(inHours)
+	dueSoon := h.newRequest(reserva, "soon")
+	dueSoon.NotBefore = h.executor.clock.Now().Add(300 * time.Millisecond)
+	dueInHalfMinute := h.newRequest(reserva, "minute")
+	dueInHalfMinute.NotBefore = h.executor.clock.Now().Add(30 * time.Second)
+	dueInHours := h.newRequest(reserva, "day")
+	dueInHours.NotBefore = h.executor.clock.Now().Add(2 * time.Hour)
+	dueInHours.Expires = h.executor.clock.Now().Add(24 * time.Hour)
+	soonID := h.submit(dueSoon)
+	halfMinuteID := h.submit(dueInHalfMinute)
+	hoursID := h.submit(dueInHours)
 
 	h.clockOffset = -time.Hour
 	h.restart(fakes.NewCore(t, worker))
 	worker.Next().OK("booked")
-	assert.Equal(t, invocation.OutcomeServed, h.wait(first).Outcome, "in its time, not an hour later")
+	assert.Equal(t, invocation.OutcomeServed, h.wait(soonID).Outcome, "a clock set back must not delay the run")
 	h.clockOffset = time.Hour
 	h.restart(fakes.NewCore(t, worker))
-	assert.Equal(t, invocation.OutcomeDeadlineExceeded, h.wait(second).Outcome)
+	assert.Equal(t, invocation.OutcomeDeadlineExceeded, h.wait(halfMinuteID).Outcome)
 	h.clockOffset = -time.Hour
 	h.restart(fakes.NewCore(t, worker))
-	assert.Equal(t, invocation.StateWaiting, h.current(third).State)
-	assert.Equal(t, invocation.OutcomeServed, h.wait(first).Outcome, "outcomes stay as they are")
+	assert.Equal(t, invocation.StateWaiting, h.current(hoursID).State)
+	assert.Equal(t, invocation.OutcomeServed, h.wait(soonID).Outcome, "a restart must not change an outcome")
 }
--- a/internal/invocation/executor/expiry.go
+++ b/internal/invocation/executor/expiry.go
@@ -8,10 +8,11 @@
 	"kitefall/internal/invocation"
 )
 
-// deleteInterval is how often invocations whose retention is over are deleted.
+// deleteInterval is the time between two deletions of invocations whose retention has ended.
 const deleteInterval = time.Minute
 
-// deleteExpired deletes invocations whose retention is over and stores the latest time, until the executor is closed.
+// deleteExpired periodically deletes the invocations whose retention has ended, until the executor is closed. It also
+// stores the current time, so that the clock does not go back at the next start of the program.
 func (e *Executor) deleteExpired() {
 	ticker := time.NewTicker(deleteInterval)
 	defer ticker.Stop()
@@ -29,7 +30,7 @@
 	}
 }
 
-// expire completes an invocation whose deadline passed while it waited for a run.
+// expire completes an invocation whose deadline passed while it was waiting for a run.
 func (e *Executor) expire(id string) {
 	_, _, err := e.store.Apply(id, invocation.Input{Event: invocation.EventExpire}, nil, e.clock.Now())
 	switch {
--- a/internal/invocation/executor/feeder.go
+++ b/internal/invocation/executor/feeder.go
@@ -8,26 +8,26 @@
 	"kitefall/internal/schedule"
 )
 
-// feeder owns the scheduler. Its goroutine hands events to it and carries out its actions; it never waits for the disk
-// or the dispatcher.
+// feeder is the event loop of the scheduler: its goroutine passes events to the scheduler and executes the returned
+// actions. The goroutine never waits for the disk or the dispatcher.
 type feeder struct {
 	executor  *Executor
 	scheduler *schedule.Scheduler
 
 	mu     sync.Mutex // guards queue
 	queue  []feederMessage
-	signal chan struct{} // has an element while the queue may not be empty
+	signal chan struct{} // capacity 1; has an element while the queue may be non-empty
 
-	// Owned by the goroutine of run.
+	// The following fields are used only by the goroutine of run.
 	timer     *time.Timer
-	startedAt map[string]time.Time // runs in progress, by invocation
+	startedAt map[string]time.Time // when each run in progress was started, by invocation ID
 }
 
-// feederMessage is an event for the scheduler, or a function that looks at it.
+// feederMessage is either an event for the scheduler or a function that inspects the scheduler.
 type feederMessage struct {
 	event   schedule.Event
-	retryAt chan<- time.Time // of a RunEndedEvent: receives when the next run may start; it has room for one
-	inspect func(*schedule.Scheduler)
+	retryAt chan<- time.Time          // with a RunEndedEvent: receives when the next run may start; has capacity 1
+	inspect func(*schedule.Scheduler) // if set, called instead of handling event
 }
 
 func newFeeder(e *Executor, scheduler *schedule.Scheduler) *feeder {
@@ -39,7 +39,8 @@
 	}
 }
 
-// enqueue appends a message without waiting. The queue needs no bound: each invocation has few events in it.
+// enqueue appends a message to the queue and does not wait until it is handled. The queue needs no bound, since each
+// invocation has only a few messages in it.
 func (f *feeder) enqueue(message feederMessage) {
 	f.mu.Lock()
 	f.queue = append(f.queue, message)
@@ -50,7 +51,7 @@
 	}
 }
 
-// dequeueAll empties the queue and returns what was in it.
+// dequeueAll empties the queue and returns the messages that were in it.
 func (f *feeder) dequeueAll() []feederMessage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,11 +60,12 @@
 	return messages
 }
 
-// send hands an event to the scheduler without waiting for it.
+// send queues an event for the scheduler and does not wait until it is handled.
 func (f *feeder) send(event schedule.Event) { f.enqueue(feederMessage{event: event}) }
 
-// runEnded tells the scheduler how a run ended, and returns when the next run may start. It returns the zero time if
-// there is none, or if the executor is closed: the next start of the program decides then.
+// runEnded reports the end of a run to the scheduler and returns when the next run may start. It returns the zero time
+// if there is no further run. It also returns the zero time if the executor is closed; the next start of the program
+// then decides about a further run.
 func (f *feeder) runEnded(id string, event invocation.Event, retryAfter time.Duration) time.Time {
 	ended := schedule.RunEndedEvent{ID: id, Result: runResult(event), RetryAfter: retryAfter}
 	retryAt := make(chan time.Time, 1)
@@ -76,6 +78,7 @@
 	}
 }
 
+// runResult converts the event that ended a run to the scheduler's result.
 func runResult(event invocation.Event) schedule.Result {
 	switch event {
 	case invocation.EventServed:
@@ -87,12 +90,12 @@
 	}
 }
 
-// run feeds the scheduler, first with the initial events, until the executor is closed.
+// run handles the initial events and then all queued messages and timer ticks, until the executor is closed.
 func (f *feeder) run(initial []schedule.Event) {
 	for _, event := range initial {
 		f.send(event)
 	}
-	f.timer = time.NewTimer(time.Hour) // the scheduler sets it
+	f.timer = time.NewTimer(time.Hour) // a placeholder; SetTimer actions reset the timer
 	defer f.timer.Stop()
 	for {
 		select {
@@ -108,6 +111,7 @@
 	}
 }
 
+// handle processes one message of the queue.
 func (f *feeder) handle(message feederMessage) {
 	if message.inspect != nil {
 		message.inspect(f.scheduler)
@@ -125,7 +129,7 @@
 			retryAt = retry.At
 			continue
 		}
-		f.carryOut(action, now)
+		f.executeAction(action, now)
 	}
 	if aborted, ok := event.(schedule.RunAbortedEvent); ok {
 		delete(f.startedAt, aborted.ID)
@@ -135,18 +139,19 @@
 	}
 }
 
-// takeElapsed returns how long the run of an invocation took and forgets its start; zero: the start is unknown.
+// takeElapsed returns the time since the run of an invocation was started, and removes the start time. It returns 0 if
+// the start time is unknown.
 func (f *feeder) takeElapsed(id string, now time.Time) time.Duration {
-	startedAt, known := f.startedAt[id]
+	startedAt, found := f.startedAt[id]
 	delete(f.startedAt, id)
-	if !known {
+	if !found {
 		return 0
 	}
 	return now.Sub(startedAt)
 }
 
-// carryOut carries out an action of the scheduler. What may wait for the disk has a goroutine of its own.
-func (f *feeder) carryOut(action schedule.Action, now time.Time) {
+// executeAction executes an action of the scheduler. An action that may wait for the disk runs on its own goroutine.
+func (f *feeder) executeAction(action schedule.Action, now time.Time) {
 	switch action := action.(type) {
 	case schedule.StartRun:
 		f.startedAt[action.ID] = now
--- a/internal/invocation/executor/foreground.go
+++ b/internal/invocation/executor/foreground.go
@@ -12,23 +12,24 @@
 	"kitefall/internal/invocation"
 )
 
-// errKeyTaken is returned if the store has another invocation under a key that this one has reserved.
+// errKeyTaken is returned if the store contains another invocation with the key that a foreground invocation has
+// reserved.
 var errKeyTaken = errors.New("the idempotency key belongs to another invocation")
 
-// foregroundInvocation is a synchronous call, which a client waits for. It lives in memory until it has to be stored,
-// if it has to be at all.
+// foregroundInvocation is a synchronous invocation: a client waits for its outcome. It is held in memory only, until it
+// has to be stored; some foreground invocations are never stored (see the package comment).
 type foregroundInvocation struct {
 	id          string
 	tenant      string
 	reservation *keyReservation
-	completed   chan struct{} // closed once the outcome may be told
+	completed   chan struct{} // closed once the outcome may be returned to clients
 	submission  submission
 
-	mu         sync.Mutex // held also while the store writes: the transitions come one after another
+	mu         sync.Mutex // guards the following; held during store writes, so that transitions are serialized
 	invocation *invocation.Invocation
 	stored     bool
 	result     []byte
-	err        error // the call did not run and could not be stored
+	err        error // set if the invocation was not served and its outcome could not be stored
 }
 
 func newForeground(inv *invocation.Invocation, reservation *keyReservation) *foregroundInvocation {
@@ -41,15 +42,15 @@
 	}
 }
 
-// view returns the call as it stands.
+// view returns the current state.
 func (fg *foregroundInvocation) view() View {
 	fg.mu.Lock()
 	defer fg.mu.Unlock()
 	return View{Invocation: new(*fg.invocation), Result: fg.result, Durable: fg.stored}
 }
 
-// wait returns the call once it has completed, or as it stands when ctx is done. It fails if the call could not be
-// stored and did not run.
+// wait returns the state once the invocation has completed, or the current state when ctx is done. It fails if the
+// invocation was not served and its outcome could not be stored.
 func (fg *foregroundInvocation) wait(ctx context.Context) (View, error) {
 	select {
 	case <-fg.completed:
@@ -79,8 +80,8 @@
 	return fg.stored
 }
 
-// setInvocation replaces the invocation together with its result, with fg locked: a reader between the two would see a
-// served call without a result.
+// setInvocation replaces the invocation and sets the result of a served one. The caller holds fg.mu. Both change
+// together, since a reader must not see a served invocation without its result.
 func (fg *foregroundInvocation) setInvocation(inv *invocation.Invocation, result []byte) {
 	fg.invocation = inv
 	if inv.Outcome == invocation.OutcomeServed {
@@ -88,8 +89,8 @@
 	}
 }
 
-// stepForeground applies an input to a synchronous call, in memory until it has to be stored and in the store from then
-// on.
+// stepForeground applies an input to a foreground invocation. The state is changed in memory until the invocation has to
+// be stored, and in the store from then on.
 func (e *Executor) stepForeground(fg *foregroundInvocation, input invocation.Input, result []byte) error {
 	fg.mu.Lock()
 	defer fg.mu.Unlock()
@@ -102,12 +103,12 @@
 	if err != nil {
 		return err
 	}
-	if effects.Has(invocation.EffectPersist) && canBeAskedFor(inv) {
+	if effects.Has(invocation.EffectPersist) && isRetrievable(inv) {
 		existing, err := e.store.Create(inv, result, now)
 		if err != nil {
 			return err
 		}
-		if existing != nil { // the reservation keeps other requests from the key
+		if existing != nil { // unexpected: the reservation keeps other requests from using the key
 			return errKeyTaken
 		}
 		fg.stored = true
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// stepStored applies an input to a stored synchronous call, with fg locked.
+// stepStored applies an input to a foreground invocation that is stored. The caller holds fg.mu.
 func (e *Executor) stepStored(fg *foregroundInvocation, input invocation.Input, result []byte, now time.Time) error {
 	inv, _, err := e.store.Apply(fg.id, input, result, now)
 	if inv != nil {
@@ -130,20 +131,21 @@
 	return nil
 }
 
-// canBeAskedFor reports whether a client could ask for a call that was not stored so far: one that has completed and
-// has no key was never told to anybody.
-func canBeAskedFor(inv *invocation.Invocation) bool {
+// isRetrievable reports whether a client may later look up an invocation that is not stored yet. A completed invocation
+// without a key cannot be looked up: no client has been given its ID.
+func isRetrievable(inv *invocation.Invocation) bool {
 	return inv.State != invocation.StateCompleted || inv.IdempotencyKey != ""
 }
 
-// persistForegroundStart stores a synchronous call just before its first byte is written to a worker.
+// persistForegroundStart stores a foreground invocation just before its first byte is written to a worker.
 func (e *Executor) persistForegroundStart(fg *foregroundInvocation) error {
 	err := e.stepForeground(fg, invocation.Input{Event: invocation.EventStart}, nil)
 	failpoint.Hit("marked")
 	return err
 }
 
-// completeForeground applies the dispatcher's answer. As in completeRun, no outcome is told that could not be stored.
+// completeForeground applies the dispatcher's answer to a foreground invocation. As in completeRun, an outcome that has to
+// be stored is not returned to clients before it is stored.
 func (e *Executor) completeForeground(fg *foregroundInvocation, answer call.Answer) {
 	input := inputFor(answer)
 	for {
@@ -155,7 +157,8 @@
 			return
 		}
 		if !fg.isStored() && answer.Outcome != call.Served {
-			// Nothing is stored and nothing ran: the client learns of the failure and may try again.
+			// Nothing is stored, and the function did not run or is idempotent: the client gets the error and may
+			// retry.
 			fg.fail(err)
 			e.releaseForeground(fg)
 			return
@@ -167,7 +170,8 @@
 	}
 }
 
-// cancelForeground cancels a synchronous call for its owner. An outcome that came first stays.
+// cancelForeground cancels a foreground invocation for its owner. If the invocation has completed already, its outcome
+// does not change.
 func (e *Executor) cancelForeground(fg *foregroundInvocation) (View, error) {
 	err := e.stepForeground(fg, invocation.Input{Event: invocation.EventCancel}, nil)
 	if errors.Is(err, invocation.ErrCompleted) {
@@ -183,12 +187,12 @@
 	return fg.view(), nil
 }
 
-// releaseForeground frees the key of a synchronous call that has completed and wakes its waiters. Only its first call
-// has an effect on them.
+// releaseForeground releases the key of a foreground invocation that has completed and wakes the clients that wait for
+// it. Only the first call has an effect.
 func (e *Executor) releaseForeground(fg *foregroundInvocation) {
-	wasOpen := e.foreground.remove(fg.id)
+	wasIncomplete := e.foreground.remove(fg.id)
 	e.reservations.release(fg.reservation)
-	if wasOpen {
+	if wasIncomplete {
 		close(fg.completed)
 	}
 	e.waiters.notify(fg.id)
--- a/internal/invocation/executor/foreground_set.go
+++ b/internal/invocation/executor/foreground_set.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// foregroundSet holds the synchronous calls that have not completed, by their IDs.
+// foregroundSet holds the foreground invocations that have not completed, by ID.
 type foregroundSet struct {
 	mu   sync.Mutex
 	byID map[string]*foregroundInvocation
@@ -14,14 +14,14 @@
 	s.byID[fg.id] = fg
 }
 
-// get returns nil if the call is unknown or has completed.
+// get returns the foreground invocation with the given ID, or nil if the ID is unknown or the invocation has completed.
 func (s *foregroundSet) get(id string) *foregroundInvocation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byID[id]
 }
 
-// remove removes a call and reports whether it was there.
+// remove removes an invocation and reports whether the set contained it.
 func (s *foregroundSet) remove(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/invocation/executor/harness_test.go
+++ b/internal/invocation/executor/harness_test.go
@@ -23,13 +23,13 @@
 	"kitefall/internal/wal"
 )
 
-// The classes of the tests' requests: a reserva must not run twice, a consulta is idempotent.
+// The classes of the tests' requests: a reserva is not idempotent and must not run twice; a consulta is idempotent.
 const (
 	reserva  = "reserva"
 	consulta = "consulta"
 )
 
-// fakeCatalogue has a function for every name but the removed ones.
+// fakeCatalogue contains a function for every name except the removed ones.
 type fakeCatalogue struct{ removed map[string]bool }
 
 func (c *fakeCatalogue) Describe(name string) (Function, bool) {
@@ -52,7 +52,7 @@
 	}, nil
 }
 
-// harness is an executor with a dispatcher of its own, which can be restarted on its store.
+// harness is an executor with its own dispatcher and store. It can be restarted on the same store.
 type harness struct {
 	t           *testing.T
 	path        string
@@ -61,15 +61,15 @@
 	executor    *Executor
 	catalogue   *fakeCatalogue
 	config      schedule.Config
-	disk        *fillingDisk
-	created     time.Time
-	clockOffset time.Duration // of the machine's wall clock against that at created
+	disk        *faultyDisk
+	createdAt   time.Time
+	clockOffset time.Duration // by how much the wall clock was set forward since createdAt; negative: back
 }
 
-// Submit counts the calls that reach the dispatcher.
-func (h *harness) Submit(request *call.Call) (*dispatch.Handle, error) {
+// Submit counts a call and submits it to the dispatcher. It implements Core.
+func (h *harness) Submit(submitted *call.Call) (*dispatch.Handle, error) {
 	h.submissions.Add(1)
-	return h.core.Submit(request)
+	return h.core.Submit(submitted)
 }
 
 func newHarness(t *testing.T, core *dispatch.Core) *harness {
@@ -80,8 +80,8 @@
 		core:      core,
 		catalogue: &fakeCatalogue{removed: map[string]bool{}},
 		config:    schedule.Default(),
-		disk:      &fillingDisk{},
-		created:   time.Now(),
+		disk:      &faultyDisk{},
+		createdAt: time.Now(),
 	}
 	h.config.Classes = map[string]float64{reserva: 2, consulta: 1}
 	h.config.Backoff = 20 * time.Millisecond
@@ -95,7 +95,7 @@
 	return h
 }
 
-// start opens the store and recovers what it holds.
+// start opens the store and recovers its invocations.
 func (h *harness) start() {
 	h.t.Helper()
 	s, err := store.Open(h.path, store.Options{
@@ -104,15 +104,17 @@
 		Durable:        durable.Options{FS: h.disk, SegmentBytes: 256 << 10},
 	})
 	require.NoError(h.t, err)
-	begin := h.created.Add(time.Since(h.created))                            // but for clockOffset the wall clock runs true between two starts
-	clock, err := s.StartClock(begin.Add(h.clockOffset), monotonic.Uptime{}) // as if booted between two starts
+	// Apart from clockOffset, the wall clock advances by the elapsed time. The empty uptime means that the machine was
+	// rebooted between two starts, so that the store's clock follows the wall clock.
+	begin := h.createdAt.Add(time.Since(h.createdAt))
+	clock, err := s.StartClock(begin.Add(h.clockOffset), monotonic.Uptime{})
 	require.NoError(h.t, err)
 	h.executor, err = New(s, h, h.catalogue, h.config, clock)
 	require.NoError(h.t, err)
 	require.NoError(h.t, h.executor.Recover())
 }
 
-// restart closes the executor and starts another one on its store, with a new dispatcher.
+// restart closes the executor and starts another one on the same store, with the given dispatcher.
 func (h *harness) restart(core *dispatch.Core) {
 	h.t.Helper()
 	h.core.Stop()
@@ -121,7 +123,7 @@
 	h.start()
 }
 
-// newRequest returns a request that expires in a minute.
+// newRequest returns a request of tenant a that expires in a minute.
 func (h *harness) newRequest(class, body string) invocation.Request {
 	return invocation.Request{
 		Tenant:      "a",
@@ -144,7 +146,7 @@
 	return view.ID
 }
 
-// wait waits until an invocation has completed.
+// wait waits until an invocation has completed and returns it.
 func (h *harness) wait(id string) View {
 	h.t.Helper()
 	ctx, cancel := context.WithDeadline(context.Background(), fakes.Deadline())
@@ -154,7 +156,7 @@
 	return view
 }
 
-// current returns an invocation as it stands.
+// current returns the current state of an invocation.
 func (h *harness) current(id string) View {
 	h.t.Helper()
 	view, err := h.executor.Wait(cancelledContext, "a", id)
@@ -162,44 +164,44 @@
 	return view
 }
 
-// stalled reports whether the scheduler holds runs back since no worker answers.
+// stalled reports whether the scheduler considers the fleet stalled and starts only probe runs.
 func (h *harness) stalled() bool {
 	stalled := make(chan bool, 1)
 	h.executor.feeder.enqueue(feederMessage{inspect: func(s *schedule.Scheduler) { stalled <- s.Stalled() }})
 	return <-stalled
 }
 
-// scheduled returns how many invocations the scheduler holds.
-func (h *harness) scheduled() int {
+// scheduledCount returns the number of invocations that the scheduler holds, waiting and running.
+func (h *harness) scheduledCount() int {
 	count := make(chan int, 1)
 	h.executor.feeder.enqueue(feederMessage{inspect: func(s *schedule.Scheduler) { count <- s.Running() + s.Waiting() }})
 	return <-count
 }
 
-// fillingDisk is a disk that is full at times.
-type fillingDisk struct {
+// faultyDisk is a disk on which writes to files fail with errDiskFull while full is set.
+type faultyDisk struct {
 	wal.Disk
 	full atomic.Bool
 }
 
 var errDiskFull = errors.New("no space left on device")
 
-func (d *fillingDisk) Create(path string) (wal.File, error) {
+func (d *faultyDisk) Create(path string) (wal.File, error) {
 	file, err := d.Disk.Create(path)
-	return fillingFile{file, d}, err
+	return faultyFile{file, d}, err
 }
 
-func (d *fillingDisk) Open(path string) (wal.File, error) {
+func (d *faultyDisk) Open(path string) (wal.File, error) {
 	file, err := d.Disk.Open(path)
-	return fillingFile{file, d}, err
+	return faultyFile{file, d}, err
 }
 
-type fillingFile struct {
+type faultyFile struct {
 	wal.File
-	disk *fillingDisk
+	disk *faultyDisk
 }
 
-func (f fillingFile) WriteAt(data []byte, offset int64) (int, error) {
+func (f faultyFile) WriteAt(data []byte, offset int64) (int, error) {
 	if f.disk.full.Load() {
 		return 0, errDiskFull
 	}
--- a/internal/invocation/executor/invoke.go
+++ b/internal/invocation/executor/invoke.go
@@ -10,9 +10,10 @@
 	"kitefall/internal/schedule"
 )
 
-// Invoke runs a request at once and returns it once it has completed, or as it stands when ctx is done. If its
-// Idempotency-Key belongs to an invocation already, Invoke waits for that one. It fails with ErrNotFound for an unknown
-// function, with ErrKeyReused and with ErrStorage.
+// Invoke runs a request at once, as a synchronous invocation. It returns the invocation once it has completed, or in its
+// current state when ctx is done. If the request's Idempotency-Key already belongs to another invocation, Invoke runs
+// nothing and waits for that invocation. It fails with ErrNotFound for an unknown function, with ErrKeyReused, and with
+// ErrStorage.
 func (e *Executor) Invoke(ctx context.Context, request invocation.Request) (View, error) {
 	request.Deferred = false
 	coreCall, err := e.catalogue.Call(&request)
@@ -20,14 +21,14 @@
 		return View{}, invocation.ErrNotFound
 	}
 	now := e.clock.Now()
-	own, other, err := e.reservations.reserve(&request)
+	own, holder, err := e.reservations.reserve(&request)
 	switch {
 	case err != nil:
 		return View{}, err
-	case other != nil && other.foreground != nil:
-		return other.foreground.wait(ctx)
-	case other != nil:
-		return e.Wait(ctx, request.Tenant, other.storedID)
+	case holder != nil && holder.foreground != nil:
+		return holder.foreground.wait(ctx)
+	case holder != nil:
+		return e.Wait(ctx, request.Tenant, holder.storedID)
 	}
 	existing, err := e.store.FindByKey(&request, now)
 	if err != nil {
@@ -41,12 +42,13 @@
 	inv := invocation.New(rand.Text(), request, now)
 	fg := newForeground(inv, own)
 	e.foreground.add(fg)
-	e.reservations.settleForeground(own, fg) // from here on others may ask for it by its ID
+	e.reservations.settleForeground(own, fg) // from here on, requests with the same key return its ID
 	e.submitForeground(fg, inv, coreCall)
 	return e.waitForeground(ctx, fg, inv.Ephemeral)
 }
 
-// submitForeground submits a synchronous call to the dispatcher. The invocation is the one that was accepted.
+// submitForeground submits the call of a foreground invocation to the dispatcher. inv is the invocation as it was
+// accepted; fg.invocation may have changed since.
 func (e *Executor) submitForeground(fg *foregroundInvocation, inv *invocation.Invocation, coreCall *call.Call) {
 	coreCall.ID = mathrand.Uint64()
 	coreCall.Deadline = e.clock.Machine(inv.Expires)
@@ -55,7 +57,7 @@
 	}
 	coreCall.Done = func(answer call.Answer) {
 		e.feeder.send(schedule.ForegroundEvent{Rejected: answer.Outcome == call.Rejected})
-		if inv.Ephemeral { // it is never stored, so the dispatcher's goroutine need not wait for the disk
+		if inv.Ephemeral { // never stored, so the dispatcher's goroutine does not wait for the disk here
 			e.completeForeground(fg, answer)
 			return
 		}
@@ -71,8 +73,8 @@
 	}
 }
 
-// waitForeground waits for a synchronous call. An ephemeral one is cancelled once ctx is done, since nobody can ask for
-// it later.
+// waitForeground waits until a foreground invocation has completed or ctx is done. An ephemeral invocation is cancelled
+// when ctx is done, since no client can look it up later.
 func (e *Executor) waitForeground(ctx context.Context, fg *foregroundInvocation, ephemeral bool) (View, error) {
 	view, err := fg.wait(ctx)
 	incomplete := view.Invocation != nil && view.State != invocation.StateCompleted
--- a/internal/invocation/executor/outage_test.go
+++ b/internal/invocation/executor/outage_test.go
@@ -16,23 +16,24 @@
 	"kitefall/internal/invocation"
 )
 
-// The parameters of the outage test.
+// The parameters of TestFleetReturnsEmptyAfterOutage.
 const (
-	outageInvocations = 5000
-	outageFunctions   = 40
-	outageLoadBurst   = 6
-	outageLoadRatio   = 0.15
-
-	// outageWork is how long a call takes. A worker that keeps silent for ten times the mean answer time is taken for lost: that is
-	// to be longer than a busy machine holds up the process of the test.
-	outageWork = 4 * time.Millisecond
-
-	// maxOutageRepeats bounds the repeated runs of consultas. One may run again where its worker keeps silent, as on a
-	// busy machine, and no more of them than the balancer allows itself at once.
+	outageInvocations = 5000 // deferred invocations that wait for the fleet
+	outageFunctions   = 40   // functions among which the invocations are distributed
+	outageLoadBurst   = 6    // LoadBurst of the balancer
+	outageLoadRatio   = 0.15 // LoadRatio of the balancer
+
+	// outageCallDuration is how long a worker takes for a call. The balancer ejects a worker that is silent for ten mean
+	// answer times. The duration is long enough for this limit to exceed the time for which a busy machine suspends the
+	// test process.
+	outageCallDuration = 4 * time.Millisecond
+
+	// maxOutageRepeats bounds the repeated runs of consultas. A consulta may run again if its worker is silent for too
+	// long, as on a busy machine. The bound is the number of retries and hedged requests that the balancer allows at once.
 	maxOutageRepeats = 20
 )
 
-// answerCounter counts the answered runs of each body.
+// answerCounter counts the answers that workers have sent, by the body of the call.
 type answerCounter struct {
 	mu     sync.Mutex
 	byBody map[string]int
@@ -44,18 +45,19 @@
 	c.byBody[body]++
 }
 
-// The whole fleet is gone and comes back empty with 5,000 invocations waiting: all are served, no more loads are
-// ordered than the load budget allows at any moment, and synchronous calls go on being served.
+// The whole fleet is unavailable, then returns without any loaded function while 5,000 deferred invocations wait. All of
+// them must be served, load orders must stay within the load budget throughout, and at least 95% of the synchronous
+// invocations made meanwhile must be served.
 func TestFleetReturnsEmptyAfterOutage(t *testing.T) {
 	settings := fakes.Settings()
 	settings.LoadWindow = 10 * time.Second
 	settings.LoadBurst = outageLoadBurst
 	settings.LoadRatio = outageLoadRatio
 	h := newHarness(t, fakes.NewCoreWithSettings(t, settings))
-	ids := submitForOutage(h)
+	ids := submitBacklog(h)
 	require.Eventually(t, h.stalled, 10*time.Second, 5*time.Millisecond)
-	submittedDuringOutage := h.submissions.Load()
-	assert.Less(t, submittedDuringOutage, int64(200), "a stalled fleet is probed, not stormed")
+	callsDuringOutage := h.submissions.Load()
+	assert.Less(t, callsDuringOutage, int64(200), "a stalled fleet must only be probed")
 
 	answers := &answerCounter{byBody: map[string]int{}}
 	workers := startEmptyWorkers(t, answers)
@@ -64,7 +66,7 @@
 	defer cancel()
 	served, invoked, incomplete := 0, 0, ids
 	for len(incomplete) > 0 && ctx.Err() == nil {
-		if invokeDuringOutage(ctx, h, invoked) {
+		if invokeDuringRecovery(ctx, h, invoked) {
 			served++
 		}
 		invoked++
@@ -73,12 +75,12 @@
 	}
 	require.Empty(t, incomplete)
 	requireFewRepeats(t, answers)
-	t.Logf("%d calls during the outage; then %d of %d synchronous calls served", submittedDuringOutage, served, invoked)
+	t.Logf("%d calls during the outage; then %d of %d synchronous invocations served", callsDuringOutage, served, invoked)
 	assert.GreaterOrEqual(t, float64(served), 0.95*float64(invoked))
 }
 
-// submitForOutage submits the invocations, every second one a consulta, and returns their IDs.
-func submitForOutage(h *harness) []string {
+// submitBacklog submits the deferred invocations, alternately of both classes, and returns their IDs.
+func submitBacklog(h *harness) []string {
 	const submitters = 50
 	ids := make([]string, outageInvocations)
 	var submitting sync.WaitGroup
@@ -96,7 +98,7 @@
 	return ids
 }
 
-// startEmptyWorkers starts workers that have no function loaded.
+// startEmptyWorkers starts three workers that have no function loaded and serve every call after outageCallDuration.
 func startEmptyWorkers(t *testing.T, answers *answerCounter) []*fakes.Worker {
 	t.Helper()
 	var workers []*fakes.Worker
@@ -104,7 +106,7 @@
 		worker := fakes.NewWorker(t)
 		worker.UnloadAll()
 		worker.Serve(func(c *fakes.Call) {
-			time.Sleep(outageWork)
+			time.Sleep(outageCallDuration)
 			answers.add(c.Body)
 			c.OK(c.Body)
 		})
@@ -113,8 +115,8 @@
 	return workers
 }
 
-// invokeDuringOutage makes a synchronous call and reports whether it was served.
-func invokeDuringOutage(ctx context.Context, h *harness, number int) bool {
+// invokeDuringRecovery makes a synchronous invocation and reports whether it was served.
+func invokeDuringRecovery(ctx context.Context, h *harness, number int) bool {
 	h.t.Helper()
 	request := h.newRequest(consulta, fmt.Sprintf("now %d", number))
 	request.Function = "f1"
@@ -124,6 +126,8 @@
 	return view.Outcome == invocation.OutcomeServed
 }
 
+// requireLoadBudget checks that the workers have received at most outageLoadBurst load orders, plus outageLoadRatio for each
+// call submitted so far, plus one.
 func requireLoadBudget(h *harness, workers []*fakes.Worker) {
 	h.t.Helper()
 	loads := 0
@@ -134,7 +138,8 @@
 	require.LessOrEqual(h.t, float64(loads), budget)
 }
 
-// dropServed removes the served invocations from the end of the list, up to one that has not completed.
+// dropServed removes completed invocations from the end of the list, up to the first that is incomplete, and returns the
+// rest. A completed invocation must have been served.
 func dropServed(h *harness, ids []string) []string {
 	h.t.Helper()
 	for len(ids) > 0 {
@@ -150,7 +155,8 @@
 	return ids
 }
 
-// requireFewRepeats checks that no reserva ran twice and few consultas did.
+// requireFewRepeats checks that no deferred reserva was answered twice, and that the repeated answers to deferred
+// consultas number at most maxOutageRepeats.
 func requireFewRepeats(t *testing.T, answers *answerCounter) {
 	t.Helper()
 	answers.mu.Lock()
@@ -166,6 +172,6 @@
 		require.True(t, isConsulta || count == 1, "%s, a reserva, was answered %d times", body, count)
 		repeats += count - 1
 	}
-	t.Log("repeats", repeats)
+	t.Log("repeated answers", repeats)
 	require.LessOrEqual(t, repeats, maxOutageRepeats)
 }
--- a/internal/invocation/executor/run.go
+++ b/internal/invocation/executor/run.go
@@ -13,28 +13,28 @@
 	"kitefall/internal/schedule"
 )
 
-// The bounds of the advice that a rejected client is given when to retry.
+// The bounds of the retry delay that a rejected client is given.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
 
-// startRun starts a run that the scheduler has decided on.
+// startRun executes a StartRun action of the scheduler.
 func (e *Executor) startRun(id string) {
 	inv, err := e.prepareRun(id)
 	if err != nil {
 		e.abortRun(id, err)
 		return
 	}
-	request, err := e.catalogue.Call(&inv.Request)
-	if err != nil { // the function was removed from the catalogue a moment ago
+	coreCall, err := e.catalogue.Call(&inv.Request)
+	if err != nil { // the function was removed from the catalogue after the run had been scheduled
 		e.completeRun(inv, call.Answer{Outcome: call.Rejected})
 		return
 	}
-	e.submitRun(inv, request)
+	e.submitRun(inv, coreCall)
 }
 
-// prepareRun applies EventSubmit and returns the invocation with its body.
+// prepareRun applies EventSubmit to an invocation and returns it with its body.
 func (e *Executor) prepareRun(id string) (*invocation.Invocation, error) {
 	body, err := e.store.Body(id)
 	if err != nil {
@@ -48,17 +48,19 @@
 	return inv, nil
 }
 
-// abortRun tells the scheduler that a run could not be started. An invocation that still waits is scheduled again.
+// abortRun reports to the scheduler that a run could not be started. An invocation that may still be waiting is scheduled
+// again after storeRetryDelay.
 func (e *Executor) abortRun(id string, cause error) {
 	e.feeder.send(schedule.RunAbortedEvent{ID: id})
-	stillWaits := errors.Is(cause, invocation.ErrStorage) || errors.Is(cause, invocation.ErrInvalidTransition)
-	if stillWaits {
+	mayStillWait := errors.Is(cause, invocation.ErrStorage) || errors.Is(cause, invocation.ErrInvalidTransition)
+	if mayStillWait {
 		slog.Error("tickets: not run yet", "ticket", id, "err", cause)
 		e.retryLater(func() { e.reschedule(id) })
 	}
 }
 
-// reschedule hands an invocation to the scheduler again, if it still waits.
+// reschedule adds an invocation to the scheduler again if it is still waiting. If the store cannot be read, reschedule is
+// retried later.
 func (e *Executor) reschedule(id string) {
 	inv, err := e.store.Get(id)
 	switch {
@@ -69,7 +71,7 @@
 	}
 }
 
-// schedule hands a waiting invocation to the scheduler, unless its function is no longer in the catalogue.
+// schedule adds a waiting invocation to the scheduler, unless its function is no longer in the catalogue.
 func (e *Executor) schedule(inv *invocation.Invocation) {
 	if function, ok := e.catalogue.Describe(inv.Function); ok {
 		e.feeder.send(schedule.AddEvent{Job: newJob(inv, function)})
@@ -77,22 +79,22 @@
 }
 
 // submitRun submits the call of a run to the dispatcher.
-func (e *Executor) submitRun(inv *invocation.Invocation, request *call.Call) {
-	// Each run has an ID of its own: an answer to an earlier run may still arrive.
-	request.ID = mathrand.Uint64()
-	request.Deadline = e.clock.Machine(e.runDeadline(inv))
+func (e *Executor) submitRun(inv *invocation.Invocation, coreCall *call.Call) {
+	// Each run has its own call ID, since an answer to an earlier run may still arrive.
+	coreCall.ID = mathrand.Uint64()
+	coreCall.Deadline = e.clock.Machine(e.runDeadline(inv))
 	if !inv.Idempotent {
-		request.BeforeFirstAttempt = func() error { return e.persistStart(inv.ID) }
+		coreCall.BeforeFirstAttempt = func() error { return e.persistStart(inv.ID) }
 	}
-	request.Done = func(answer call.Answer) {
+	coreCall.Done = func(answer call.Answer) {
 		failpoint.Hit("run-ended")
 		// The dispatcher's goroutine must not wait for the disk.
 		e.goroutines.Go(func() { e.completeRun(inv, answer) })
 	}
 	run := e.runs.add(inv.ID)
-	handle, err := e.core.Submit(request)
+	handle, err := e.core.Submit(coreCall)
 	if err != nil {
-		request.Done(call.Answer{Outcome: call.Rejected})
+		coreCall.Done(call.Answer{Outcome: call.Rejected})
 		return
 	}
 	if cancelled := run.setHandle(handle); cancelled {
@@ -100,7 +102,7 @@
 	}
 }
 
-// runDeadline returns when a run that starts now must end.
+// runDeadline returns the time by which a run that starts now must end.
 func (e *Executor) runDeadline(inv *invocation.Invocation) time.Time {
 	deadline := e.clock.Now().Add(inv.RunTimeout)
 	if inv.Expires.Before(deadline) {
@@ -109,15 +111,15 @@
 	return deadline
 }
 
-// persistStart stores that an attempt may have been written. The attempt is not sent if it fails.
+// persistStart stores that an attempt may have been written to a worker. If persistStart fails, the attempt is not sent.
 func (e *Executor) persistStart(id string) error {
 	_, _, err := e.store.Apply(id, invocation.Input{Event: invocation.EventStart}, nil, e.clock.Now())
 	failpoint.Hit("marked")
 	return err
 }
 
-// cancelRun cancels the run in progress of an invocation that has completed. If its call is still on its way to the
-// dispatcher, submitRun cancels it.
+// cancelRun cancels the run in progress, if any, of an invocation that has completed. If the dispatcher has not returned
+// the run's handle yet, submitRun cancels the run.
 func (e *Executor) cancelRun(id string) {
 	run := e.runs.get(id)
 	if run == nil {
@@ -128,15 +130,17 @@
 	}
 }
 
-// abandonRun cancels a run at the dispatcher, which does not report its end, and frees its place in the scheduler.
+// abandonRun cancels a run at the dispatcher and frees its place in the scheduler with a RunAbortedEvent, since the
+// dispatcher does not report the end of a cancelled call.
 func (e *Executor) abandonRun(id string, handle *dispatch.Handle) {
 	handle.Cancel()
 	e.runs.remove(id)
 	e.feeder.send(schedule.RunAbortedEvent{ID: id})
 }
 
-// completeRun stores the end of a run, and tries again until the store accepts it: an outcome told from memory could
-// differ from the one that the next start of the program finds.
+// completeRun stores the end of a run and retries until the store accepts it or the executor is closed. Clients do not
+// get the outcome before it is stored: an outcome in memory alone could differ from the one found after a restart of the
+// program.
 func (e *Executor) completeRun(inv *invocation.Invocation, answer call.Answer) {
 	e.runs.remove(inv.ID)
 	input := inputFor(answer)
@@ -147,7 +151,7 @@
 		if !errors.Is(err, invocation.ErrStorage) {
 			failpoint.Hit("after-end")
 			if err == nil {
-				e.carryOut(updated, effects)
+				e.executeEffects(updated, effects)
 			}
 			return
 		}
@@ -158,8 +162,8 @@
 	}
 }
 
-// carryOut carries out the effects of a run's end, once it is stored.
-func (e *Executor) carryOut(inv *invocation.Invocation, effects invocation.Effects) {
+// executeEffects executes the effects of the end of a run, which must be stored already.
+func (e *Executor) executeEffects(inv *invocation.Invocation, effects invocation.Effects) {
 	if effects.Has(invocation.EffectSchedule) {
 		e.schedule(inv)
 	}
@@ -168,7 +172,7 @@
 	}
 }
 
-// inputFor translates the dispatcher's answer for the invocation's state machine.
+// inputFor converts the dispatcher's answer to an input of the invocation's state machine.
 func inputFor(answer call.Answer) invocation.Input {
 	input := invocation.Input{
 		Event:            invocation.EventRejected,
--- a/internal/invocation/executor/run_set.go
+++ b/internal/invocation/executor/run_set.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// runSet holds the runs in progress of stored invocations, by the IDs of these.
+// runSet holds the runs in progress of deferred invocations, by invocation ID.
 type runSet struct {
 	mu   sync.Mutex
 	byID map[string]*submission
 }
 
-// add adds a run, which is about to be submitted.
+// add adds the run of an invocation. The caller is about to submit the run to the dispatcher.
 func (s *runSet) add(id string) *submission {
 	run := &submission{}
 	s.mu.Lock()
@@ -17,14 +17,14 @@
 	return run
 }
 
-// get returns nil if the invocation has no run in progress.
+// get returns the run in progress of an invocation, or nil if there is none.
 func (s *runSet) get(id string) *submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byID[id]
 }
 
-// remove forgets the run of an invocation.
+// remove removes the run of an invocation.
 func (s *runSet) remove(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/invocation/executor/submission.go
+++ b/internal/invocation/executor/submission.go
@@ -7,14 +7,15 @@
 )
 
 // submission is a call that is submitted to the dispatcher and may be cancelled before the dispatcher has returned its
-// handle. Whichever comes second, setHandle or markCancelled, learns of the other: its caller cancels the handle.
+// handle. Whichever of setHandle and markCancelled is called second tells its caller about the first; that caller then
+// cancels the handle.
 type submission struct {
 	mu        sync.Mutex
 	handle    *dispatch.Handle
 	cancelled bool
 }
 
-// setHandle sets the dispatcher's handle and reports whether the call was cancelled before.
+// setHandle sets the dispatcher's handle and reports whether the call has been cancelled already.
 func (s *submission) setHandle(handle *dispatch.Handle) (cancelled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/invocation/executor/submit.go
+++ b/internal/invocation/executor/submit.go
@@ -9,23 +9,24 @@
 	"kitefall/internal/schedule"
 )
 
-// Submit stores a request and has it run when the scheduler decides so. If its Idempotency-Key belongs to an invocation
-// already, Submit returns that one as it stands. It fails with ErrNotFound for an unknown function, with ErrKeyReused,
-// and with the errors of store.Create.
+// Submit stores a request as a deferred invocation, which runs when the scheduler starts it. If the request's
+// Idempotency-Key already belongs to another invocation, Submit stores nothing and returns that invocation in its
+// current state. It fails with ErrNotFound for an unknown function, with ErrKeyReused, and with the errors of
+// store.Create.
 func (e *Executor) Submit(request invocation.Request) (View, error) {
 	request.Deferred = true
 	function, ok := e.catalogue.Describe(request.Function)
 	if !ok {
 		return View{}, invocation.ErrNotFound
 	}
-	own, other, err := e.reservations.reserve(&request)
+	own, holder, err := e.reservations.reserve(&request)
 	switch {
 	case err != nil:
 		return View{}, err
-	case other != nil && other.foreground != nil:
-		return other.foreground.view(), nil
-	case other != nil:
-		return e.Wait(cancelledContext, request.Tenant, other.storedID)
+	case holder != nil && holder.foreground != nil:
+		return holder.foreground.view(), nil
+	case holder != nil:
+		return e.Wait(cancelledContext, request.Tenant, holder.storedID)
 	}
 	now := e.clock.Now()
 	inv := invocation.New(rand.Text(), request, now)
@@ -61,8 +62,8 @@
 	return successor, err
 }
 
-// newJob returns an invocation as the scheduler knows it. There may be very many jobs of few tenants and classes, so
-// they share the memory of these names.
+// newJob returns the scheduler's job for an invocation. The strings of tenants and classes are interned, since there may
+// be very many jobs of few tenants and classes.
 func newJob(inv *invocation.Invocation, function Function) schedule.Job {
 	return schedule.Job{
 		ID:        inv.ID,
--- a/internal/invocation/executor/wait.go
+++ b/internal/invocation/executor/wait.go
@@ -8,15 +8,15 @@
 	"kitefall/internal/schedule"
 )
 
-// cancelledContext is done already: Wait returns with it how an invocation stands.
+// cancelledContext is a context that is done. With it, Wait returns the current state of an invocation at once.
 var cancelledContext = func() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }()
 
-// Wait returns an invocation of the tenant once it has completed, or as it stands when ctx is done. It fails with
-// ErrNotFound, also for an invocation of another tenant, with ErrExpired and with ErrStorage.
+// Wait returns an invocation of the tenant once it has completed, or in its current state when ctx is done. It fails with
+// ErrNotFound, also for an invocation of another tenant, with ErrExpired, and with ErrStorage.
 func (e *Executor) Wait(ctx context.Context, tenant, id string) (View, error) {
 	if fg := e.foreground.get(id); fg != nil {
 		if fg.tenant != tenant {
@@ -24,10 +24,10 @@
 		}
 		return fg.wait(ctx)
 	}
-	// Watching starts before the state is read, so that no completion is missed.
+	// The watch starts before the state is read: a completion between the two would otherwise be missed.
 	completed, stop := e.waiters.watch(id)
 	defer stop()
-	inv, err := e.storedOf(tenant, id)
+	inv, err := e.getForTenant(tenant, id)
 	if err != nil {
 		return View{Invocation: inv}, err
 	}
@@ -38,14 +38,15 @@
 	case <-completed:
 	case <-ctx.Done():
 	}
-	if inv, err = e.storedOf(tenant, id); err != nil {
+	if inv, err = e.getForTenant(tenant, id); err != nil {
 		return View{Invocation: inv}, err
 	}
 	return e.storedView(inv)
 }
 
-// Cancel completes an invocation for its owner and cancels its run. An outcome that came first stays. It fails with
-// ErrNotFound, also for an invocation of another tenant, with ErrExpired and with ErrStorage.
+// Cancel completes an invocation of the tenant as cancelled and cancels its run in progress. If the invocation has
+// completed already, its outcome does not change. Cancel fails with ErrNotFound, also for an invocation of another
+// tenant, with ErrExpired, and with ErrStorage.
 func (e *Executor) Cancel(tenant, id string) (View, error) {
 	if fg := e.foreground.get(id); fg != nil {
 		if fg.tenant != tenant {
@@ -53,7 +54,7 @@
 		}
 		return e.cancelForeground(fg)
 	}
-	if _, err := e.storedOf(tenant, id); err != nil {
+	if _, err := e.getForTenant(tenant, id); err != nil {
 		return View{}, err
 	}
 	inv, effects, err := e.store.Apply(id, invocation.Input{Event: invocation.EventCancel}, nil, e.clock.Now())
@@ -71,8 +72,8 @@
 	return e.storedView(inv)
 }
 
-// storedOf reads an invocation of the tenant from the store. To other tenants it does not exist.
-func (e *Executor) storedOf(tenant, id string) (*invocation.Invocation, error) {
+// getForTenant reads an invocation from the store. It fails with ErrNotFound if the invocation belongs to another tenant.
+func (e *Executor) getForTenant(tenant, id string) (*invocation.Invocation, error) {
 	inv, err := e.store.Get(id)
 	if inv != nil && inv.Tenant == tenant {
 		return inv, err
@@ -83,7 +84,7 @@
 	return nil, invocation.ErrNotFound
 }
 
-// storedView adds its result to a stored invocation.
+// storedView returns a stored invocation together with its result, if it was served.
 func (e *Executor) storedView(inv *invocation.Invocation) (View, error) {
 	view := View{Invocation: inv, Durable: true}
 	if inv.Outcome != invocation.OutcomeServed {
--- a/internal/invocation/executor/waiters.go
+++ b/internal/invocation/executor/waiters.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// waiterSet wakes the clients that wait for the outcome of stored invocations.
+// waiterSet holds the clients that wait for the outcomes of stored invocations, and wakes them.
 type waiterSet struct {
 	mu   sync.Mutex
 	byID map[string]*waiter
@@ -11,7 +11,7 @@
 // waiter is shared by all clients that wait for one invocation.
 type waiter struct {
 	completed chan struct{} // closed once the invocation has completed
-	clients   int
+	clients   int           // clients that wait
 }
 
 // watch returns a channel that is closed once the invocation has completed. The caller must call stop when it no longer
@@ -28,6 +28,7 @@
 	return w.completed, func() { s.release(id, w) }
 }
 
+// release ends the wait of one client. The last client removes the waiter.
 func (s *waiterSet) release(id string, w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +38,7 @@
 	}
 }
 
-// notify wakes the clients that wait for an invocation. Its outcome must be stored by then.
+// notify wakes the clients that wait for an invocation. The invocation's outcome must be stored already.
 func (s *waiterSet) notify(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
