--- a/internal/invocation/executor/harness_test.go
+++ b/internal/invocation/executor/harness_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// submit submits a deferred request and returns its ID.
+// submit submits a deferred request and returns the ID of its invocation.
 func (h *harness) submit(request invocation.Request) string {
 	h.t.Helper()
 	view, err := h.executor.Submit(request)
--- a/internal/invocation/executor/invoke.go
+++ b/internal/invocation/executor/invoke.go
@@ -42,7 +42,7 @@
 	inv := invocation.New(rand.Text(), request, now)
 	fg := newForeground(inv, own)
 	e.foreground.add(fg)
-	e.reservations.settleForeground(own, fg) // from here on, requests with the same key return its ID
+	e.reservations.settleForeground(own, fg) // from here on, clients may learn its ID and look it up
 	e.submitForeground(fg, inv, coreCall)
 	return e.waitForeground(ctx, fg, inv.Ephemeral)
 }
@@ -57,7 +57,7 @@
 	}
 	coreCall.Done = func(answer call.Answer) {
 		e.feeder.send(schedule.ForegroundEvent{Rejected: answer.Outcome == call.Rejected})
-		if inv.Ephemeral { // never stored, so the dispatcher's goroutine does not wait for the disk here
+		if inv.Ephemeral { // never stored, so the dispatcher's goroutine does not wait for the disk
 			e.completeForeground(fg, answer)
 			return
 		}
