--- a/internal/schedule/backoff.go
+++ b/internal/schedule/backoff.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// maxBackoffDoublings keeps the bound of the backoff finite.
+// maxBackoffDoublings caps the exponent of the backoff, so that the computed bound stays finite for any number of runs.
 const maxBackoffDoublings = 30
 
-// backoff draws the pauses between the runs of a job, with full jitter: jobs that were rejected together do not come
-// back together.
+// backoff computes the pauses between the runs of a job: exponential backoff with full jitter, so that jobs rejected at
+// the same time are not all retried at the same time.
 type backoff struct {
-	base   time.Duration
-	max    time.Duration
+	base   time.Duration // upper bound of the pause after the first run
+	max    time.Duration // upper bound of every pause
 	random *rand.Rand
 }
 
-// pause returns a random pause after so many runs, from 0 to a bound that doubles with each run.
+// pause returns a random pause for a job that has run the given number of times, at least 1. The pause is at least 0 and
+// below a bound that doubles with each run, up to max.
 func (b *backoff) pause(runs int) time.Duration {
 	doublings := min(runs-1, maxBackoffDoublings)
 	bound := float64(b.base) * math.Pow(2, float64(doublings))
--- a/internal/schedule/batching_test.go
+++ b/internal/schedule/batching_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleetModel is a small model of what loads cost. It has room for so many copies and unloads the one that was idle
-// for longest; a copy that was idle for longer than idleTTL is gone. A load takes a while, and so does a run.
+// fleetModel models the cost of loads. The fleet holds at most capacity loaded copies, one per function, and unloads the
+// least recently used copy to make room. A copy that has been idle for longer than idleTTL is unloaded too.
 type fleetModel struct {
 	capacity int
 	idleTTL  time.Duration
 	loadTime time.Duration
 	runTime  time.Duration
-	lastUsed map[string]time.Time // by the function of the copy
-	loads    int
+	lastUsed map[string]time.Time // end of the last run, by function of the copy
+	loads    int                  // number of loads so far
 }
 
 func newFleetModel() *fleetModel {
@@ -32,7 +32,7 @@
 	}
 }
 
-// run returns how long a run of the function takes.
+// run runs the function, loads a copy if necessary, and returns how long the run takes, including the load.
 func (f *fleetModel) run(function string, now time.Time) time.Duration {
 	elapsed := f.runTime
 	if used, ok := f.lastUsed[function]; !ok || now.Sub(used) > f.idleTTL {
@@ -46,8 +46,8 @@
 	return elapsed
 }
 
-// leastRecentlyUsed returns the function whose copy was idle for longest; of several, the first by name, so that
-// equal jobs always cause equal loads.
+// leastRecentlyUsed returns the function whose copy has been idle for longest. Among equals it returns the first by name,
+// so that equal jobs always cause equal loads.
 func (f *fleetModel) leastRecentlyUsed() string {
 	oldest := ""
 	for name, used := range f.lastUsed {
@@ -59,13 +59,13 @@
 	return oldest
 }
 
-// runEnd is the end of a run that is in flight.
+// runEnd is the time at which a run in flight will end, with the ID of its job.
 type runEnd struct {
 	at time.Time
 	id string
 }
 
-// runEnds is a heap, the next end first.
+// runEnds is a heap of run ends, the earliest first.
 type runEnds []runEnd
 
 func (e runEnds) Len() int           { return len(e) }
@@ -79,7 +79,8 @@
 	return last
 }
 
-// zipfArrivals draws jobs of 200 functions by Zipf's law, at a rate per second, for five minutes.
+// zipfArrivals generates the jobs of five minutes, which arrive as a Poisson process with the given rate per second. Their
+// functions are drawn from 200 by Zipf's law.
 func zipfArrivals(seed uint64, rate float64) []Job {
 	const functions = 200
 	const seconds = 300
@@ -92,10 +93,10 @@
 	}
 	var jobs []Job
 	for at := 0.0; at < seconds; at += random.ExpFloat64() / rate {
-		rest := random.Float64() * sum
+		remaining := random.Float64() * sum
 		function := 0
-		for function < functions-1 && rest > weights[function] {
-			rest -= weights[function]
+		for function < functions-1 && remaining > weights[function] {
+			remaining -= weights[function]
 			function++
 		}
 		arrival := noon.Add(time.Duration(at * float64(time.Second)))
@@ -112,39 +113,39 @@
 	return jobs
 }
 
-// outcome is what a policy came to.
-type outcome struct {
+// runStats holds the statistics of the runs under one scheduling policy.
+type runStats struct {
 	loads     int
 	runs      int
-	totalWait time.Duration // from arrival to the start of the run
+	totalWait time.Duration // sum of the times from the arrival of a job to the start of its run
 	maxWait   time.Duration
 }
 
-func (o *outcome) addRun(wait time.Duration) {
-	o.runs++
-	o.totalWait += wait
-	o.maxWait = max(o.maxWait, wait)
+func (s *runStats) addRun(wait time.Duration) {
+	s.runs++
+	s.totalWait += wait
+	s.maxWait = max(s.maxWait, wait)
 }
 
-func (o *outcome) add(other outcome) {
-	o.loads += other.loads
-	o.runs += other.runs
-	o.totalWait += other.totalWait
-	o.maxWait = max(o.maxWait, other.maxWait)
+func (s *runStats) add(other runStats) {
+	s.loads += other.loads
+	s.runs += other.runs
+	s.totalWait += other.totalWait
+	s.maxWait = max(s.maxWait, other.maxWait)
 }
 
-func (o *outcome) meanWait() time.Duration { return o.totalWait / time.Duration(o.runs) }
+func (s *runStats) meanWait() time.Duration { return s.totalWait / time.Duration(s.runs) }
 
-func (o *outcome) loadsPer100Runs() float64 { return 100 * float64(o.loads) / float64(o.runs) }
+func (s *runStats) loadsPer100Runs() float64 { return 100 * float64(s.loads) / float64(s.runs) }
 
-func (o *outcome) String() string {
-	return fmt.Sprintf("%.1f loads for 100 runs, mean wait %v, longest %v", o.loadsPer100Runs(),
-		o.meanWait().Round(time.Millisecond), o.maxWait.Round(time.Millisecond))
+func (s *runStats) String() string {
+	return fmt.Sprintf("%.1f loads per 100 runs, mean wait %v, longest wait %v", s.loadsPer100Runs(),
+		s.meanWait().Round(time.Millisecond), s.maxWait.Round(time.Millisecond))
 }
 
-// runInOrderOfArrival runs the jobs in the order of their arrival, up to a concurrency.
-func runInOrderOfArrival(jobs []Job, concurrency int) outcome {
-	var result outcome
+// runInOrderOfArrival runs the jobs on a fleet model in the order of their arrival, at most concurrency at a time.
+func runInOrderOfArrival(jobs []Job, concurrency int) runStats {
+	var result runStats
 	fleet := newFleetModel()
 	freeAt := make([]time.Time, concurrency)
 	for _, job := range jobs {
@@ -162,16 +163,16 @@
 	return result
 }
 
-// scheduledFleet lets a scheduler run jobs on a fleet model, in simulated time.
+// scheduledFleet runs the jobs that a scheduler starts on a fleet model, in simulated time.
 type scheduledFleet struct {
 	scheduler *Scheduler
 	fleet     *fleetModel
 	now       time.Time
-	timer     time.Time // zero: none is set
-	jobs      map[string]Job
-	startedAt map[string]time.Time
+	timer     time.Time            // zero: no timer is set
+	jobs      map[string]Job       // by ID
+	startedAt map[string]time.Time // start of the run, by ID of the job
 	inFlight  runEnds
-	result    outcome
+	result    runStats
 }
 
 func (s *scheduledFleet) handle(e Event) {
@@ -189,8 +190,8 @@
 	}
 }
 
-// step carries out what comes next: an arrival, the end of a run or the timer. It reports false if nothing comes, and
-// returns the jobs that have not arrived yet.
+// step advances the time to the next arrival, end of a run or timer and handles it. It returns the jobs that have not
+// arrived yet, and false if there was nothing to handle.
 func (s *scheduledFleet) step(arrivals []Job) (remaining []Job, ok bool) {
 	var next earliestTime
 	if len(arrivals) > 0 {
@@ -219,8 +220,8 @@
 	return arrivals, true
 }
 
-// runScheduled runs the jobs in the order of the scheduler.
-func runScheduled(t *testing.T, jobs []Job, c Config) outcome {
+// runScheduled runs the jobs on a fleet model in the order that the scheduler decides.
+func runScheduled(t *testing.T, jobs []Job, c Config) runStats {
 	t.Helper()
 	scheduler, err := New(c, 1, noon)
 	if err != nil {
@@ -237,21 +238,21 @@
 	for s.result.runs < len(jobs) || s.inFlight.Len() > 0 {
 		var ok bool
 		if arrivals, ok = s.step(arrivals); !ok {
-			t.Fatalf("%d of %d have run and nothing is to come", s.result.runs, len(jobs))
+			t.Fatalf("only %d of %d jobs have run, but no arrival, end of a run or timer is pending", s.result.runs, len(jobs))
 		}
 	}
 	s.result.loads = s.fleet.loads
 	return s.result
 }
 
-// Runs of one function are batched, so that one load serves many: there are at most a third of the loads that the
-// order of arrival needs. What that costs in waiting is logged.
+// The scheduler batches the jobs of a function, so that one load serves many runs: it must cause at most a third of the
+// loads of running the jobs in order of arrival. The test logs the waiting times of both policies.
 func TestBatchingSavesLoads(t *testing.T) {
 	for _, rate := range []float64{10, 30, 60} {
 		t.Run(fmt.Sprintf("%.0f per second", rate), func(t *testing.T) {
 			c := testConfig()
 			c.MaxConcurrency = 24
-			var inOrder, batched outcome
+			var inOrder, batched runStats
 			for seed := range uint64(3) {
 				jobs := zipfArrivals(seed, rate)
 				inOrder.add(runInOrderOfArrival(jobs, c.MaxConcurrency))
--- a/internal/schedule/concurrency.go
+++ b/internal/schedule/concurrency.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// decreaseInterval is the least time between two decreases of the limit: runs that were started before a
-	// decrease still end after it.
-	decreaseInterval = 300 * time.Millisecond
+	// minDecreaseInterval is the minimum time between two decreases of the limit. Runs that were started before a
+	// decrease may end after it, and their results do not show its effect.
+	minDecreaseInterval = 300 * time.Millisecond
 
-	slowRunDecrease            = 0.9
-	failedRunDecrease          = 0.7
-	foregroundRejectedDecrease = 0.5
+	// The limit is multiplied by one of these factors when it decreases.
+	slowFunctionFactor       = 0.9
+	runNotServedFactor       = 0.7
+	foregroundRejectedFactor = 0.5
 )
 
-// concurrencyLimit is the number of runs that may be in flight. It grows by one for each served run in the slow start,
-// and by one for each round of served runs after it. It decreases when runs are rejected, failed or slow, and when
-// foreground requests are rejected.
+// concurrencyLimit is the adaptive limit of the number of runs in flight. As in TCP congestion control, the limit grows
+// by 1 for each served run during slow start, and by 1/limit after it, that is, by 1 for each round of served runs.
+// It decreases by a factor when a run is rejected or fails, when the served runs of a function have become slow, and when
+// a foreground request is rejected.
 type concurrencyLimit struct {
 	min, max           float64
 	current            float64
-	slowStartThreshold float64 // the slow start ends here
+	slowStartThreshold float64 // value of current at which slow start ends
 	lastDecrease       time.Time
 	noGrowthBefore     time.Time
-	foregroundBackoff  time.Duration
+	foregroundBackoff  time.Duration // how long the limit does not grow after a rejected foreground request
 }
 
 func newConcurrencyLimit(c Config) concurrencyLimit {
@@ -34,21 +36,24 @@
 	}
 }
 
+// allowed returns the limit as a number of whole runs.
 func (l *concurrencyLimit) allowed() int { return int(l.current) }
 
-// restart begins another slow start, after a stall: the workers may have lost their loaded copies.
-func (l *concurrencyLimit) restart() {
+// restartSlowStart sets the limit to its minimum and begins another slow start. It is called at the end of a stall, as
+// workers may have unloaded their copies during the stall.
+func (l *concurrencyLimit) restartSlowStart() {
 	l.current = l.min
 	l.slowStartThreshold = max(l.min, l.slowStartThreshold/2)
 }
 
-// runServed adapts the limit to a served run. inFlight is the number of runs in flight before it ended.
-func (l *concurrencyLimit) runServed(now time.Time, inFlight int, slow bool) {
-	limitInUse := float64(inFlight) >= l.current/2 // if not, a served run proves nothing
+// runServed adapts the limit after a served run. inFlightBefore is the number of runs in flight before this run ended.
+func (l *concurrencyLimit) runServed(now time.Time, inFlightBefore int, slow bool) {
+	// With less than half of the limit in use, a served run does not show that the fleet can take more runs.
+	halfOfLimitInUse := float64(inFlightBefore) >= l.current/2
 	switch {
 	case slow:
-		l.decrease(now, slowRunDecrease)
-	case now.Before(l.noGrowthBefore) || !limitInUse:
+		l.decrease(now, slowFunctionFactor)
+	case now.Before(l.noGrowthBefore) || !halfOfLimitInUse:
 	case l.current < l.slowStartThreshold:
 		l.current = min(l.max, l.current+1)
 	default:
@@ -56,17 +61,20 @@
 	}
 }
 
-// runNotServed adapts the limit to a run that was rejected or failed.
-func (l *concurrencyLimit) runNotServed(now time.Time) { l.decrease(now, failedRunDecrease) }
+// runNotServed decreases the limit after a run that was rejected or failed.
+func (l *concurrencyLimit) runNotServed(now time.Time) { l.decrease(now, runNotServedFactor) }
 
-// foregroundRejected gives way to foreground requests.
+// foregroundRejected leaves more of the fleet to foreground requests after one was rejected: the limit decreases and does
+// not grow for foregroundBackoff.
 func (l *concurrencyLimit) foregroundRejected(now time.Time) {
-	l.decrease(now, foregroundRejectedDecrease)
+	l.decrease(now, foregroundRejectedFactor)
 	l.noGrowthBefore = now.Add(l.foregroundBackoff)
 }
 
+// decrease multiplies the limit by a factor and ends slow start, unless the last decrease was less than
+// minDecreaseInterval ago.
 func (l *concurrencyLimit) decrease(now time.Time, factor float64) {
-	if now.Sub(l.lastDecrease) < decreaseInterval {
+	if now.Sub(l.lastDecrease) < minDecreaseInterval {
 		return
 	}
 	l.lastDecrease = now
--- a/internal/schedule/concurrency_test.go
+++ b/internal/schedule/concurrency_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A stalled fleet gets one run at a time, far apart. When it serves again, concurrency begins at the minimum.
+// A stalled fleet gets one run at a time, at intervals of Config.ProbeInterval or longer. When the fleet serves a run
+// again, the concurrency limit restarts at the minimum, and all jobs are served before they expire.
 func TestStalledFleetIsProbedAndRecoversSlowly(t *testing.T) {
 	c := testConfig()
 	sim := newSimulation(t, c)
@@ -20,7 +21,7 @@
 		sim.advance(20 * time.Millisecond)
 		sim.endAll(Served)
 	}
-	require.Greater(t, sim.scheduler.Limit(), 16)
+	require.Greater(t, sim.scheduler.ConcurrencyLimit(), 16)
 	for n := 0; !sim.scheduler.Stalled(); n++ {
 		require.Less(t, n, 1000)
 		sim.advance(50 * time.Millisecond)
@@ -35,7 +36,7 @@
 			sim.endFirst(Rejected)
 		}
 	}
-	// Each probe may cause a load, so the budget for those bounds them too.
+	// A probe may cause a load, so the cold-start budget limits probes too: there may be fewer than one per ProbeInterval.
 	assert.LessOrEqual(t, len(sim.started)-before, int(20*time.Second/c.ProbeInterval)+1)
 	assert.GreaterOrEqual(t, len(sim.started)-before, 8)
 	for n := 0; len(sim.running) == 0; n++ {
@@ -44,17 +45,18 @@
 	}
 	sim.endFirst(Served)
 	assert.False(t, sim.scheduler.Stalled())
-	assert.Equal(t, c.MinConcurrency, sim.scheduler.Limit())
+	assert.Equal(t, c.MinConcurrency, sim.scheduler.ConcurrencyLimit())
 	for rounds := 0; sim.scheduler.Waiting() > 0 || len(sim.running) > 0; rounds++ {
 		require.Less(t, rounds, 100000)
 		sim.advance(20 * time.Millisecond)
 		sim.endAll(Served)
 	}
-	assert.Empty(t, sim.expired, "all are served")
+	assert.Empty(t, sim.expired, "all jobs are served, none expires")
 }
 
-// While foreground requests are rejected, the concurrency of deferred runs decreases and does not grow.
-func TestConcurrencyYieldsToRejectedForeground(t *testing.T) {
+// While foreground requests are rejected, the concurrency limit of deferred runs decreases to the minimum and does not
+// grow.
+func TestRejectedForegroundRequestsDecreaseConcurrency(t *testing.T) {
 	sim := newSimulation(t, testConfig())
 	for i := range 9000 {
 		sim.add(Job{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 4)})
@@ -66,18 +68,19 @@
 		}
 	}
 	serve(40)
-	fullLimit := sim.scheduler.Limit()
+	fullLimit := sim.scheduler.ConcurrencyLimit()
 	require.Greater(t, fullLimit, 20)
 	for range 20 {
 		sim.handle(ForegroundEvent{Rejected: true})
 		serve(10)
 	}
-	assert.Equal(t, 2, sim.scheduler.Limit())
+	assert.Equal(t, 2, sim.scheduler.ConcurrencyLimit())
 	serve(60)
-	assert.Greater(t, sim.scheduler.Limit(), 2, "it comes back once the foreground is served")
-	assert.Less(t, sim.scheduler.Limit(), fullLimit)
+	assert.Greater(t, sim.scheduler.ConcurrencyLimit(), 2, "the limit grows again once no foreground request is rejected")
+	assert.Less(t, sim.scheduler.ConcurrencyLimit(), fullLimit)
 }
 
+// When the runs of all functions become slower, the concurrency limit decreases although all runs are served.
 func TestSlowRunsDecreaseConcurrency(t *testing.T) {
 	sim := newSimulation(t, testConfig())
 	for i := range 4000 {
@@ -90,7 +93,7 @@
 		}
 	}
 	serve(30, 20*time.Millisecond)
-	before := sim.scheduler.Limit()
+	before := sim.scheduler.ConcurrencyLimit()
 	serve(20, 400*time.Millisecond)
-	assert.Less(t, sim.scheduler.Limit(), before/2)
+	assert.Less(t, sim.scheduler.ConcurrencyLimit(), before/2)
 }
--- a/internal/schedule/earliest.go
+++ b/internal/schedule/earliest.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// earliestTime keeps the earliest of the times that are added to it. It is zero until then.
+// earliestTime holds the earliest of the times added, or the zero time if none was added.
 type earliestTime struct{ time.Time }
 
-// add takes in a time; zero stands for none.
+// add adds t, unless it is the zero time.
 func (e *earliestTime) add(t time.Time) {
 	if !t.IsZero() && (e.IsZero() || t.Before(e.Time)) {
 		e.Time = t
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -8,86 +8,90 @@
 	"github.com/tidwall/btree"
 )
 
-// state is where a job is on its way to its next run.
-type state int
+// jobState is the state of a job in the scheduler.
+type jobState int
 
 const (
-	delayed       state = iota // first run, before its NotBefore
-	awaitingRetry              // later run, until its NotBefore has come and the retry budget allows it
-	ready                      // may run as soon as it is selected
-	running
+	delayed       jobState = iota // waits for the NotBefore of its first run
+	awaitingRetry                 // waits for the NotBefore of a later run and for the retry budget
+	ready                         // is in the queue of its tenant and function and may be selected
+	running                       // has a run in flight
 )
 
-// entry is a job with its place in the scheduler.
-type entry struct {
+// jobEntry is a job with its state in the scheduler.
+type jobEntry struct {
 	Job
-	sequence    uint64 // order of arrival
-	state       state
-	readySince  time.Time
-	startedWarm bool    // a copy of its function was expected to be loaded when its run started
-	classWeight float64 // jobs of greater weight go first
+	sequence    uint64 // number of the job in the order in which jobs were added
+	state       jobState
+	readySince  time.Time // start of the state ready
+	startedWarm bool      // whether a copy of its function was expected to be loaded when its run started
+	classWeight float64   // from Config.Classes; jobs with a greater weight run first
 	tenant      *tenant
-	queue       *queue // of the ready job; kept while it runs
+	queue       *queue // set when the job becomes ready, kept while it runs
 }
 
-// tenant has the ready jobs of one tenant, in one queue for each function.
+// tenant holds the ready jobs of one tenant, in one queue per function, and what is needed for weighted fair queueing
+// among the tenants.
 type tenant struct {
 	name        string
 	weight      float64
-	virtualTime float64           // cost of all its runs, divided by its weight; the tenant with the least goes first
-	ready       *orderedJobs      // by the time since when they are ready
-	queues      map[string]*queue // by function
+	virtualTime float64           // cost of its runs, divided by its weight; the tenant with the least is served first
+	readyJobs   *orderedJobs      // all ready jobs, by readySince
+	queues      map[string]*queue // by name of the function; none is empty
 }
 
-// queue holds the ready jobs of one tenant for one function, the one to run first at the front.
+// queue holds the ready jobs of one tenant for one function, by priority.
 type queue struct {
 	function *function
 	jobs     *orderedJobs
 }
 
-// head returns the job to run first. The queue must not be empty.
-func (q *queue) head() *entry {
+// head returns the job with the highest priority. The queue must not be empty.
+func (q *queue) head() *jobEntry {
 	first, _ := q.jobs.Min()
 	return first
 }
 
-// function is what is known of the loaded copies of a function, and its load over all tenants.
+// function holds what the scheduler knows of one function: its jobs of all tenants, whether a copy is expected to be
+// loaded, and its run times.
 type function struct {
-	name      string
-	inFlight  int
-	ready     int
-	warmUntil time.Time // a copy is expected to stay loaded until then
-	latency   runLatency
+	name       string
+	inFlight   int       // runs in flight
+	readyCount int       // ready jobs
+	warmUntil  time.Time // until then a copy is expected to be loaded even without a run in flight
+	latency    runLatency
 }
 
-// isWarm reports whether a copy of the function is expected to be loaded.
+// isWarm reports whether a copy of the function is expected to be loaded. Otherwise the function is cold.
 func (f *function) isWarm(now time.Time) bool { return f.inFlight > 0 || now.Before(f.warmUntil) }
 
-// orderedJobs is an ordered set of jobs.
-type orderedJobs = btree.BTreeG[*entry]
+// orderedJobs is a set of jobs, ordered by the function that newOrderedJobs was given.
+type orderedJobs = btree.BTreeG[*jobEntry]
 
 const treeDegree = 16
 
-func newOrderedJobs(less func(a, b *entry) bool) *orderedJobs {
+func newOrderedJobs(less func(a, b *jobEntry) bool) *orderedJobs {
 	return btree.NewBTreeGOptions(less, btree.Options{NoLocks: true, Degree: treeDegree})
 }
 
-func byExpiry(a, b *entry) bool { return byTime(a, b, a.Expires, b.Expires) }
+func byExpiry(a, b *jobEntry) bool { return byTime(a, b, a.Expires, b.Expires) }
 
-func byNotBefore(a, b *entry) bool { return byTime(a, b, a.NotBefore, b.NotBefore) }
+func byNotBefore(a, b *jobEntry) bool { return byTime(a, b, a.NotBefore, b.NotBefore) }
 
-func byReadySince(a, b *entry) bool { return byTime(a, b, a.readySince, b.readySince) }
+func byReadySince(a, b *jobEntry) bool { return byTime(a, b, a.readySince, b.readySince) }
 
-// byTime orders a and b by a time of each, and by arrival where the times are equal.
-func byTime(a, b *entry, timeOfA, timeOfB time.Time) bool {
+// byTime reports whether a comes before b in the order of the given times; if these are equal, in the order in which the
+// jobs were added.
+func byTime(a, b *jobEntry, timeOfA, timeOfB time.Time) bool {
 	if order := timeOfA.Compare(timeOfB); order != 0 {
 		return order < 0
 	}
 	return a.sequence < b.sequence
 }
 
-// byPriority is the order of a tenant's jobs: weight of the class, then urgency, then the earliest deadline.
-func byPriority(a, b *entry) bool {
+// byPriority reports whether a comes before b in the order of a tenant's jobs: greater class weight first, then smaller
+// Urgency value, then earlier Expires time.
+func byPriority(a, b *jobEntry) bool {
 	if a.classWeight != b.classWeight {
 		return a.classWeight > b.classWeight
 	}
@@ -97,10 +101,10 @@
 	return byExpiry(a, b)
 }
 
-// enqueue makes a job ready to run.
-func (s *Scheduler) enqueue(now time.Time, e *entry) {
+// enqueue puts a job into the state ready and into its queue.
+func (s *Scheduler) enqueue(now time.Time, e *jobEntry) {
 	t := e.tenant
-	if t.ready.Len() == 0 { // a tenant does not save up the share that it left unused
+	if t.readyJobs.Len() == 0 { // a tenant gets no credit for its share of the time in which it had no ready jobs
 		t.virtualTime = max(t.virtualTime, s.minVirtualTime())
 	}
 	q := t.queues[e.Function]
@@ -112,26 +116,26 @@
 	e.readySince = now
 	e.queue = q
 	q.jobs.Set(e)
-	t.ready.Set(e)
-	q.function.ready++
+	t.readyJobs.Set(e)
+	q.function.readyCount++
 }
 
-// dequeue takes a ready job out of its queue.
-func (s *Scheduler) dequeue(e *entry) {
+// dequeue removes a ready job from its queue and leaves its state unchanged.
+func (s *Scheduler) dequeue(e *jobEntry) {
 	q := e.queue
 	q.jobs.Delete(e)
-	e.tenant.ready.Delete(e)
-	q.function.ready--
+	e.tenant.readyJobs.Delete(e)
+	q.function.readyCount--
 	if q.jobs.Len() == 0 {
 		delete(e.tenant.queues, e.Function)
 	}
 }
 
-// minVirtualTime returns the least virtual time of the tenants that have ready jobs; 0 if there are none.
+// minVirtualTime returns the least virtual time of the tenants that have ready jobs, or 0 if no tenant has any.
 func (s *Scheduler) minVirtualTime() float64 {
 	least := math.Inf(1)
 	for _, t := range s.tenants {
-		if t.ready.Len() > 0 {
+		if t.readyJobs.Len() > 0 {
 			least = min(least, t.virtualTime)
 		}
 	}
@@ -141,22 +145,25 @@
 	return least
 }
 
+// defaultTenantWeight is the weight of a tenant that Config.Tenants does not list.
 const defaultTenantWeight = 1
 
+// tenantNamed returns the tenant with the given name, and creates it if necessary.
 func (s *Scheduler) tenantNamed(name string) *tenant {
 	t := s.tenants[name]
 	if t == nil {
 		t = &tenant{
-			name:   name,
-			weight: cmp.Or(s.config.Tenants[name], defaultTenantWeight),
-			ready:  newOrderedJobs(byReadySince),
-			queues: map[string]*queue{},
+			name:      name,
+			weight:    cmp.Or(s.config.Tenants[name], defaultTenantWeight),
+			readyJobs: newOrderedJobs(byReadySince),
+			queues:    map[string]*queue{},
 		}
 		s.tenants[name] = t
 	}
 	return t
 }
 
+// functionNamed returns the function with the given name, and creates it if necessary.
 func (s *Scheduler) functionNamed(name string) *function {
 	f := s.functions[name]
 	if f == nil {
@@ -166,12 +173,14 @@
 	return f
 }
 
-// maxIdleFunctions is the number of known functions above which those without jobs are forgotten. Clients can name
-// any number of functions.
-const maxIdleFunctions = 4096
+// maxKnownFunctions is the number of functions above which functions without ready jobs or runs in flight are removed.
+// Without such a bound memory could grow without end, as clients can name any number of functions.
+const maxKnownFunctions = 4096
 
-func (s *Scheduler) forgetIfIdle(f *function) {
-	if len(s.functions) > maxIdleFunctions && f.ready == 0 && f.inFlight == 0 {
+// removeFunctionIfIdle removes a function that has no ready jobs and no runs in flight, if there are more than
+// maxKnownFunctions.
+func (s *Scheduler) removeFunctionIfIdle(f *function) {
+	if len(s.functions) > maxKnownFunctions && f.readyCount == 0 && f.inFlight == 0 {
 		delete(s.functions, f.name)
 	}
 }
--- a/internal/schedule/retry_test.go
+++ b/internal/schedule/retry_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The pause before a retry is at least what the rejection asked for, and at most that and the bound of the backoff.
+// The pause before a retry is at least RetryAfter of the rejection, and at most RetryAfter plus the bound of the backoff,
+// which doubles with each run. The random part differs between the pauses.
 func TestRetryPauseIsBetweenRetryAfterAndBackoff(t *testing.T) {
 	c := testConfig()
 	c.MaxRuns = 4
@@ -28,7 +29,7 @@
 		at, ok := sim.retryAt["t"]
 		require.True(t, ok)
 		if run == 4 {
-			assert.True(t, at.IsZero(), "no more runs")
+			assert.True(t, at.IsZero(), "no retry after the last of MaxRuns runs")
 			break
 		}
 		pause := at.Sub(sim.now)
@@ -41,7 +42,8 @@
 	assert.Zero(t, sim.scheduler.Waiting())
 }
 
-// Retries are limited to a ratio of the first runs and a rate.
+// The retry budget allows RetryRatio retries for each first run and RetryRate retries per second, and saves up RetryBurst.
+// The test has no first runs, so that 10 s allow for RetryBurst retries plus 10 times RetryRate.
 func TestRetryBudget(t *testing.T) {
 	c := testConfig()
 	c.MaxRuns = 1000
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -1,11 +1,11 @@
 // Package schedule decides which deferred invocation runs next, and when.
 //
-// It is a pure decision module: an event and the time go in, actions come out. It does no I/O, reads no clock and
-// starts no goroutine. Equal settings, seed and events give equal actions.
+// The package is a pure decision module: Handle takes an event and the current time and returns actions. The package does
+// no I/O, reads no clock and starts no goroutines. Equal configurations, seeds, events and times give equal actions.
 //
-// A run is one request to the dispatcher, which ends served, rejected or failed. The worker that serves it, the
-// retries within it and the admission of requests are decided by package balancer. The choices made here are explained
-// in docs/design/deferred.md.
+// A job is a deferred invocation. A run of a job is one call to the dispatcher, which ends served, rejected or failed.
+// Package balancer chooses the worker of a run, repeats attempts within the run and decides on the admission of requests.
+// The design of this package is explained in docs/design/deferred.md.
 package schedule
 
 import (
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Scheduler holds the jobs that wait and those that run. It is not safe for concurrent use.
+// Scheduler holds the waiting and the running jobs. It is not safe for concurrent use.
 type Scheduler struct {
 	config       Config
-	nextSequence uint64
+	lastSequence uint64 // sequence of the job added last
 
-	jobs         map[string]*entry // by ID
-	deadlines    *orderedJobs      // all jobs that wait, by expiry
-	delayed      *orderedJobs      // jobs in the state delayed, by NotBefore
-	retries      *orderedJobs      // jobs in the state awaitingRetry, by NotBefore
+	jobs         map[string]*jobEntry // by ID
+	deadlines    *orderedJobs         // all waiting jobs, by Expires
+	delayed      *orderedJobs         // jobs in the state delayed, by NotBefore
+	retries      *orderedJobs         // jobs in the state awaitingRetry, by NotBefore
 	tenants      map[string]*tenant
 	functions    map[string]*function
 	runsInFlight int
@@ -33,15 +33,15 @@
 	backoff     backoff
 }
 
-// New returns a scheduler without jobs, whose concurrency begins at the minimum. The seed determines the backoff of
-// retries. It returns the error of Config.Validate, if any.
+// New returns a scheduler without jobs, whose concurrency limit starts at the minimum. The seed determines the random
+// pauses before retries. The error, if any, is that of Config.Validate.
 func New(config Config, seed uint64, now time.Time) (*Scheduler, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	return &Scheduler{
 		config:      config,
-		jobs:        map[string]*entry{},
+		jobs:        map[string]*jobEntry{},
 		deadlines:   newOrderedJobs(byExpiry),
 		delayed:     newOrderedJobs(byNotBefore),
 		retries:     newOrderedJobs(byNotBefore),
@@ -59,24 +59,24 @@
 	}, nil
 }
 
-// Waiting returns the number of jobs that wait for a run.
+// Waiting returns the number of waiting jobs: those without a run in flight.
 func (s *Scheduler) Waiting() int { return len(s.jobs) - s.runsInFlight }
 
 // Running returns the number of runs in flight.
 func (s *Scheduler) Running() int { return s.runsInFlight }
 
-// Limit returns the number of runs that may be in flight now.
-func (s *Scheduler) Limit() int {
+// ConcurrencyLimit returns the number of runs that may be in flight now.
+func (s *Scheduler) ConcurrencyLimit() int {
 	if s.stall.stalled {
 		return 1
 	}
 	return s.concurrency.allowed()
 }
 
-// Stalled reports whether the fleet serves no deferred invocation and is only probed.
+// Stalled reports whether the fleet is stalled: it serves no deferred invocations and only gets single runs as probes.
 func (s *Scheduler) Stalled() bool { return s.stall.stalled }
 
-// Handle takes in an event and returns the actions to carry out. The time must not go back between calls.
+// Handle processes an event and returns the actions to carry out. now must not be earlier than in the previous call.
 func (s *Scheduler) Handle(now time.Time, e Event) []Action {
 	var actions []Action
 	switch e := e.(type) {
@@ -100,8 +100,8 @@
 	return s.advance(now, actions)
 }
 
-// advance does all that the time and the state allow: it expires jobs, makes jobs ready, starts runs and sets the
-// timer. It appends its actions to those given.
+// advance expires jobs, makes jobs ready, starts runs and sets the timer, as far as the time and the limits allow. It
+// appends the resulting actions to those given.
 func (s *Scheduler) advance(now time.Time, actions []Action) []Action {
 	actions = s.expireJobs(now, actions)
 	s.releaseDelayed(now)
@@ -110,6 +110,7 @@
 	return s.setTimer(now, selectAgainAt, actions)
 }
 
+// expireJobs removes the waiting jobs whose Expires time has come.
 func (s *Scheduler) expireJobs(now time.Time, actions []Action) []Action {
 	for {
 		job, ok := s.deadlines.Min()
@@ -121,7 +122,7 @@
 	}
 }
 
-// releaseDelayed makes the jobs ready whose NotBefore has come.
+// releaseDelayed makes those delayed jobs ready whose NotBefore time has come.
 func (s *Scheduler) releaseDelayed(now time.Time) {
 	for {
 		job, ok := s.delayed.Min()
@@ -133,7 +134,8 @@
 	}
 }
 
-// releaseRetries makes the retries ready whose NotBefore has come, as far as the retry budget goes.
+// releaseRetries makes those jobs ready that await a retry and whose NotBefore time has come, as far as the retry budget
+// allows.
 func (s *Scheduler) releaseRetries(now time.Time) {
 	for {
 		job, ok := s.retries.Min()
@@ -145,13 +147,13 @@
 	}
 }
 
-// startRuns starts runs up to the limit. If there is room but no job that may start now, it returns the time at which
-// to select again; zero: none.
+// startRuns starts runs up to the concurrency limit. If no job may start although the limit is not reached,
+// selectAgainAt is the time at which a batch or the cold-start budget may allow one. It is zero if only an event can.
 func (s *Scheduler) startRuns(now time.Time, actions []Action) (_ []Action, selectAgainAt time.Time) {
-	for s.runsInFlight < s.Limit() && s.stall.mayStart(now) {
-		job, again := s.selectJob(now)
+	for s.runsInFlight < s.ConcurrencyLimit() && s.stall.mayStart(now) {
+		job, nextSelection := s.selectJob(now)
 		if job == nil {
-			return actions, again
+			return actions, nextSelection
 		}
 		s.start(now, job)
 		actions = append(actions, StartRun{job.ID})
@@ -159,10 +161,12 @@
 	return actions, time.Time{}
 }
 
-// minTimerDelay is the delay of a timer whose time has already come.
+// minTimerDelay is the delay of a timer that is due at once: the start of a run may have added the token for which a
+// retry waits.
 const minTimerDelay = time.Millisecond
 
-// setTimer appends the action that asks for a TickEvent at the next time at which something may be done.
+// setTimer appends a SetTimer action for the next time at which a job may expire, become ready or start. It appends none
+// if only an event can cause such a change.
 func (s *Scheduler) setTimer(now, selectAgainAt time.Time, actions []Action) []Action {
 	var next earliestTime
 	next.add(selectAgainAt)
@@ -188,6 +192,7 @@
 	return append(actions, SetTimer{at})
 }
 
+// handleAdd adds a job in the state awaitingRetry, delayed or ready. It ignores a job whose ID is already present.
 func (s *Scheduler) handleAdd(now time.Time, job Job) {
 	if s.jobs[job.ID] != nil {
 		return
@@ -195,10 +200,10 @@
 	if job.Cost <= 0 {
 		job.Cost = 1
 	}
-	s.nextSequence++
-	e := &entry{
+	s.lastSequence++
+	e := &jobEntry{
 		Job:         job,
-		sequence:    s.nextSequence,
+		sequence:    s.lastSequence,
 		classWeight: s.config.Classes[job.Class],
 		tenant:      s.tenantNamed(job.Tenant),
 	}
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -25,13 +25,13 @@
 	sim.running = nil
 	sim.handle(RunAbortedEvent{"later"})
 	assert.Zero(t, sim.scheduler.Waiting()+sim.scheduler.Running())
-	sim.handle(RunEndedEvent{ID: "later", Result: Rejected}) // it crossed the abort
+	sim.handle(RunEndedEvent{ID: "later", Result: Rejected}) // arrives after the abort, so it must be ignored
 	assert.Empty(t, sim.retryAt)
 }
 
-// The order of iteration over maps does not show in the actions.
+// Equal events start equal runs in equal order: the random iteration order of maps must not affect the actions.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	play := func() []string {
+	startedRuns := func() []string {
 		random := rand.New(rand.NewPCG(3, 4))
 		sim := newSimulation(t, testConfig())
 		for i := range 4000 {
@@ -52,9 +52,9 @@
 		}
 		return sim.started
 	}
-	first := play()
+	first := startedRuns()
 	require.Greater(t, len(first), 500)
 	for range 3 {
-		require.Equal(t, first, play())
+		require.Equal(t, first, startedRuns())
 	}
 }
--- a/internal/schedule/selection.go
+++ b/internal/schedule/selection.go
@@ -6,92 +6,93 @@
 	"time"
 )
 
-// selectJob returns the next job to run. If there is none it returns nil and the time at which to select again; zero:
-// not before another event.
+// selectJob returns the next job to run. If no job may start now, it returns nil and the time at which to select again,
+// which is zero if only an event can make a job eligible.
 //
-// Tenants take turns by their virtual time. A tenant without a job that may start now leaves its turn to the next.
-func (s *Scheduler) selectJob(now time.Time) (*entry, time.Time) {
-	var again earliestTime
-	for _, t := range s.tenantsInTurn() {
-		job, at := s.selectJobOf(now, t)
+// The tenant with the least virtual time comes first. If none of its jobs may start now, the next tenant is tried.
+func (s *Scheduler) selectJob(now time.Time) (*jobEntry, time.Time) {
+	var nextSelection earliestTime
+	for _, t := range s.tenantsByVirtualTime() {
+		job, at := s.selectTenantJob(now, t)
 		if job != nil {
 			return job, time.Time{}
 		}
-		again.add(at)
+		nextSelection.add(at)
 	}
-	return nil, again.Time
+	return nil, nextSelection.Time
 }
 
-// tenantsInTurn returns the tenants that have ready jobs, the one whose turn it is first.
-func (s *Scheduler) tenantsInTurn() []*tenant {
-	var turns []*tenant
+// tenantsByVirtualTime returns the tenants that have ready jobs, the one with the least virtual time first.
+func (s *Scheduler) tenantsByVirtualTime() []*tenant {
+	var tenants []*tenant
 	for _, t := range s.tenants {
-		if t.ready.Len() > 0 {
-			turns = append(turns, t)
+		if t.readyJobs.Len() > 0 {
+			tenants = append(tenants, t)
 		}
 	}
-	slices.SortFunc(turns, func(a, b *tenant) int {
+	slices.SortFunc(tenants, func(a, b *tenant) int {
 		return cmp.Or(cmp.Compare(a.virtualTime, b.virtualTime), cmp.Compare(a.name, b.name))
 	})
-	return turns
+	return tenants
 }
 
-// selectJobOf is selectJob for one tenant.
+// selectTenantJob does the same as selectJob for the jobs of one tenant.
 //
-// A starved job goes first. Then come jobs of warm functions, which cause no load, by priority. A job of a cold
-// function runs before them only when its class has a greater weight, and when its batch is complete and the budget
-// of cold starts allows it. A starved job of a cold function does not wait for a batch, but for that budget.
-func (s *Scheduler) selectJobOf(now time.Time, t *tenant) (*entry, time.Time) {
+// A starved job, one that has been ready for at least Config.StarvationLimit, comes first. Then come jobs of warm
+// functions by priority, as their runs cause no load. A job of a cold function comes before those only if its class has a
+// greater weight. Jobs of cold functions wait until their batch is complete and the cold-start budget allows the run. A
+// starved job of a cold function waits for this budget, but not for a batch.
+func (s *Scheduler) selectTenantJob(now time.Time, t *tenant) (*jobEntry, time.Time) {
 	starvedWarm, starvedCold := s.findStarved(now, t)
 	if starvedWarm != nil {
 		return starvedWarm, time.Time{}
 	}
-	candidates := candidates{cold: starvedCold}
-	var again earliestTime
+	eligible := candidates{cold: starvedCold}
+	var nextSelection earliestTime
 	for _, q := range t.queues {
 		switch {
-		case !s.hasRoom(q.function):
+		case !s.belowFunctionLimit(q.function):
 		case q.function.isWarm(now):
-			candidates.considerWarm(q.head())
+			eligible.considerWarm(q.head())
 		case starvedCold == nil:
 			batchAt := s.batchCompleteAt(now, q)
 			if now.Before(batchAt) {
-				again.add(batchAt)
+				nextSelection.add(batchAt)
 				continue
 			}
-			candidates.considerCold(q.head())
+			eligible.considerCold(q.head())
 		}
 	}
-	if candidates.cold != nil {
-		allowedAt := s.coldStarts.allowedAt(now, candidates.cold)
+	if eligible.cold != nil {
+		allowedAt := s.coldStarts.allowedAt(now, eligible.cold)
 		if now.Before(allowedAt) {
-			again.add(allowedAt)
-			candidates.cold = nil
+			nextSelection.add(allowedAt)
+			eligible.cold = nil
 		}
 	}
-	return candidates.best(starvedCold != nil), again.Time
+	return eligible.best(starvedCold != nil), nextSelection.Time
 }
 
-// candidates are the jobs of one tenant that may start now.
+// candidates are the jobs of one tenant of which one is to start.
 type candidates struct {
-	warm *entry // best job whose function is warm
-	cold *entry // best job whose function is not
+	warm *jobEntry // the first by priority of those whose function is warm
+	cold *jobEntry // the first by load benefit of those whose function is cold, or the starved one
 }
 
-func (c *candidates) considerWarm(job *entry) {
+func (c *candidates) considerWarm(job *jobEntry) {
 	if c.warm == nil || byPriority(job, c.warm) {
 		c.warm = job
 	}
 }
 
-func (c *candidates) considerCold(job *entry) {
+func (c *candidates) considerCold(job *jobEntry) {
 	if c.cold == nil || byLoadBenefit(job, c.cold) {
 		c.cold = job
 	}
 }
 
-// best returns the job to start; nil: there is none.
-func (c *candidates) best(coldIsStarved bool) *entry {
+// best returns the job to start, or nil if there is none.
+func (c *candidates) best(coldIsStarved bool) *jobEntry {
 	switch {
 	case c.warm == nil:
 		return c.cold
@@ -104,35 +105,36 @@
 	}
 }
 
-// byLoadBenefit is the order of jobs of cold functions: weight of the class, then the number of ready jobs that the
-// load would serve, then priority.
-func byLoadBenefit(a, b *entry) bool {
+// byLoadBenefit reports whether a comes before b in the order of jobs of cold functions: greater class weight first, then
+// the greater number of ready jobs that a load of the function would serve, then priority.
+func byLoadBenefit(a, b *jobEntry) bool {
 	if a.classWeight != b.classWeight {
 		return a.classWeight > b.classWeight
 	}
-	readyA := a.queue.function.ready
-	readyB := b.queue.function.ready
+	readyA := a.queue.function.readyCount
+	readyB := b.queue.function.readyCount
 	if readyA != readyB {
 		return readyA > readyB
 	}
 	return byPriority(a, b)
 }
 
-// maxStarvedScan bounds how many of a tenant's oldest jobs are looked at in the search for starved ones.
+// maxStarvedScan is the number of a tenant's ready jobs, those ready for longest first, that findStarved examines at most.
 const maxStarvedScan = 256
 
-// findStarved returns the oldest jobs of a tenant that have been ready for longer than the starvation limit: of those
-// whose function is warm, and of those whose function is cold. The second is not looked for past the first.
-func (s *Scheduler) findStarved(now time.Time, t *tenant) (warm, cold *entry) {
+// findStarved returns the starved jobs of a tenant that have been ready for longest: warm is the first whose function is
+// warm, cold the first whose function is cold, and either is nil if there is none. The search ends at the first warm job,
+// so cold is not set if it has been ready for less time than warm. Jobs of functions at their limit are skipped.
+func (s *Scheduler) findStarved(now time.Time, t *tenant) (warm, cold *jobEntry) {
 	scanned := 0
-	t.ready.Scan(func(job *entry) bool {
+	t.readyJobs.Scan(func(job *jobEntry) bool {
 		scanned++
 		if now.Sub(job.readySince) < s.config.StarvationLimit || scanned > maxStarvedScan {
 			return false
 		}
 		f := job.queue.function
 		switch {
-		case !s.hasRoom(f):
+		case !s.belowFunctionLimit(f):
 		case f.isWarm(now):
 			warm = job
 		case cold == nil:
@@ -143,20 +145,20 @@
 	return warm, cold
 }
 
-// hasRoom reports whether one more run of the function may be in flight.
-func (s *Scheduler) hasRoom(f *function) bool { return f.inFlight < s.config.MaxPerFunction }
+// belowFunctionLimit reports whether the function has fewer runs in flight than Config.MaxPerFunction.
+func (s *Scheduler) belowFunctionLimit(f *function) bool { return f.inFlight < s.config.MaxPerFunction }
 
-// nearExpiry is how long before its deadline a job no longer waits for a batch or for the budget of cold starts.
+// nearExpiry is how long before its Expires time a job stops waiting for a batch and may overdraw the cold-start budget.
 const nearExpiry = 5 * time.Second
 
-// batchCompleteAt returns when a cold function may be started for the first job of a queue: at once if enough jobs of
-// the function are ready or the budget of cold starts is ample, else when the job has waited for the batch or its
-// deadline is near.
+// batchCompleteAt returns when the first job of a cold function's queue stops waiting for more jobs of this function: at
+// once if Config.BatchSize jobs of the function are ready or if at least half of the cold-start budget is left, else when
+// the job has been ready for Config.BatchWait or will expire within nearExpiry, whichever comes first.
 func (s *Scheduler) batchCompleteAt(now time.Time, q *queue) time.Time {
-	if s.coldStarts.isAmple(now) || q.function.ready >= s.config.BatchSize {
+	if s.coldStarts.isAtLeastHalfFull(now) || q.function.readyCount >= s.config.BatchSize {
 		return now
 	}
 	first := q.head()
-	waited := first.readySince.Add(s.config.BatchWait)
-	return earlierOf(waited, first.Expires.Add(-nearExpiry))
+	waitEnds := first.readySince.Add(s.config.BatchWait)
+	return earlierOf(waitEnds, first.Expires.Add(-nearExpiry))
 }
--- a/internal/schedule/selection_test.go
+++ b/internal/schedule/selection_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A tenant's jobs run by the weight of their class, then by urgency, then by deadline.
+// The jobs of a tenant run in the order of their class weight, then of their urgency, then of their expiry.
 func TestJobsOfATenantRunByPriority(t *testing.T) {
 	sim := newSimulationWithOneRun(t, testConfig())
 	soon := noon.Add(20 * time.Minute)
@@ -26,7 +26,7 @@
 	assert.Equal(t, []string{"first", "weight", "urgent", "soon", "late"}, sim.started)
 }
 
-// One tenant has 10,000 jobs, the other has ten: the ten do not wait for the ten thousand.
+// One tenant adds 10,000 jobs before another adds 10: all 10 are served before 120 of the first tenant are.
 func TestTenantWithFewJobsDoesNotWaitForOneWithMany(t *testing.T) {
 	c := testConfig()
 	sim := newSimulation(t, c)
@@ -45,12 +45,12 @@
 		}
 		require.Less(t, rounds, 3000)
 	}
-	assert.Less(t, served['b'], 120, "after %d rounds", rounds)
+	assert.Less(t, served['b'], 120, "jobs of tenant big served, after %d rounds", rounds)
 }
 
-// The tenants have weights of 60 to 40 while both have jobs. What one leaves idle the other takes, and the first gets no
-// credit for it.
-func TestIdleShareIsLentWithoutCredit(t *testing.T) {
+// The tenants big and small have the weights 60 and 40. While big has no jobs, small gets all runs. When big adds jobs,
+// it gets its share at once, but no credit for the time in which it had no jobs.
+func TestIdleTenantGetsNoCreditForUnusedShare(t *testing.T) {
 	c := testConfig()
 	c.ColdStartBurst = 100
 	c.BatchSize = 1
@@ -72,13 +72,14 @@
 		return started
 	}
 	addJobs("small", 2000)
-	assert.Equal(t, 500, run(500)['s'], "alone it gets all runs")
+	assert.Equal(t, 500, run(500)['s'], "a tenant gets all runs while no other tenant has jobs")
 	addJobs("big", 2000)
 	started := run(1000)
-	assert.InDelta(t, 600, started['b'], 5, "the other tenant gets its share at once, and no more")
+	assert.InDelta(t, 600, started['b'], 5, "the tenant that was idle gets its share at once, and not more")
 }
 
-// A job that has been ready for longer than the starvation limit goes before all that came later.
+// A job that has been ready for the starvation limit runs before jobs of higher priority that were added later, and not
+// before that limit.
 func TestStarvedJobRunsFirst(t *testing.T) {
 	c := testConfig()
 	sim := newSimulationWithOneRun(t, c)
@@ -95,7 +96,8 @@
 	assert.GreaterOrEqual(t, sim.now.Sub(noon), c.StarvationLimit)
 }
 
-// BenchmarkSelectJob starts and ends one run among 100,000 waiting jobs of 200 functions and two tenants.
+// BenchmarkSelectJob measures the end of one run and the start of the next among 100,000 waiting jobs of 200 functions and
+// two tenants.
 func BenchmarkSelectJob(b *testing.B) {
 	sim := newSimulation(b, testConfig())
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/schedule/simulation_test.go
+++ b/internal/schedule/simulation_test.go
@@ -21,13 +21,13 @@
 	t         testing.TB
 	scheduler *Scheduler
 	now       time.Time
-	timer     time.Time
-	jobs      map[string]Job
-	started   []string // IDs of all runs, in the order of their start
-	startedAt map[string]time.Time
-	running   []string // IDs of the runs in flight, in the order of their start
-	expired   []string
-	retryAt   map[string]time.Time
+	timer     time.Time            // of the last SetTimer action
+	jobs      map[string]Job       // by ID, as added last
+	started   []string             // IDs of all runs, in the order of their start
+	startedAt map[string]time.Time // start of the last run, by ID of the job
+	running   []string             // IDs of the runs in flight, in the order of their start
+	expired   []string             // IDs of the expired jobs, in the order of expiry
+	retryAt   map[string]time.Time // by ID of the job; deleted by endFirst when it adds the job again
 }
 
 func newSimulation(t testing.TB, c Config) *simulation {
@@ -44,7 +44,8 @@
 	}
 }
 
-// newSimulationWithOneRun has a concurrency of one and a run in flight: jobs that are added wait until it has ended.
+// newSimulationWithOneRun returns a simulation with a concurrency limit of 1 and one run in flight. Jobs added to it wait
+// until that run has ended.
 func newSimulationWithOneRun(t *testing.T, c Config) *simulation {
 	t.Helper()
 	c.MinConcurrency = 1
@@ -54,6 +55,7 @@
 	return sim
 }
 
+// handle sends an event to the scheduler and carries out the resulting actions.
 func (sim *simulation) handle(e Event) {
 	for _, a := range sim.scheduler.Handle(sim.now, e) {
 		switch a := a.(type) {
@@ -73,7 +75,7 @@
 	require.Equal(sim.t, len(sim.running), sim.scheduler.Running())
 }
 
-// add hands over a job; fields that are not set get usual values.
+// add adds a job to the scheduler, with default values for Expires, Class and Tenant if they are not set.
 func (sim *simulation) add(job Job) {
 	if job.Expires.IsZero() {
 		job.Expires = sim.now.Add(time.Hour)
@@ -88,7 +90,8 @@
 	sim.handle(AddEvent{job})
 }
 
-// endFirst ends the run that was started first and adds its job again if it is to be retried. It returns its ID.
+// endFirst ends the run in flight that was started first. If the scheduler returns a time for the retry of the job,
+// endFirst adds the job again. It returns the ID of the job.
 func (sim *simulation) endFirst(r Result) string {
 	id := sim.running[0]
 	sim.running = sim.running[1:]
@@ -104,13 +107,14 @@
 	return id
 }
 
-// endAll ends the runs that are in flight now, but not those that are started in their place.
+// endAll ends the runs in flight at the time of the call, but not those that are started when these end.
 func (sim *simulation) endAll(r Result) {
 	for range len(sim.running) {
 		sim.endFirst(r)
 	}
 }
 
+// advance advances the simulated time and sends a TickEvent.
 func (sim *simulation) advance(d time.Duration) {
 	sim.now = sim.now.Add(d)
 	sim.handle(TickEvent{})
