--- a/internal/durable/checkpoint.go
+++ b/internal/durable/checkpoint.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// checkpointRetryDelay is the pause after a failed checkpoint.
+	// checkpointRetryDelay is the time from a failed checkpoint to the next attempt.
 	checkpointRetryDelay = time.Second
 
-	// maxCheckpointKeys is how many keys are written in one transaction of bbolt, which holds a copy of every page
-	// that it changes.
+	// maxCheckpointKeys is the maximum number of keys that a checkpoint writes in one bbolt transaction. A
+	// transaction holds in memory a copy of every page that it changes.
 	maxCheckpointKeys = 4096
 )
 
-// freeze hands the active memory table to the checkpointer, unless one is on its way or the table is empty.
+// freeze passes the active memory table to the checkpointer and starts an empty one. It does nothing if the active table
+// is empty or an earlier frozen table is not completely in the file yet.
 func (db *DB) freeze() {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -27,10 +28,10 @@
 	}
 	db.frozen = db.active
 	db.active = &memtable{lastSequence: db.frozen.lastSequence}
-	signal(db.checkpoint)
+	signal(db.checkpointRequests)
 }
 
-// signal sends to a channel with room for one, unless a signal waits there already.
+// signal sends to a channel with a buffer of one, unless the buffer is full.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -38,7 +39,8 @@
 	}
 }
 
-// runCheckpointer is the checkpointer. It ends when the store is closed.
+// runCheckpointer runs the checkpointer: until the store is closed, it writes frozen memory tables to the file, runs
+// maintenance tasks and releases mapped pages.
 func (db *DB) runCheckpointer() {
 	releaseTicker := time.NewTicker(releaseInterval)
 	defer releaseTicker.Stop()
@@ -46,11 +48,11 @@
 		select {
 		case <-releaseTicker.C:
 			db.releasePages()
-		case <-db.checkpoint:
+		case <-db.checkpointRequests:
 			if !db.checkpointWithRetry() {
 				return
 			}
-		case task := <-db.maintenance:
+		case task := <-db.maintenanceTasks:
 			task.done <- task.run()
 		case <-db.closed:
 			return
@@ -58,7 +60,7 @@
 	}
 }
 
-// checkpointWithRetry repeats the checkpoint until it succeeds. It returns false if the store is closed before.
+// checkpointWithRetry repeats the checkpoint until it succeeds. It returns false if the store is closed first.
 func (db *DB) checkpointWithRetry() bool {
 	for {
 		err := db.checkpointFrozen()
@@ -87,13 +89,13 @@
 		return nil
 	}
 	failpoint.Hit("move-before")
-	for from, done := "", false; !done; {
-		next, err := db.checkpointPart(table, from)
+	for startKey, done := "", false; !done; {
+		nextKey, err := db.checkpointChunk(table, startKey)
 		if err != nil {
 			return err
 		}
-		from = next
-		done = next == ""
+		startKey = nextKey
+		done = nextKey == ""
 	}
 	failpoint.Hit("move-after")
 	db.mu.Lock()
@@ -103,38 +105,39 @@
 	return nil
 }
 
-// checkpointPart writes entries from a key on to the file, in one transaction. It returns the key to go on with;
-// empty: the table is complete, and the file says so.
+// checkpointChunk writes the entries of a table from startKey on to the file, up to maxCheckpointKeys, in one
+// transaction. It returns the key of the next entry. An empty nextKey means that the file now holds the whole table; the
+// transaction has then also stored the sequence of the last log record of the table.
 //
-// It does no harm that the file holds a part of a table: readers look at the table first, and the next start replays
-// all of it.
-func (db *DB) checkpointPart(table *memtable, from string) (next string, err error) {
+// The file may safely hold only a part of a table: readers look up the memory table before the file, and the next Open
+// replays the log records of the whole table.
+func (db *DB) checkpointChunk(table *memtable, startKey string) (nextKey string, err error) {
 	err = db.file.Update(func(tx *bolt.Tx) error {
-		next, err = db.writeEntries(tx, table, from)
-		if err != nil || next != "" {
+		nextKey, err = db.writeEntries(tx, table, startKey)
+		if err != nil || nextKey != "" {
 			return err
 		}
 		return tx.Bucket(metaBucket).Put(appliedKey, encodeUint64(table.lastSequence))
 	})
-	return next, err
+	return nextKey, err
 }
 
-func (db *DB) writeEntries(tx *bolt.Tx, table *memtable, from string) (next string, err error) {
+func (db *DB) writeEntries(tx *bolt.Tx, table *memtable, startKey string) (nextKey string, err error) {
 	written := 0
-	table.entries.Ascend(from, func(joined string, value []byte) bool {
+	table.entries.Ascend(startKey, func(entryKey string, value []byte) bool {
 		if written == maxCheckpointKeys {
-			next = joined
+			nextKey = entryKey
 			return false
 		}
 		written++
-		number, key := splitTableKey(joined)
+		number, key := splitTableKey(entryKey)
 		bucket := tx.Bucket(db.buckets[number])
 		if value == nil {
 			err = bucket.Delete([]byte(key))
 		} else {
-			err = bucket.Put([]byte(key), seal(key, value))
+			err = bucket.Put([]byte(key), addChecksum(key, value))
 		}
 		return err == nil
 	})
-	return next, err
+	return nextKey, err
 }
--- a/internal/durable/codec.go
+++ b/internal/durable/codec.go
@@ -11,36 +11,36 @@
 
 const checksumSize = 4
 
-// seal returns a value as it stands in the file: with a checksum of key and value behind it. bbolt has no checksums
-// of its pages.
-func seal(key string, value []byte) []byte {
+// addChecksum returns a value as it is stored in the file: followed by a checksum of the key and the value. bbolt has no
+// checksums of its data pages.
+func addChecksum(key string, value []byte) []byte {
 	return binary.BigEndian.AppendUint32(bytes.Clone(value), checksum([]byte(key), value))
 }
 
-// unseal checks a value of the file and returns a copy of it without its checksum; nil stays nil.
-func unseal(key, sealed []byte) ([]byte, error) {
-	if sealed == nil {
+// verifyChecksum verifies the checksum of a value as stored in the file, and returns a copy of the value without the
+// checksum. It returns nil if stored is nil.
+func verifyChecksum(key, stored []byte) ([]byte, error) {
+	if stored == nil {
 		return nil, nil
 	}
-	size := len(sealed) - checksumSize
-	if size < 0 || checksum(key, sealed[:size]) != binary.BigEndian.Uint32(sealed[size:]) {
+	size := len(stored) - checksumSize
+	if size < 0 || checksum(key, stored[:size]) != binary.BigEndian.Uint32(stored[size:]) {
 		return nil, fmt.Errorf("%w: the value of %q has a wrong checksum", ErrDamaged, key)
 	}
-	return append([]byte{}, sealed[:size]...), nil
+	return append([]byte{}, stored[:size]...), nil
 }
 
 func checksum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
 
-// appendGroup appends the changes of a group in the format of a record of the log. Changes to memory buckets, whose
-// numbers begin at buckets, are left out. For each change the record has: the number of the bucket as one byte, the
-// length of the key, the length of the value plus one (0: the key is deleted), both as unsigned varints, the key, the
-// value.
-func appendGroup(record []byte, writes map[string][]byte, buckets int) []byte {
-	for joined, value := range writes {
-		bucket, key := splitTableKey(joined)
-		if bucket >= buckets {
+// appendGroup appends the changes of a group to a log record. It leaves out changes to memory buckets, whose numbers
+// begin at bucketCount. Each change consists of the number of the bucket as one byte, the length of the key, the length
+// of the value plus one (0: the key is deleted), both lengths as unsigned varints, the key, and the value.
+func appendGroup(record []byte, writes map[string][]byte, bucketCount int) []byte {
+	for entryKey, value := range writes {
+		bucket, key := splitTableKey(entryKey)
+		if bucket >= bucketCount {
 			continue
 		}
 		record = append(record, byte(bucket))
@@ -59,12 +59,13 @@
 	return uint64(len(value)) + 1
 }
 
-var errBadRecord = fmt.Errorf("%w: a record of the log cannot be decoded", ErrDamaged)
+var errBadRecord = fmt.Errorf("%w: a log record cannot be decoded", ErrDamaged)
 
-// decodeGroup calls set, with a tableKey, for each change in a record that appendGroup has made.
-func decodeGroup(record []byte, buckets int, set func(key string, value []byte)) error {
+// decodeGroup decodes a record that appendGroup has encoded. It calls set for each change, with the tableKey and the value
+// (nil: the key is deleted).
+func decodeGroup(record []byte, bucketCount int, set func(key string, value []byte)) error {
 	for len(record) > 0 {
-		key, value, rest, err := decodeChange(record, buckets)
+		key, value, rest, err := decodeChange(record, bucketCount)
 		if err != nil {
 			return err
 		}
@@ -74,11 +75,11 @@
 	return nil
 }
 
-// decodeChange decodes the first change of a record that is not empty, and returns what follows it.
-func decodeChange(record []byte, buckets int) (key string, value, rest []byte, err error) {
+// decodeChange decodes the first change of a record that is not empty. rest is the part of the record after that change.
+func decodeChange(record []byte, bucketCount int) (key string, value, rest []byte, err error) {
 	bucket := int(record[0])
 	keyLength, rest, err := decodeLength(record[1:])
-	if err != nil || bucket >= buckets {
+	if err != nil || bucket >= bucketCount {
 		return "", nil, nil, errBadRecord
 	}
 	encodedLength, rest, err := decodeLength(rest)
@@ -109,7 +110,7 @@
 	return length, record[size:], nil
 }
 
-// decodeUint64 decodes what encodeUint64 has made; 0 if it cannot be.
+// decodeUint64 decodes a number that encodeUint64 has encoded. It returns 0 if encoded does not have 8 bytes.
 func decodeUint64(encoded []byte) uint64 {
 	if len(encoded) != 8 {
 		return 0
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,9 +1,9 @@
-// Package durable is a small ordered key-value store: a write-ahead log for the latest changes, and a bbolt file for
-// all others. A change is on the disk when Update returns. Changes that arrive together share one sync of the log;
-// none waits for others to arrive.
+// Package durable is a small ordered key-value store. It consists of a write-ahead log, which holds the latest changes,
+// and a bbolt file, which holds all earlier ones. A change is on the disk when Update returns. Changes that are queued at
+// the same time form a group, which shares one sync of the log; no change is delayed to wait for others.
 //
-// One goroutine, the writer, carries out changes one after another, so each sees all those before it. Changes that are
-// in the log but not yet in the file are held in memory tables. Another goroutine, the checkpointer, writes those
+// One goroutine, the writer, carries out changes one after another, so each change sees all earlier ones. Changes that
+// are in the log but not yet in the file are held in memory tables. Another goroutine, the checkpointer, writes those
 // tables to the file.
 package durable
 
@@ -17,11 +17,11 @@
 	"kitefall/internal/wal"
 )
 
-// Errors of a DB.
+// Errors that functions of this package and methods of a DB return, in some cases wrapped.
 var (
 	ErrClosed           = errors.New("the store is closed")
-	ErrCheckpointBehind = errors.New("too many changes wait for a checkpoint of the store")
-	ErrFormat           = errors.New("the file is of another format")
+	ErrCheckpointBehind = errors.New("too many changes are waiting for a checkpoint of the store")
+	ErrFormat           = errors.New("the format of the file is not supported")
 	ErrDamaged          = errors.New("the file is damaged")
 	ErrLocked           = errors.New("another process holds the file")
 )
@@ -30,44 +30,44 @@
 type DB struct {
 	path    string
 	format  string
-	buckets [][]byte // names by number; a bucket of a greater number is kept in memory alone
+	buckets [][]byte // names of the buckets in the file, by number; higher numbers are memory buckets
 	options Options
 
-	updates        chan *update
-	checkpoint     chan struct{}         // a memory table was frozen
-	checkpointDone chan struct{}         // a checkpoint has ended, with success or not
-	maintenance    chan *maintenanceTask // to be run by the checkpointer, between two checkpoints
-	closed         chan struct{}
-	writerDone     chan struct{}
-	closeOnce      sync.Once
-	goroutines     sync.WaitGroup
+	updates            chan *update
+	checkpointRequests chan struct{}         // signals that a memory table was frozen
+	checkpointDone     chan struct{}         // signals that a checkpoint has succeeded or failed
+	maintenanceTasks   chan *maintenanceTask // run by the checkpointer between two checkpoints
+	closed             chan struct{}         // closed by Close
+	writerDone         chan struct{}         // closed when the writer has ended
+	closeOnce          sync.Once
+	goroutines         sync.WaitGroup
 
-	mu               sync.RWMutex // guards the fields below; who reads the file holds it too
+	mu               sync.RWMutex // guards the fields up to checkpointFailed; Get and Scan also hold it while they read the file
 	file             *bolt.DB
-	active           *memtable // takes the changes of the writer
-	frozen           *memtable // on its way to the file; nil: none
-	volatile         memtable  // of the buckets that are kept in memory alone
-	appliedSequence  uint64    // of the last record of the log that the file holds
-	checkpointFailed bool      // the last one did
-
-	log    *wal.Log // used by the writer alone; nil: read-only
-	record []byte   // buffer of the writer
+	active           *memtable // receives the changes that the writer carries out
+	frozen           *memtable // is being written to the file; nil: none
+	memoryBuckets    memtable  // entries of the buckets that are kept only in memory
+	appliedSequence  uint64    // sequence of the last log record whose changes are all in the file
+	checkpointFailed bool      // the latest checkpoint failed
+
+	log          *wal.Log // used only by the writer, until Close; nil: the store is read-only
+	recordBuffer []byte   // reused by the writer to encode log records
 }
 
 const maxQueuedUpdates = 4096
 
 func newDB(path, format string, buckets []string, o Options) *DB {
 	db := &DB{
-		path:           path,
-		format:         format,
-		options:        o,
-		updates:        make(chan *update, maxQueuedUpdates),
-		checkpoint:     make(chan struct{}, 1),
-		checkpointDone: make(chan struct{}, 1),
-		maintenance:    make(chan *maintenanceTask),
-		closed:         make(chan struct{}),
-		writerDone:     make(chan struct{}),
-		active:         &memtable{},
+		path:               path,
+		format:             format,
+		options:            o,
+		updates:            make(chan *update, maxQueuedUpdates),
+		checkpointRequests: make(chan struct{}, 1),
+		checkpointDone:     make(chan struct{}, 1),
+		maintenanceTasks:   make(chan *maintenanceTask),
+		closed:             make(chan struct{}),
+		writerDone:         make(chan struct{}),
+		active:             &memtable{},
 	}
 	for _, name := range buckets {
 		db.buckets = append(db.buckets, []byte(name))
@@ -75,9 +75,9 @@
 	return db
 }
 
-// Update carries out a change. The function reads and writes by the Tx; it runs on the writer's goroutine and must not
-// wait for anything. When Update returns nil, all that it wrote is on the disk. If the function returns an error,
-// nothing that it wrote is kept, and Update returns that error.
+// Update carries out a change. The function change reads and writes through the Tx; it runs on the writer's goroutine and
+// must not block. When Update returns nil, everything that change wrote is on the disk, except for writes to memory
+// buckets. If change returns an error, none of its writes is kept, and Update returns that error.
 func (db *DB) Update(change func(*Tx) error) error {
 	u := &update{change: change, done: make(chan error, 1)}
 	select {
@@ -98,7 +98,8 @@
 	}
 }
 
-// View lets a function read the store while the writer goes on. It must not write by the Tx.
+// View calls read, which reads the store through the Tx while the writer continues. The function must not write through
+// the Tx.
 func (db *DB) View(read func(*Tx) error) error {
 	select {
 	case <-db.closed:
@@ -107,11 +108,11 @@
 	}
 	tx := &Tx{db: db}
 	err := read(tx)
-	return errors.Join(err, tx.failed)
+	return errors.Join(err, tx.err)
 }
 
-// Close ends the goroutines of the store and closes its files. Changes that are in the log alone are replayed by the
-// next Open. Only the first call does something.
+// Close stops the goroutines of the store and closes its files. The next Open replays the changes that are only in the
+// log. Calls after the first do nothing and return nil.
 func (db *DB) Close() error {
 	var err error
 	db.closeOnce.Do(func() {
@@ -125,12 +126,12 @@
 	return err
 }
 
-func (db *DB) isVolatile(bucket int) bool { return bucket >= len(db.buckets) }
+func (db *DB) isMemoryBucket(bucket int) bool { return bucket >= len(db.buckets) }
 
-// LogDir returns the directory of the log of the store at path.
+// LogDir returns the directory that holds the log of the store at path.
 func LogDir(path string) string { return path + ".log" }
 
-// Files returns the paths of the file and of the log segments of the store at path.
+// Files returns the paths of the bbolt file and of the log segments of the store at path.
 func Files(path string) []string {
 	files := []string{path}
 	segments, _ := filepath.Glob(filepath.Join(LogDir(path), "*.log"))
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-// readAll returns the pairs of a bucket, and fails if they are not in order.
+// readAll returns the pairs of a bucket. It fails the test if they are not in the order of their keys.
 func readAll(t *testing.T, db *DB, bucket int) map[string]string {
 	t.Helper()
 	pairs := map[string]string{}
@@ -63,7 +63,8 @@
 	return pairs
 }
 
-// Random changes, with checkpoints, restarts, compactions and snapshots between them, are compared with a plain map.
+// After random changes, with checkpoints, restarts, compactions and snapshots between them, the store holds the same pairs
+// as a map with the same changes.
 func TestRandomChangesMatchAMap(t *testing.T) {
 	path := storePath(t)
 	options := Options{SegmentBytes: 64 << 10, CheckpointBytes: 2 << 10, CheckpointInterval: time.Millisecond}
@@ -80,7 +81,7 @@
 			require.NoError(t, put(db, 1, key, []byte(value)))
 			want[key] = value
 		}
-		require.Error(t, db.Update(func(tx *Tx) error { // a failed update leaves nothing behind
+		require.Error(t, db.Update(func(tx *Tx) error { // the writes of a failed update must not be kept
 			tx.Put(1, []byte(key), []byte("wrong"))
 			tx.Delete(1, []byte("key 1"))
 			return errors.New("failed")
@@ -103,18 +104,19 @@
 	require.NoError(t, db.Verify())
 }
 
-// requireSnapshotHas fails unless a store that is restored from a snapshot has these pairs in bucket 1.
+// requireSnapshotHas fails the test unless a store restored from a snapshot of db has exactly these pairs in bucket 1.
 func requireSnapshotHas(t *testing.T, db *DB, want map[string]string) {
 	t.Helper()
 	snapshot := filepath.Join(t.TempDir(), "copy.db")
 	require.NoError(t, db.Snapshot(snapshot))
-	require.Error(t, db.Snapshot(snapshot), "nothing is overwritten")
+	require.Error(t, db.Snapshot(snapshot), "a snapshot must not overwrite a file")
 	restored := filepath.Join(t.TempDir(), "back.db")
 	require.NoError(t, Restore(snapshot, restored, testFormat))
 	require.Equal(t, want, readAll(t, open(t, restored, Options{}), 1))
 }
 
-// Of many concurrent updates each sees those before it, and those for which Update has returned survive a restart.
+// Each of many concurrent updates sees all earlier ones, and updates for which Update has returned are still there after
+// a restart.
 func TestConcurrentUpdatesAreSerializedAndDurable(t *testing.T) {
 	path := storePath(t)
 	db := open(t, path, Options{CheckpointBytes: 4 << 10})
@@ -141,7 +143,7 @@
 	}))
 }
 
-func TestMemoryBucketsEndWithTheProcess(t *testing.T) {
+func TestMemoryBucketsAreEmptyAfterReopening(t *testing.T) {
 	path := storePath(t)
 	options := Options{MemoryBuckets: []string{"now"}}
 	const memoryBucket = 2
@@ -154,7 +156,7 @@
 	require.NoError(t, db.View(func(tx *Tx) error { assert.Empty(t, get(tx)); return nil }))
 }
 
-// fullDisk has no room for new segments while it is full.
+// fullDisk is a disk on which no segment can be created while full is set.
 type fullDisk struct {
 	wal.Disk
 	mu   sync.Mutex
@@ -176,7 +178,7 @@
 	d.full = full
 }
 
-// On a full disk updates fail. Those that failed are not there later, and those that succeeded are.
+// On a full disk, updates fail. After a restart the store holds the updates that succeeded and none that failed.
 func TestFullDiskFailsUpdatesUntilThereIsRoom(t *testing.T) {
 	path := storePath(t)
 	disk := &fullDisk{}
--- a/internal/durable/maintenance.go
+++ b/internal/durable/maintenance.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// newFileLockTimeout is how long to wait for the lock of a file that was just made.
+	// newFileLockTimeout is how long openNewFile waits at most for the lock of a file that was just made.
 	newFileLockTimeout = time.Second
 
-	// compactTxBytes is about how much Compact copies in one transaction of bbolt.
+	// compactTxBytes is the approximate number of bytes that Compact copies in one bbolt transaction.
 	compactTxBytes = 1 << 20
 )
 
 // maintenanceTask is work on the file that the checkpointer runs between two checkpoints.
 type maintenanceTask struct {
 	run  func() error
-	done chan error // takes the result; it has room for it
+	done chan error // receives the result; buffered, so the checkpointer never blocks on it
 }
 
-// runMaintenance has the checkpointer run a function between two checkpoints, and waits for its end.
+// runMaintenance has the checkpointer call run between two checkpoints, and returns the result.
 func (db *DB) runMaintenance(run func() error) error {
 	task := &maintenanceTask{run: run, done: make(chan error, 1)}
 	select {
-	case db.maintenance <- task:
+	case db.maintenanceTasks <- task:
 		return <-task.done
 	case <-db.closed:
 		return ErrClosed
 	}
 }
 
-// Verify checks all pages and values of the file while the store is in use. It returns ErrDamaged, wrapped, if one is
-// damaged.
+// Verify checks all pages and values of the file while the store is in use. It returns an error that wraps ErrDamaged if
+// a page or a value is damaged.
 //
-// No checkpoint may be under way: bbolt counts the pages that a later transaction has freed against those of the state
-// that it checks.
+// Verify runs between two checkpoints: bbolt compares the pages of the state that it checks with the current free list,
+// so pages that a concurrent checkpoint frees would be reported as damaged.
 func (db *DB) Verify() error {
 	return db.runMaintenance(func() error { return db.file.View(db.check) })
 }
 
-// check checks all pages of the file and all values in it.
+// check checks all pages of the file and the checksums of all values in it.
 func (db *DB) check(tx *bolt.Tx) error {
 	var err error
 	for problem := range tx.Check() {
@@ -60,56 +60,58 @@
 }
 
 func checkValues(name []byte, bucket *bolt.Bucket) error {
-	if bytes.Equal(name, metaBucket) { // its values have no checksum
+	if bytes.Equal(name, metaBucket) { // values of the meta bucket have no checksum
 		return nil
 	}
-	return bucket.ForEach(func(key, sealed []byte) error {
-		_, err := unseal(key, sealed)
+	return bucket.ForEach(func(key, stored []byte) error {
+		_, err := verifyChecksum(key, stored)
 		return err
 	})
 }
 
-// Compact writes the file anew, without the space of deleted keys, while the store is in use. It returns the sizes
-// before and after, in bytes. Changes go on meanwhile; they wait in memory and in the log.
-func (db *DB) Compact() (before, after int64, err error) {
+// Compact rewrites the file without the space of deleted keys, while the store is in use. It returns the size of the
+// file before and after, in bytes. Updates continue during the rewrite; their changes stay in memory and in the log
+// until it is done.
+func (db *DB) Compact() (sizeBefore, sizeAfter int64, err error) {
 	err = db.runMaintenance(func() error {
-		before, after, err = db.compactFile()
+		sizeBefore, sizeAfter, err = db.compactFile()
 		return err
 	})
-	return before, after, err
+	return sizeBefore, sizeAfter, err
 }
 
-func (db *DB) compactFile() (before, after int64, err error) {
+func (db *DB) compactFile() (sizeBefore, sizeAfter int64, err error) {
 	info, err := os.Stat(db.path)
 	if err != nil {
 		return 0, 0, err
 	}
-	before = info.Size()
-	temporary := db.path + ".compact"
-	os.Remove(temporary)
-	defer os.Remove(temporary)
-	compacted, err := openNewFile(temporary)
+	sizeBefore = info.Size()
+	temporaryPath := db.path + ".compact"
+	os.Remove(temporaryPath)
+	defer os.Remove(temporaryPath)
+	compacted, err := openNewFile(temporaryPath)
 	if err != nil {
-		return before, 0, err
+		return sizeBefore, 0, err
 	}
-	// The lock of the new file is held from here on: no other process can get it between the two names.
+	// This process holds the lock of the new file from here on, so no other process can open the file as the store
+	// after the rename.
 	err = bolt.Compact(compacted, db.file, compactTxBytes)
 	if err == nil {
-		err = renameDurably(temporary, db.path)
+		err = renameDurably(temporaryPath, db.path)
 	}
 	if err != nil {
 		compacted.Close()
-		return before, 0, err
+		return sizeBefore, 0, err
 	}
 	db.mu.Lock()
-	replaced := db.file
+	oldFile := db.file
 	db.file = compacted
 	db.mu.Unlock()
 	info, err = os.Stat(db.path)
 	if err == nil {
-		after = info.Size()
+		sizeAfter = info.Size()
 	}
-	return before, after, errors.Join(err, replaced.Close())
+	return sizeBefore, sizeAfter, errors.Join(err, oldFile.Close())
 }
 
 func openNewFile(path string) (*bolt.DB, error) {
--- a/internal/durable/memtable.go
+++ b/internal/durable/memtable.go
@@ -2,14 +2,14 @@
 
 import "github.com/tidwall/btree"
 
-// memtable holds changes in memory, in order. A nil value stands for a deleted key.
+// memtable holds changes in memory, ordered by bucket and key. A nil value marks a deleted key.
 type memtable struct {
 	entries      btree.Map[string, []byte] // by tableKey
-	bytes        int64                     // rough size in memory
-	lastSequence uint64                    // of the last record of the log that it holds
+	bytes        int64                     // approximate size in memory
+	lastSequence uint64                    // sequence of the last log record in this table or in those before it
 }
 
-// entryOverhead is roughly what an entry takes in memory beside the bytes of its key and value.
+// entryOverhead is the approximate memory of an entry, in bytes, apart from its key and value.
 const entryOverhead = 64
 
 func (m *memtable) set(key string, value []byte) {
@@ -20,13 +20,13 @@
 	}
 }
 
-// tableKey returns the key of an entry: a byte for the bucket, then the key in that bucket.
+// tableKey returns the key of an entry in a memory table: one byte for the bucket number, then the key in that bucket.
 func tableKey(bucket int, key []byte) string {
-	joined := make([]byte, 0, len(key)+1)
-	joined = append(joined, byte(bucket))
-	return string(append(joined, key...))
+	entryKey := make([]byte, 0, len(key)+1)
+	entryKey = append(entryKey, byte(bucket))
+	return string(append(entryKey, key...))
 }
 
-func splitTableKey(joined string) (bucket int, key string) {
-	return int(joined[0]), joined[1:]
+func splitTableKey(entryKey string) (bucket int, key string) {
+	return int(entryKey[0]), entryKey[1:]
 }
--- a/internal/durable/open.go
+++ b/internal/durable/open.go
@@ -17,19 +17,19 @@
 	logDirMode = 0o700
 )
 
-// The bucket with the state of the store itself, and its keys.
+// metaBucket holds the state of the store itself, under formatKey and appliedKey.
 var (
 	metaBucket = []byte("kitefall")
 	formatKey  = []byte("format")
-	appliedKey = []byte("applied") // sequence of the last record of the log that the file holds
+	appliedKey = []byte("applied") // sequence of the last log record whose changes are all in the file
 )
 
-// Open opens the store at path, or makes it, with the named buckets, of which there are at most 250. The format names
-// what the buckets hold.
+// Open opens the store at path, or creates it, with the named buckets, of which there may be at most 250. The format
+// names what the buckets hold.
 //
-// It returns ErrLocked, ErrFormat, ErrDamaged or an error of package wal, wrapped, and leaves the files as they are, if
-// another process holds the store, if it has another format, or if its file and log are damaged or do not belong
-// together.
+// Open returns an error that wraps ErrLocked if another process holds the store, ErrFormat if the store has another
+// format, and ErrDamaged or an error of package wal if the file or the log is damaged or the two do not belong together.
+// It leaves the files as they are in these cases.
 func Open(path, format string, buckets []string, o Options) (db *DB, err error) {
 	defer func() { // bbolt panics on some damaged files
 		if p := recover(); p != nil {
@@ -45,7 +45,7 @@
 	db.file, err = openFile(path, o.LockDeadline, &bolt.Options{
 		ReadOnly:     o.ReadOnly,
 		FreelistType: bolt.FreelistMapType,
-		// If read-only, bbolt would load the free list in the middle of the check, while the pages are released.
+		// Without this option, bbolt would load the free list of a read-only file during check, while pages are released.
 		PreLoadFreelist: true,
 	})
 	if err != nil {
@@ -58,7 +58,7 @@
 	return db, nil
 }
 
-// openFile opens a bbolt file. It sets the timeout of the options.
+// openFile opens a bbolt file. It waits for the lock of the file until lockDeadline, by setting the timeout in o.
 func openFile(path string, lockDeadline time.Time, o *bolt.Options) (*bolt.DB, error) {
 	o.Timeout = time.Until(lockDeadline)
 	file, err := bolt.Open(path, fileMode, o)
@@ -71,8 +71,8 @@
 	return file, nil
 }
 
-// checkFileSize returns an error if the file lacks pages. bbolt would map a truncated file all the same, and the first
-// access to a missing page would end the process.
+// checkFileSize returns an error if the file is too short for its pages. bbolt would map a truncated file without an
+// error, and the first access to a missing page would kill the process.
 func (db *DB) checkFileSize() error {
 	info, err := os.Stat(db.path)
 	if errors.Is(err, os.ErrNotExist) && !db.options.ReadOnly {
@@ -91,13 +91,14 @@
 	defer file.Close()
 	return file.View(func(tx *bolt.Tx) error {
 		if tx.Size() > info.Size() {
-			return fmt.Errorf("%w: %s has %d bytes of %d", ErrDamaged, db.path, info.Size(), tx.Size())
+			return fmt.Errorf("%w: %s is truncated: it has %d of %d bytes", ErrDamaged, db.path, info.Size(), tx.Size())
 		}
 		return nil
 	})
 }
 
-// recoverState reads the state of the file and of the log and, unless the store is read-only, starts its goroutines.
+// recoverState loads the state from the file and the log. Unless the store is read-only, it also starts the goroutines
+// of the store.
 func (db *DB) recoverState() error {
 	if err := db.loadFile(); err != nil {
 		return err
@@ -109,13 +110,14 @@
 	return db.start(nextSequence, logEnd)
 }
 
-// loadFile checks the file, makes what is missing in a new one, and reads what it holds of the log.
+// loadFile checks the file, creates the missing buckets, and reads the sequence of the last log record whose changes are
+// all in the file.
 func (db *DB) loadFile() error {
-	stop := db.releasePagesRepeatedly() // a check reads every page, and they must not all stay in memory
+	stop := db.releasePagesRepeatedly() // a check reads every page, and the pages must not all stay in memory
 	defer stop()
 	err := db.file.View(func(tx *bolt.Tx) error {
 		if first, _ := tx.Cursor().First(); first == nil && !db.options.ReadOnly {
-			return nil // a new file
+			return nil // the file is new
 		}
 		if err := db.loadMeta(tx); err != nil || !db.options.VerifyOnOpen {
 			return err
@@ -125,22 +127,22 @@
 	if err != nil || db.options.ReadOnly {
 		return err
 	}
-	return db.file.Update(db.initialize)
+	return db.file.Update(db.initializeFile)
 }
 
 func (db *DB) loadMeta(tx *bolt.Tx) error {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
-		return fmt.Errorf("%w: %s is not a store of this program", ErrFormat, db.path)
+		return fmt.Errorf("%w: %s is not a kitefall store", ErrFormat, db.path)
 	}
 	if format := string(meta.Get(formatKey)); format != db.format {
-		return fmt.Errorf("%w: %s holds %q, this program reads %q", ErrFormat, db.path, format, db.format)
+		return fmt.Errorf("%w: %s has format %q, this program reads %q", ErrFormat, db.path, format, db.format)
 	}
 	db.appliedSequence = decodeUint64(meta.Get(appliedKey))
 	return nil
 }
 
-func (db *DB) initialize(tx *bolt.Tx) error {
+func (db *DB) initializeFile(tx *bolt.Tx) error {
 	for _, name := range append(db.buckets, metaBucket) {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
@@ -149,8 +151,8 @@
 	return tx.Bucket(metaBucket).Put(formatKey, []byte(db.format))
 }
 
-// replayLog reads the records of the log that the file does not hold into memory. It returns the sequence of the next
-// record and where the last segment ends.
+// replayLog reads the log records that the file does not hold into the active memory table. It returns the sequence of
+// the next record and the offset at which the records of the last segment end.
 func (db *DB) replayLog() (nextSequence uint64, logEnd int64, err error) {
 	dir := LogDir(db.path)
 	applied := db.appliedSequence
@@ -167,12 +169,13 @@
 	}
 	if nextSequence <= applied {
 		last := nextSequence - 1
-		return 0, 0, fmt.Errorf("%w: the log in %s ends at record %d, the file holds %d", ErrDamaged, dir, last, applied)
+		return 0, 0, fmt.Errorf("%w: the log in %s ends at record %d, but the file holds records up to %d",
+			ErrDamaged, dir, last, applied)
 	}
 	return nextSequence, logEnd, nil
 }
 
-// start opens the log for writing and starts the goroutines of the store. Close ends them.
+// start opens the log for writing and starts the goroutines of the store, which Close stops.
 func (db *DB) start(nextSequence uint64, logEnd int64) error {
 	dir := LogDir(db.path)
 	if err := os.MkdirAll(dir, logDirMode); err != nil {
--- a/internal/durable/open_test.go
+++ b/internal/durable/open_test.go
@@ -20,7 +20,7 @@
 	writeNumbers(t, db)
 	_, err := Open(path, testFormat, nil, Options{LockDeadline: time.Now().Add(50 * time.Millisecond)})
 	assert.ErrorIs(t, err, ErrLocked)
-	require.NoError(t, db.Snapshot(path+".copy")) // the checkpoint makes the file depend on its log
+	require.NoError(t, db.Snapshot(path+".copy")) // includes a checkpoint, after which Open requires the log
 	require.NoError(t, db.Close())
 	_, err = Open(path, "test 2", testBuckets, Options{})
 	assert.ErrorIs(t, err, ErrFormat)
@@ -28,11 +28,11 @@
 	require.NoError(t, err)
 	require.NoError(t, os.Rename(LogDir(path), LogDir(path)+".away"))
 	_, err = Open(path, testFormat, testBuckets, Options{})
-	assert.ErrorIs(t, err, ErrDamaged, "the log of %d segments is missing", len(segments))
+	assert.ErrorIs(t, err, ErrDamaged, "the log of %d segments was moved away", len(segments))
 }
 
-// Damaged files are rejected, with an error that says so, and left as they are.
-func TestOpenLeavesDamagedFilesAlone(t *testing.T) {
+// Open returns an error for damaged files and does not change them.
+func TestOpenRejectsDamagedFilesWithoutChangingThem(t *testing.T) {
 	path := storePath(t)
 	db := open(t, path, Options{SegmentBytes: 8 << 10})
 	writeNumbers(t, db)
@@ -44,12 +44,12 @@
 			assertRejected(t, bytes.Clone(intact[:size]))
 		})
 	}
-	t.Run("no database", func(t *testing.T) {
+	t.Run("only zeros", func(t *testing.T) {
 		assertRejected(t, make([]byte, len(intact)))
 	})
 	t.Run("a flipped bit in a key", func(t *testing.T) {
 		flipped := bytes.Clone(intact)
-		for i := range flipped { // in every page that has the key, of which one is in use
+		for i := range flipped { // several pages may contain the key, but only one of them is in use
 			if bytes.HasPrefix(flipped[i:], []byte("299")) {
 				flipped[i+2] ^= 1
 			}
@@ -66,7 +66,7 @@
 	}
 }
 
-// assertRejected checks that a file with this content cannot be opened, and is not changed.
+// assertRejected checks that Open returns an error for a file with this content and does not change the file.
 func assertRejected(t *testing.T, content []byte) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "broken.db")
--- a/internal/durable/options.go
+++ b/internal/durable/options.go
@@ -6,26 +6,26 @@
 	"kitefall/internal/wal"
 )
 
-// Options say how a DB is kept. A field that is zero has its default.
+// Options configure a DB. A field with the zero value has its default. Sizes are in bytes.
 type Options struct {
-	FS                 wal.FS        // file system of the log
-	SegmentBytes       uint32        // size of a segment of the log
-	CheckpointBytes    int64         // changes of this size in memory cause a checkpoint
-	CheckpointInterval time.Duration // changes stay in memory only for about so long before a checkpoint
-	MaxBufferedBytes   int64         // changes of this size in memory wait for a checkpoint, or fail if checkpoints fail
-	MaxBatch           int           // changes that share one sync at most
-	LockDeadline       time.Time     // how long to wait while another process holds the file
-	ReadOnly           bool          // nothing is written; no other process may hold the file
-	VerifyOnOpen       bool          // check all pages and values of the file first
-	OnRollback         func()        // called by the writer when a group of changes was not written to the disk
-	MemoryBuckets      []string      // buckets that are kept in memory alone; their numbers follow those of the others
+	FS                 wal.FS        // file system that holds the log
+	SegmentBytes       uint32        // size of a log segment
+	CheckpointBytes    int64         // size of the active memory table at which a checkpoint starts
+	CheckpointInterval time.Duration // interval at which a checkpoint starts if changes are in memory
+	MaxBufferedBytes   int64         // limit of the changes in memory; above it, updates wait for a checkpoint or fail if it fails
+	MaxGroupUpdates    int           // maximum number of updates that share one sync of the log
+	LockDeadline       time.Time     // until when Open waits if another process holds the file
+	ReadOnly           bool          // nothing is written; no other process may hold the file for writing
+	VerifyOnOpen       bool          // Open checks all pages and values of the file
+	OnRollback         func()        // called by the writer when a group of updates failed because it was not written to the log
+	MemoryBuckets      []string      // buckets that are kept only in memory; their numbers follow those of the buckets in the file
 }
 
 const (
 	defaultCheckpointBytes    = 4 << 20
 	defaultCheckpointInterval = time.Second
 	defaultMaxBufferedBytes   = 16 << 20
-	defaultMaxBatch           = 512
+	defaultMaxGroupUpdates    = 512
 	defaultLockTimeout        = time.Second
 )
 
@@ -34,7 +34,7 @@
 		o.FS = wal.Disk{}
 	}
 	if o.SegmentBytes == 0 {
-		o.SegmentBytes = wal.DefaultSegment
+		o.SegmentBytes = wal.DefaultSegmentSize
 	}
 	if o.CheckpointBytes == 0 {
 		o.CheckpointBytes = defaultCheckpointBytes
@@ -45,8 +45,8 @@
 	if o.MaxBufferedBytes == 0 {
 		o.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
-	if o.MaxBatch == 0 {
-		o.MaxBatch = defaultMaxBatch
+	if o.MaxGroupUpdates == 0 {
+		o.MaxGroupUpdates = defaultMaxGroupUpdates
 	}
 	if o.LockDeadline.IsZero() {
 		o.LockDeadline = time.Now().Add(defaultLockTimeout)
--- a/internal/durable/pages.go
+++ b/internal/durable/pages.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// releaseInterval is how often pages of the file are released.
+	// releaseInterval is the interval at which the checkpointer releases the mapped pages of the file.
 	releaseInterval = 50 * time.Millisecond
 
-	// releaseIntervalOnOpen is that interval while Open reads the whole file.
+	// releaseIntervalOnOpen is the interval at which Open releases the pages while it reads the whole file.
 	releaseIntervalOnOpen = 2 * time.Millisecond
 )
 
-// releasePages gives the pages of the file that were read back to the system. bbolt maps the file, and each page that
-// was read counts as memory of the process until the system needs it. A page that is read again is mapped again.
+// releasePages returns the memory of mapped file pages to the operating system. bbolt maps the file, and each page that
+// was read counts as memory of the process until the system reclaims it. A page that is read again is loaded again.
 func (db *DB) releasePages() {
-	db.file.View(func(tx *bolt.Tx) error { // bbolt does not change the mapping during a transaction
+	db.file.View(func(tx *bolt.Tx) error { // bbolt does not change the mapping during a read transaction
 		address, size := db.mappedPages(tx)
 		if size > 0 {
-			// This only advises the system. If the call fails, the pages stay.
+			// madvise is only advice to the system. If the call fails, the pages stay in memory.
 			syscall.Syscall(syscall.SYS_MADVISE, address, size, syscall.MADV_DONTNEED)
 		}
 		return nil
 	})
 }
 
-// mappedPages returns where the pages in use are mapped. The file may be longer than its mapping, since bbolt makes it
-// grow in large steps; the memory behind the mapping belongs to the rest of the program.
+// mappedPages returns the address and the size in bytes of the mapped pages that are in use. It does not use the size of
+// the file: bbolt grows the file in large steps, so the file may be longer than its mapping, and the memory after the
+// mapping belongs to other parts of the program.
 func (db *DB) mappedPages(tx *bolt.Tx) (address, size uintptr) {
 	return db.file.Info().Data, uintptr(tx.Size())
 }
 
-// releasePagesRepeatedly releases pages on a goroutine until stop is called, which waits for its end.
+// releasePagesRepeatedly releases pages on a goroutine, every releaseIntervalOnOpen, until stop is called. stop waits for
+// the goroutine to end.
 func (db *DB) releasePagesRepeatedly() (stop func()) {
 	stopped := make(chan struct{})
 	var goroutine sync.WaitGroup
--- a/internal/durable/pages_test.go
+++ b/internal/durable/pages_test.go
@@ -11,8 +11,8 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Pages are released while the file grows and is mapped anew. The released range must never reach past the mapping,
-// behind which other memory of the program lies: bbolt makes the file longer than its mapping.
+// Pages are released while the file grows and is mapped again. bbolt makes the file longer than its mapping, so a range
+// based on the size of the file would reach past the mapping and release other memory of the program.
 func TestReleasedPagesAreWithinTheMapping(t *testing.T) {
 	path := storePath(t)
 	db := open(t, path, Options{CheckpointBytes: 1 << 20})
@@ -30,7 +30,7 @@
 	require.Len(t, readAll(t, db, 0), 230)
 }
 
-// requireMapped fails unless a range is within the mapping of the file that begins at its address.
+// requireMapped fails the test unless the mapping that begins at address belongs to the file and contains the whole range.
 func requireMapped(t *testing.T, path string, address, size uintptr) error {
 	t.Helper()
 	maps, err := os.ReadFile("/proc/self/maps")
@@ -44,5 +44,5 @@
 			return nil
 		}
 	}
-	return errors.New("the file is not mapped")
+	return errors.New("no mapping begins at the address")
 }
--- a/internal/durable/scan.go
+++ b/internal/durable/scan.go
@@ -8,7 +8,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// scanPageSize is how many pairs Scan reads at a time.
+// scanPageSize is the number of key-value pairs that Scan reads at a time.
 const scanPageSize = 256
 
 type pair struct {
@@ -17,13 +17,14 @@
 }
 
 // Scan calls visit for the pairs of a bucket in the order of their keys, beginning at the key from, until visit returns
-// false. It sees what the present group of updates has written. The bucket must not be a memory bucket. The function
-// may read and write by the Tx; of what it writes, Scan sees a part only.
+// false. The pairs include what the current group of updates has written. The bucket must not be a memory bucket. visit
+// may read and write through the Tx. Scan reads up to scanPageSize pairs in advance, so visit sees only a part of its own
+// writes.
 func (tx *Tx) Scan(bucket int, from []byte, visit func(key, value []byte) bool) {
 	for {
 		page, err := tx.scanPage(bucket, from)
 		if err != nil {
-			tx.failed = errors.Join(tx.failed, err)
+			tx.err = errors.Join(tx.err, err)
 			return
 		}
 		for _, p := range page {
@@ -35,7 +36,7 @@
 			return
 		}
 		last := page[len(page)-1].key
-		from = append(last, 0) // the least key after it
+		from = append(last, 0) // the smallest key greater than last
 	}
 }
 
@@ -57,22 +58,22 @@
 	return page, err
 }
 
-// sortedWrites returns what the group has written to a bucket, in order.
+// sortedWrites returns what the current group of updates has written to a bucket, in the order of the keys.
 func (tx *Tx) sortedWrites(bucket int) *btree.Map[string, []byte] {
 	sorted := &btree.Map[string, []byte]{}
-	for joined, value := range tx.writes {
-		if number, _ := splitTableKey(joined); number == bucket {
-			sorted.Set(joined, value)
+	for entryKey, value := range tx.writes {
+		if number, _ := splitTableKey(entryKey); number == bucket {
+			sorted.Set(entryKey, value)
 		}
 	}
 	return sorted
 }
 
-// tableCursor walks the entries of one bucket in a table.
+// tableCursor iterates over the entries of one bucket in a memory table.
 type tableCursor struct {
 	iterator btree.MapIter[string, []byte]
 	bucket   int
-	valid    bool // it stands on an entry
+	valid    bool // the iterator is at an entry of the bucket
 }
 
 func newTableCursor(entries *btree.Map[string, []byte], bucket int, from []byte) *tableCursor {
@@ -93,23 +94,24 @@
 
 func (c *tableCursor) next() { c.valid = c.iterator.Next() && c.inBucket() }
 
-// mergeScan walks tables and the file together. Of a key that several have, the value of the first table counts, and
-// that of the file last; a nil value hides the key.
+// mergeScan merges the entries of the tables and of the file in the order of their keys. If several tables have a key,
+// the value of the first of them is used; the value in the file is used only if no table has the key. A nil value in a
+// table hides the key.
 func mergeScan(bucket int, from []byte, tables []*btree.Map[string, []byte], file *bolt.Cursor,
 	visit func(key, value []byte) bool) error {
 	cursors := make([]*tableCursor, len(tables))
 	for i, entries := range tables {
 		cursors[i] = newTableCursor(entries, bucket, from)
 	}
-	fileKey, sealed := file.Seek(from)
+	fileKey, stored := file.Seek(from)
 	for {
-		key, found := leastKey(cursors)
+		key, found := smallestKey(cursors)
 		if fileKey != nil && (!found || string(fileKey) < key) {
-			value, err := unseal(fileKey, sealed)
+			value, err := verifyChecksum(fileKey, stored)
 			if err != nil || !visit(bytes.Clone(fileKey), value) {
 				return err
 			}
-			fileKey, sealed = file.Next()
+			fileKey, stored = file.Next()
 			continue
 		}
 		if !found {
@@ -117,7 +119,7 @@
 		}
 		value := takeValue(cursors, key)
 		if fileKey != nil && string(fileKey) == key {
-			fileKey, sealed = file.Next()
+			fileKey, stored = file.Next()
 		}
 		if value != nil && !visit([]byte(key), value) {
 			return nil
@@ -125,17 +127,17 @@
 	}
 }
 
-func leastKey(cursors []*tableCursor) (least string, found bool) {
+func smallestKey(cursors []*tableCursor) (smallest string, found bool) {
 	for _, c := range cursors {
-		if c.valid && (!found || c.key() < least) {
-			least = c.key()
+		if c.valid && (!found || c.key() < smallest) {
+			smallest = c.key()
 			found = true
 		}
 	}
-	return least, found
+	return smallest, found
 }
 
-// takeValue returns the value that the first cursor has for a key, and moves all cursors behind that key.
+// takeValue returns the value of a key from the first cursor that has it, and advances all cursors past that key.
 func takeValue(cursors []*tableCursor, key string) []byte {
 	var value []byte
 	taken := false
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -11,66 +11,66 @@
 	"kitefall/internal/wal"
 )
 
-// Snapshot writes a copy of the store to a new file, while the store is in use. The copy is a store without a log.
+// Snapshot writes a copy of the store to a new file while the store is in use. The copy is a store without a log.
 func (db *DB) Snapshot(path string) error {
 	if exists(path) {
-		return fmt.Errorf("%s is there already", path)
+		return fmt.Errorf("%s already exists", path)
 	}
-	temporary := path + ".tmp"
-	defer os.Remove(temporary)
+	temporaryPath := path + ".tmp"
+	defer os.Remove(temporaryPath)
 	err := db.runMaintenance(func() error {
 		if err := db.checkpointAll(); err != nil {
 			return err
 		}
-		return copyFile(db.file, temporary)
+		return copyFile(db.file, temporaryPath)
 	})
 	if err != nil {
 		return err
 	}
-	if err := detachFromLog(temporary); err != nil {
+	if err := detachFromLog(temporaryPath); err != nil {
 		return err
 	}
-	return renameDurably(temporary, path)
+	return renameDurably(temporaryPath, path)
 }
 
-// Restore puts a snapshot in the place of a store, of which no file may exist. It returns ErrDamaged or ErrFormat,
-// wrapped, if the snapshot cannot be used.
+// Restore creates the store at path from a snapshot. No file of that store may exist yet. Restore returns an error that
+// wraps ErrDamaged or ErrFormat if the snapshot cannot be used.
 func Restore(snapshot, path, format string) error {
 	for _, file := range append(Files(path), LogDir(path)) {
 		if exists(file) {
-			return fmt.Errorf("%s is there: move it away first", file)
+			return fmt.Errorf("%s already exists: move it away first", file)
 		}
 	}
 	if exists(LogDir(snapshot)) {
-		return fmt.Errorf("%s has a log beside it: it is a store in use, not a snapshot", snapshot)
+		return fmt.Errorf("%s has a log directory next to it: it is a store, not a snapshot", snapshot)
 	}
 	db, err := Open(snapshot, format, nil, Options{ReadOnly: true, VerifyOnOpen: true})
 	if err != nil {
 		return err
 	}
-	temporary := path + ".restore"
-	defer os.Remove(temporary)
-	err = copyFile(db.file, temporary)
+	temporaryPath := path + ".restore"
+	defer os.Remove(temporaryPath)
+	err = copyFile(db.file, temporaryPath)
 	if err = errors.Join(err, db.Close()); err != nil {
 		return err
 	}
-	return renameDurably(temporary, path)
+	return renameDurably(temporaryPath, path)
 }
 
-// checkpointAll writes all that is in memory to the file. It runs on the checkpointer's goroutine.
+// checkpointAll writes all memory tables to the file. It must be called on the checkpointer's goroutine.
 func (db *DB) checkpointAll() error {
 	if err := db.checkpointFrozen(); err != nil {
 		return err
 	}
 	db.freeze()
 	select {
-	case <-db.checkpoint: // it is done here
+	case <-db.checkpointRequests: // drop the request of freeze: the checkpoint is done below
 	default:
 	}
 	return db.checkpointFrozen()
 }
 
-// detachFromLog makes a copy of the file a store without a log.
+// detachFromLog removes the log sequence from a copy of the file, so that Open accepts the copy as a store without a log.
 func detachFromLog(path string) error {
 	file, err := openNewFile(path)
 	if err != nil {
@@ -84,13 +84,13 @@
 	return from.View(func(tx *bolt.Tx) error { return tx.CopyFile(to, fileMode) })
 }
 
-// exists reports whether there may be something at path.
+// exists reports whether a file exists at path. It also returns true if that cannot be determined.
 func exists(path string) bool {
 	_, err := os.Lstat(path)
 	return !errors.Is(err, os.ErrNotExist)
 }
 
-// renameDurably gives a complete file its final name. When it returns, both are on the disk.
+// renameDurably gives a complete file its final name. When it returns nil, the content and the name are on the disk.
 func renameDurably(from, to string) error {
 	file, err := os.OpenFile(from, os.O_RDWR, 0)
 	if err != nil {
--- a/internal/durable/writer.go
+++ b/internal/durable/writer.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// update is a change that waits for the writer.
+// update is a change that is queued for the writer.
 type update struct {
 	change func(*Tx) error
-	done   chan error // takes the result; it has room for it
+	done   chan error // receives the result; buffered, so the writer never blocks on it
 }
 
-// runWriter is the writer. It ends when the store is closed.
+// runWriter runs the writer: until the store is closed, it carries out updates, freezes the active memory table for
+// checkpoints, and removes log segments that are no longer needed.
 func (db *DB) runWriter() {
 	defer close(db.writerDone)
 	ticker := time.NewTicker(db.options.CheckpointInterval)
@@ -20,7 +21,7 @@
 	for {
 		select {
 		case u := <-db.updates:
-			db.waitForCheckpoint()
+			db.waitForBufferSpace()
 			db.commitGroup(u)
 		case <-ticker.C:
 			db.freeze()
@@ -34,7 +35,7 @@
 	}
 }
 
-// releaseLog removes the segments of the log whose records are all in the file.
+// releaseLog removes the log segments whose records are all in the file.
 func (db *DB) releaseLog() {
 	db.mu.RLock()
 	applied := db.appliedSequence
@@ -50,12 +51,12 @@
 	return db.active.bytes
 }
 
-// commitGroup carries out an update and those that wait behind it, with one record of the log.
+// commitGroup carries out an update and those queued behind it as one group, and writes one log record for the group.
 func (db *DB) commitGroup(first *update) {
 	tx := &Tx{db: db, writes: map[string][]byte{}}
 	var applied []*update
-	for u := first; u != nil; u = db.nextOfGroup(tx, len(applied)) {
-		if err := db.apply(tx, u); err != nil {
+	for u := first; u != nil; u = db.nextInGroup(tx, len(applied)) {
+		if err := db.applyUpdate(tx, u); err != nil {
 			u.done <- err
 			continue
 		}
@@ -70,10 +71,11 @@
 	}
 }
 
-// nextOfGroup returns the next update that joins a group; nil: the group is complete.
-func (db *DB) nextOfGroup(tx *Tx, applied int) *update {
+// nextInGroup returns the next update of a group to which applied updates belong so far. It returns nil if the group is
+// complete: it has reached its maximum size, or no update is queued.
+func (db *DB) nextInGroup(tx *Tx, applied int) *update {
 	maxBytes := int(db.options.SegmentBytes) / 4
-	if applied >= db.options.MaxBatch || tx.bytes >= maxBytes {
+	if applied >= db.options.MaxGroupUpdates || tx.bytes >= maxBytes {
 		return nil
 	}
 	select {
@@ -84,29 +86,29 @@
 	}
 }
 
-// apply lets an update write to the group's transaction. If it fails, it leaves nothing behind.
-func (db *DB) apply(tx *Tx, u *update) error {
+// applyUpdate carries out an update in the transaction of its group. If the update fails, its writes are rolled back.
+func (db *DB) applyUpdate(tx *Tx, u *update) error {
 	tx.beginUpdate()
-	if err := db.checkBuffered(); err != nil {
+	if err := db.checkBufferedBytes(); err != nil {
 		return err
 	}
 	err := u.change(tx)
-	err = errors.Join(err, tx.failed)
+	err = errors.Join(err, tx.err)
 	if err != nil {
 		tx.rollback()
 	}
 	return err
 }
 
-// publish writes the changes of a group to the log and then lets readers see them.
+// publish writes the changes of a group to the log and then makes them visible to readers.
 func (db *DB) publish(writes map[string][]byte) error {
 	if len(writes) == 0 {
 		return nil
 	}
-	db.record = appendGroup(db.record[:0], writes, len(db.buckets))
-	logged := len(db.record) > 0
+	db.recordBuffer = appendGroup(db.recordBuffer[:0], writes, len(db.buckets))
+	logged := len(db.recordBuffer) > 0
 	if logged {
-		if err := db.log.Append(db.record); err != nil {
+		if err := db.log.Append(db.recordBuffer); err != nil {
 			return err
 		}
 	}
@@ -115,23 +117,24 @@
 	for key, value := range writes {
 		bucket, _ := splitTableKey(key)
 		switch {
-		case !db.isVolatile(bucket):
+		case !db.isMemoryBucket(bucket):
 			db.active.set(key, value)
 		case value == nil:
-			db.volatile.entries.Delete(key)
+			db.memoryBuckets.entries.Delete(key)
 		default:
-			db.volatile.entries.Set(key, value)
+			db.memoryBuckets.entries.Set(key, value)
 		}
 	}
 	if logged {
-		db.active.lastSequence = db.log.Next() - 1
+		db.active.lastSequence = db.log.NextSequence() - 1
 	}
 	return nil
 }
 
-// waitForCheckpoint waits for a checkpoint while too much is in memory. It does not wait once checkpoints fail.
-func (db *DB) waitForCheckpoint() {
-	for db.checkBuffered() != nil {
+// waitForBufferSpace waits for checkpoints while the changes in memory exceed MaxBufferedBytes. It stops waiting if the
+// latest checkpoint failed.
+func (db *DB) waitForBufferSpace() {
+	for db.checkBufferedBytes() != nil {
 		db.freeze()
 		db.mu.RLock()
 		failed := db.checkpointFailed
@@ -147,8 +150,8 @@
 	}
 }
 
-// checkBuffered returns ErrCheckpointBehind while too much is in memory.
-func (db *DB) checkBuffered() error {
+// checkBufferedBytes returns ErrCheckpointBehind if the changes in memory exceed MaxBufferedBytes.
+func (db *DB) checkBufferedBytes() error {
 	db.mu.RLock()
 	defer db.mu.RUnlock()
 	buffered := db.active.bytes
--- a/internal/failpoint/off.go
+++ b/internal/failpoint/off.go
@@ -1,9 +1,9 @@
 //go:build !failpoint
 
-// Package failpoint names points of the program at which a test may kill the whole process. In a usual build a point is
-// an empty function. In a build with the tag failpoint, the environment variable KITEFALL_FAILPOINT=NAME or NAME:N kills
-// the process with SIGKILL when the point NAME is reached for the Nth time.
+// Package failpoint marks points in the program at which a test can kill the whole process. In a normal build, Hit does
+// nothing. In a build with the tag failpoint and with KITEFALL_FAILPOINT=NAME or NAME:N in the environment, the process
+// kills itself with SIGKILL when it reaches the failpoint NAME for the first or the Nth time.
 package failpoint
 
-// Hit does nothing in a usual build.
+// Hit does nothing in a normal build.
 func Hit(string) {}
--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -1,6 +1,6 @@
 //go:build failpoint
 
-// Package failpoint names points of the program at which a test may kill the whole process.
+// Package failpoint marks points in the program at which a test can kill the whole process.
 package failpoint
 
 import (
@@ -11,28 +11,28 @@
 	"syscall"
 )
 
-// environment names the variable that chooses the point.
-const environment = "KITEFALL_FAILPOINT"
+// environmentVariable selects a failpoint, as NAME or NAME:N.
+const environmentVariable = "KITEFALL_FAILPOINT"
 
 var (
-	chosenPoint   string       // set once, before main
-	remainingHits atomic.Int64 // hits of the chosen point until the process is killed
+	selectedPoint string       // set only by init
+	remainingHits atomic.Int64 // number of hits of the selected failpoint until the process is killed
 )
 
 func init() {
-	point, countText, hasCount := strings.Cut(os.Getenv(environment), ":")
-	chosenPoint = point
+	point, countText, hasCount := strings.Cut(os.Getenv(environmentVariable), ":")
+	selectedPoint = point
 	remainingHits.Store(1)
 	if count, err := strconv.ParseInt(countText, 10, 64); hasCount && err == nil {
 		remainingHits.Store(count)
 	}
 }
 
-// Hit kills the process if point is the one chosen by the environment and its count is reached. It is safe for concurrent
-// use.
+// Hit kills the process if point is the selected failpoint and has now been reached as often as the environment variable
+// says. It is safe for concurrent use.
 func Hit(point string) {
-	if point == chosenPoint && remainingHits.Add(-1) == 0 {
+	if point == selectedPoint && remainingHits.Add(-1) == 0 {
 		syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {} // until the signal arrives: nothing after this point may happen
+		select {} // blocks until the signal arrives, so that no code after the failpoint runs
 	}
 }
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -6,21 +6,22 @@
 	"hash/crc32"
 )
 
-// Records follow one another in a segment; a header of zeros ends them. A record is:
+// The records of a segment are stored without gaps; a record header that consists of zeros marks their end. The fields
+// of a record, with their sizes in bytes, are:
 //
 //	length:4 sequence:8 payloadChecksum:4 headerChecksum:4, payload, endMark:4
 const (
 	recordHeaderSize     = 20
-	recordHeaderChecksum = recordHeaderSize - 4 // offset; it covers all before it
+	recordHeaderChecksum = recordHeaderSize - 4 // offset of the headerChecksum, which covers the header up to there
 	endMarkSize          = 4
 	sectorSize           = 512
 )
 
-// endMark ends each record. It has no zero byte, so it tells a record that was written completely and damaged later
-// from one whose end never reached the disk.
+// endMark ends each record. None of its bytes is zero, so it distinguishes a record that was written completely and
+// damaged later from one whose end never reached the disk.
 var endMark = []byte{0xA5, 0x5A, 0xC3, 0x3C}
 
-// recordSize is the size in a segment of a record with a payload of this length.
+// recordSize returns the size of a record with a payload of the given length, in bytes.
 func recordSize(payloadLength int) int { return recordHeaderSize + payloadLength + endMarkSize }
 
 func appendRecord(segment []byte, sequence uint64, payload []byte) []byte {
@@ -34,12 +35,12 @@
 }
 
 type recordHeader struct {
-	length          uint32 // of the payload
+	length          uint32 // length of the payload, in bytes
 	sequence        uint64
 	payloadChecksum uint32
 }
 
-// decodeRecordHeader reports false if the header is not intact.
+// decodeRecordHeader decodes a record header. It reports false if the checksum of the header is wrong.
 func decodeRecordHeader(encoded []byte) (h recordHeader, ok bool) {
 	checksum := binary.BigEndian.Uint32(encoded[recordHeaderChecksum:])
 	if crc32.Checksum(encoded[:recordHeaderChecksum], castagnoli) != checksum {
@@ -57,24 +58,24 @@
 	payload  []byte
 }
 
-// recordStatus is what the bytes at an offset turn out to be.
+// recordStatus says what the bytes at an offset of a segment are.
 type recordStatus int
 
 const (
-	intact       recordStatus = iota // a record
-	endOfRecords                     // zeros to the end of the segment
-	torn                             // a record whose write did not end, so it was never acknowledged
-	damaged                          // a record that was intact and is not any more
+	intact       recordStatus = iota // an intact record
+	endOfRecords                     // zeros up to the end of the segment
+	torn                             // a record whose write was interrupted, so it was never acknowledged
+	damaged                          // a record that was written completely and has changed since
 )
 
-// readRecord reads the record at an offset of a segment; rest are the bytes from there to the end of the segment. The
-// record is valid only if it is intact.
+// readRecord reads the record at an offset of a segment. rest holds the bytes of the segment from that offset on. The
+// returned record is valid only if the status is intact.
 func readRecord(rest []byte, offset int64) (record, recordStatus) {
 	if len(rest) < recordSize(0) || isZero(rest[:recordHeaderSize]) {
 		if isZero(rest) {
 			return record{}, endOfRecords
 		}
-		// Something was written behind a header that reads as zeros: only the header may be lost.
+		// The header reads as zeros, but bytes after it do not, so only the sectors of the header can be lost.
 		return record{}, tornOrDamaged(rest, offset, min(len(rest), recordHeaderSize))
 	}
 	header, ok := decodeRecordHeader(rest)
@@ -95,8 +96,8 @@
 	return record{sequence: header.sequence, payload: payload}, intact
 }
 
-// tornOrDamaged tells why the record in the first size bytes of rest is not intact. A sector that never reached the
-// disk still reads as the zeros that the segment was filled with; bytes that were changed later do not.
+// tornOrDamaged returns why the record in the first size bytes of rest is not intact. A sector that never reached the
+// disk still holds the zeros that the segment was filled with; a sector that was written and changed later does not.
 func tornOrDamaged(rest []byte, offset int64, size int) recordStatus {
 	if hasLostSector(rest, offset, size) {
 		return torn
@@ -104,8 +105,8 @@
 	return damaged
 }
 
-// hasLostSector reports whether a sector that the first size bytes of rest touch reads as zeros, from the start of the
-// sector or of rest to the end of the sector. What was never written leaves zeros behind the record as well.
+// hasLostSector reports whether one of the sectors that hold the first size bytes of rest reads as never written: as zeros
+// from its start, or from the start of rest, to its end. If its end lies after the record, the bytes there are zeros too.
 func hasLostSector(rest []byte, offset int64, size int) bool {
 	for from := 0; from < size; {
 		inSector := int((offset + int64(from)) % sectorSize)
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -2,30 +2,30 @@
 
 import "fmt"
 
-// Visitor takes a record of a log. The payload must not be changed.
+// Visitor processes a record of a log. It must not change the payload.
 type Visitor func(sequence uint64, payload []byte) error
 
-// Replay reads all records in a directory in order and changes nothing. It calls visit for each record whose sequence
-// is greater than after; the records up to there need not exist any more, but all later ones must.
+// Replay reads all records of the log in dir in order and changes no file. It calls visit for each record whose sequence
+// is greater than after. Records up to that sequence may have been removed, but all later ones must exist.
 //
-// It returns the sequence of the next record and where the records of the last segment end. It returns ErrDamaged or
-// ErrVersion, wrapped, if the log cannot be read, and any error of visit. A last record whose write did not end is
-// left out.
-func Replay(dir string, after uint64, visit Visitor) (next uint64, end int64, err error) {
-	firsts, err := Segments(dir)
-	if err != nil || len(firsts) == 0 {
+// Replay returns the sequence of the next record and the offset at which the records of the last segment end. It returns
+// an error that wraps ErrDamaged or ErrVersion if the log cannot be read, and any error of visit. A last record whose
+// write was interrupted is skipped.
+func Replay(dir string, after uint64, visit Visitor) (nextSequence uint64, end int64, err error) {
+	firstSequences, err := Segments(dir)
+	if err != nil || len(firstSequences) == 0 {
 		return after + 1, 0, err
 	}
-	segments := make([]segment, len(firsts))
-	for i, first := range firsts {
-		if segments[i], err = readSegment(dir, first); err != nil {
+	segments := make([]segment, len(firstSequences))
+	for i, firstSequence := range firstSequences {
+		if segments[i], err = readSegment(dir, firstSequence); err != nil {
 			return 0, 0, err
 		}
 	}
-	if firsts[0] > after+1 {
-		return 0, 0, missingRecordsError(after+1, firsts[0])
+	if firstSequences[0] > after+1 {
+		return 0, 0, missingRecordsError(after+1, firstSequences[0])
 	}
-	r := replayer{after: after, next: firsts[0], visit: visit}
+	r := replayer{after: after, nextSequence: firstSequences[0], visit: visit}
 	last := len(segments) - 1
 	for i, s := range segments[:last] {
 		if err := r.replayCompleted(s, segments[i+1]); err != nil {
@@ -36,24 +36,25 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	return r.next, end, nil
+	return r.nextSequence, end, nil
 }
 
-func missingRecordsError(first, next uint64) error {
-	return fmt.Errorf("%w: records %d to %d are missing", ErrDamaged, first, next-1)
+func missingRecordsError(firstMissing, nextPresent uint64) error {
+	return fmt.Errorf("%w: records %d to %d are missing", ErrDamaged, firstMissing, nextPresent-1)
 }
 
-// replayer reads segments one after another.
+// replayer replays the segments of a log one after another.
 type replayer struct {
-	after uint64 // records up to this sequence are not visited
-	next  uint64 // sequence of the next record
-	visit Visitor
+	after        uint64 // records up to this sequence are not visited
+	nextSequence uint64 // sequence of the next record
+	visit        Visitor
 }
 
-// replayCompleted reads a segment that has a successor, which says where its records end.
+// replayCompleted replays a segment that has a successor. The header of the successor stores where the records of the
+// segment end.
 func (r *replayer) replayCompleted(s, successor segment) error {
 	limit := int64(successor.header.previousEnd)
-	if successor.header.previous != s.header.first || limit > int64(len(s.content)) {
+	if successor.header.previousFirst != s.header.firstSequence || limit > int64(len(s.content)) {
 		return fmt.Errorf("%w: %s does not follow %s", ErrDamaged, successor.path, s.path)
 	}
 	end, status, err := r.replayRecords(s, limit)
@@ -63,22 +64,22 @@
 	case status == torn:
 		return r.unreadableRecordError(s, end)
 	case end != limit:
-		return fmt.Errorf("%w: %s ends at byte %d and not at %d", ErrDamaged, s.path, end, limit)
+		return fmt.Errorf("%w: the records of %s end at byte %d instead of byte %d", ErrDamaged, s.path, end, limit)
 	}
 	return nil
 }
 
-// replayLast reads the last segment, whose last record may be torn, and returns where its records end.
+// replayLast replays the last segment, whose last record may be torn. It returns the offset at which its records end.
 func (r *replayer) replayLast(s segment) (end int64, err error) {
 	end, _, err = r.replayRecords(s, int64(len(s.content)))
 	return end, err
 }
 
-// replayRecords reads the records of a segment up to a limit, the end of the records or a torn one. It returns where
-// it stopped and what it found there; intact: the limit.
+// replayRecords replays the records of a segment until it reaches the offset limit, the end of the records or a torn
+// record. It returns the offset at which it stopped, and what it found there; the status is intact at the limit.
 func (r *replayer) replayRecords(s segment, limit int64) (end int64, status recordStatus, err error) {
-	if s.header.first != r.next {
-		return 0, damaged, missingRecordsError(r.next, s.header.first)
+	if s.header.firstSequence != r.nextSequence {
+		return 0, damaged, missingRecordsError(r.nextSequence, s.header.firstSequence)
 	}
 	end = headerSize
 	for end < limit {
@@ -86,7 +87,7 @@
 		if status == endOfRecords || status == torn {
 			return end, status, nil
 		}
-		if status != intact || found.sequence != r.next {
+		if status != intact || found.sequence != r.nextSequence {
 			return end, damaged, r.unreadableRecordError(s, end)
 		}
 		if found.sequence > r.after {
@@ -94,12 +95,12 @@
 				return end, intact, err
 			}
 		}
-		r.next++
+		r.nextSequence++
 		end += int64(recordSize(len(found.payload)))
 	}
 	return end, intact, nil
 }
 
 func (r *replayer) unreadableRecordError(s segment, offset int64) error {
-	return fmt.Errorf("%w: %s, byte %d: record %d cannot be read", ErrDamaged, s.path, offset, r.next)
+	return fmt.Errorf("%w: %s, byte %d: record %d cannot be read", ErrDamaged, s.path, offset, r.nextSequence)
 }
--- a/internal/wal/replay_test.go
+++ b/internal/wal/replay_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each byte of a log's last segment is changed in turn, and the segment is cut short: no acknowledged record is left
-// out without an error.
-func TestReplayFindsDamage(t *testing.T) {
+// If any byte of the header or the records of the last segment is changed, or the segment is truncated, Replay returns an
+// error. It must not skip an acknowledged record without an error.
+func TestReplayDetectsDamage(t *testing.T) {
 	dir := t.TempDir()
 	l := reopen(t, Disk{}, dir)
 	want := appendRecords(t, l, 1, 4)
@@ -30,7 +30,7 @@
 	}
 	require.NoError(t, os.WriteFile(path, intact[:l.end-1], 0o600))
 	_, _, _, err = replay(t, dir, 0)
-	assert.ErrorIs(t, err, ErrDamaged, "a file that was cut short")
+	assert.ErrorIs(t, err, ErrDamaged, "truncated segment")
 	require.NoError(t, os.WriteFile(path, append(newerHeader(), intact[headerSize:]...), 0o600))
 	_, _, _, err = replay(t, dir, 0)
 	assert.ErrorIs(t, err, ErrVersion)
@@ -40,18 +40,18 @@
 	assert.Equal(t, want, payloads)
 }
 
-// newerHeader returns the header of a segment of the next version of the format.
+// newerHeader returns a segment header with the next version of the format.
 func newerHeader() []byte {
-	header := segmentHeader{size: testSegmentSize, first: 1}.encode()
+	header := segmentHeader{size: testSegmentSize, firstSequence: 1}.encode()
 	binary.BigEndian.PutUint16(header[8:], formatVersion+1)
 	checksum := crc32.Checksum(header[:headerChecksum], castagnoli)
 	binary.BigEndian.PutUint32(header[headerChecksum:], checksum)
 	return header
 }
 
-// An interrupted write leaves zeros from some sector on. It was never acknowledged, so it is left out, and later
-// records are replayed.
-func TestTornRecordIsLeftOut(t *testing.T) {
+// An interrupted write leaves zeros from the start of some sector on. The record was never acknowledged, so Replay skips
+// it, and replays records that are appended after a restart.
+func TestTornRecordIsSkipped(t *testing.T) {
 	for keep := 0; keep < 1500; keep += 100 {
 		dir := t.TempDir()
 		l := reopen(t, Disk{}, dir)
@@ -67,10 +67,10 @@
 		}
 		clear(content[cut:])
 		require.NoError(t, os.WriteFile(path, content, 0o600))
-		payloads, next, _, err := replay(t, dir, 0)
+		payloads, nextSequence, _, err := replay(t, dir, 0)
 		require.NoError(t, err, "cut at %d", cut)
 		assert.Equal(t, want, payloads)
-		assert.Equal(t, uint64(3), next)
+		assert.Equal(t, uint64(3), nextSequence)
 		reopened := reopen(t, Disk{}, dir)
 		want = append(want, appendRecords(t, reopened, 3, 9)...)
 		payloads, _, _, err = replay(t, dir, 0)
@@ -79,14 +79,14 @@
 	}
 }
 
-// Replay of any content visits intact records alone, and never panics.
+// For any content, Replay visits only records that have a payload and a nonzero sequence, and never panics.
 func FuzzReplay(f *testing.F) {
 	f.Add([]byte("short"), uint16(0))
 	f.Add(appendRecord(nil, 1, []byte("one")), uint16(3))
 	f.Fuzz(func(t *testing.T, fuzzed []byte, offset uint16) {
 		dir := t.TempDir()
 		content := make([]byte, testSegmentSize)
-		copy(content, segmentHeader{size: testSegmentSize, first: 1}.encode())
+		copy(content, segmentHeader{size: testSegmentSize, firstSequence: 1}.encode())
 		copy(content[headerSize:], appendRecord(nil, 1, []byte("first")))
 		copy(content[min(int(offset), testSegmentSize):], fuzzed)
 		require.NoError(t, os.WriteFile(segmentPath(dir, 1), content, 0o600))
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,9 +1,9 @@
-// Package wal is a write-ahead log: records that are appended to segments, each on the disk when Append returns. It
-// does not know what the records hold.
+// Package wal is a write-ahead log. Records are appended to segment files, and each record is on the disk when Append
+// returns. Each record has a sequence: its number, counted from 1. The package does not interpret payloads.
 //
-// Segments are filled with zeros before their first use. So a full disk shows when a segment is made and never in the
-// middle of a record, a sync need not change the size of the file, and a record whose write was interrupted can be told
-// from one that was damaged later: Replay leaves out the first and fails at the second.
+// Segments are filled with zeros before their first use, for three reasons: a full disk is detected when a segment is
+// created, never in the middle of a record; a sync need not change the size of the file; and a record whose write was
+// interrupted can be distinguished from one that was damaged later. Replay skips the former and fails at the latter.
 package wal
 
 import (
@@ -15,47 +15,47 @@
 	"kitefall/internal/failpoint"
 )
 
-// DefaultSegment is the usual size of a segment, in bytes.
-const DefaultSegment = 8 << 20
+// DefaultSegmentSize is the default size of a segment, in bytes.
+const DefaultSegmentSize = 8 << 20
 
-// Errors of a log.
+// Errors that this package returns, wrapped.
 var (
-	ErrDamaged        = errors.New("the log is damaged")
-	ErrVersion        = errors.New("the log is of another version")
-	ErrRecordTooLarge = errors.New("a record is larger than a segment")
+	ErrDamaged           = errors.New("the log is damaged")
+	ErrVersion           = errors.New("the version of the log is not supported")
+	ErrInvalidRecordSize = errors.New("a record is empty or larger than a segment")
 )
 
-// Log is an open log; Open returns one. It is not safe for concurrent use.
+// Log is a log that is open for writing; Open returns one. It is not safe for concurrent use.
 type Log struct {
 	fs          FS
 	dir         string
 	segmentSize uint32
 
-	file        File     // active segment
-	first       uint64   // sequence of its first record
-	end         int64    // offset of its next record
-	writeFailed bool     // it is unknown what stands at that offset
-	next        uint64   // sequence of the next record
-	completed   []uint64 // first sequences of the segments before the active one
-	buffer      []byte   // one record
+	file          File     // active segment
+	firstSequence uint64   // sequence of the first record of the active segment
+	end           int64    // offset of the next record in the active segment
+	writeFailed   bool     // a write or sync at end failed, so the bytes there are unknown
+	nextSequence  uint64   // sequence of the next record
+	completed     []uint64 // first sequences of the segments before the active one
+	buffer        []byte   // reused to encode records
 }
 
-// Open opens the log in a directory for writing, after Replay: next is the sequence of the next record, end where the
-// records of the last segment end.
+// Open opens the log in dir for writing. It takes the results of Replay: the sequence of the next record, and the offset
+// end at which the records of the last segment end.
 //
-// It starts a new segment, whose header records that end: what an interrupted write may have left behind it is never
-// written over. Only a segment without records is used again.
-func Open(fs FS, dir string, segmentSize uint32, next uint64, end int64) (*Log, error) {
-	firsts, err := Segments(dir)
+// Open starts a new segment, whose header stores end, so bytes that an interrupted write may have left after end are
+// never overwritten. Open reuses the last segment only if that segment has no records.
+func Open(fs FS, dir string, segmentSize uint32, nextSequence uint64, end int64) (*Log, error) {
+	firstSequences, err := Segments(dir)
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{fs: fs, dir: dir, segmentSize: segmentSize, next: next, end: end}
-	if last := len(firsts) - 1; last >= 0 {
-		l.first = firsts[last]
-		l.completed = firsts[:last]
+	l := &Log{fs: fs, dir: dir, segmentSize: segmentSize, nextSequence: nextSequence, end: end}
+	if last := len(firstSequences) - 1; last >= 0 {
+		l.firstSequence = firstSequences[last]
+		l.completed = firstSequences[:last]
 	}
-	if l.first == next {
+	if l.firstSequence == nextSequence {
 		err = l.reuseSegment()
 	} else {
 		err = l.Rotate()
@@ -66,9 +66,9 @@
 	return l, nil
 }
 
-// reuseSegment opens the last segment, which has no intact record.
+// reuseSegment opens the last segment, which has no intact record, as the active one.
 func (l *Log) reuseSegment() error {
-	path := segmentPath(l.dir, l.first)
+	path := segmentPath(l.dir, l.firstSequence)
 	file, err := l.fs.Open(path)
 	if err != nil {
 		return err
@@ -85,42 +85,43 @@
 	return err
 }
 
-// Next returns the sequence of the next record.
-func (l *Log) Next() uint64 { return l.next }
+// NextSequence returns the sequence of the next record.
+func (l *Log) NextSequence() uint64 { return l.nextSequence }
 
-const temporaryName = "new.tmp"
+const temporaryFileName = "new.tmp"
 
-// Rotate starts a new segment, unless the active one is empty. If it fails, nothing has changed.
+// Rotate starts a new segment, unless the active one has no records. If a write to an active segment without records
+// failed, Rotate clears that segment. If Rotate returns an error, the active segment stays in use as before.
 func (l *Log) Rotate() error {
-	empty := l.file != nil && l.next == l.first
+	empty := l.file != nil && l.nextSequence == l.firstSequence
 	if empty && !l.writeFailed {
 		return nil
 	}
-	temporary := filepath.Join(l.dir, temporaryName)
-	if err := l.remove(temporary); err != nil {
+	temporaryPath := filepath.Join(l.dir, temporaryFileName)
+	if err := l.remove(temporaryPath); err != nil {
 		return err
 	}
-	if empty { // a segment with another first sequence would read as a loss of records
+	if empty { // a segment with another first sequence would look like lost records to Replay
 		return l.clearSegment()
 	}
-	file, err := l.createSegment(temporary)
+	file, err := l.createSegment(temporaryPath)
 	if err != nil {
 		return err
 	}
 	if l.file != nil {
 		l.file.Close()
 	}
-	if l.first != 0 {
-		l.completed = append(l.completed, l.first)
+	if l.firstSequence != 0 {
+		l.completed = append(l.completed, l.firstSequence)
 	}
 	l.file = file
-	l.first = l.next
+	l.firstSequence = l.nextSequence
 	l.end = headerSize
 	l.writeFailed = false
 	return nil
 }
 
-// clearSegment clears the active segment, whose first record failed.
+// clearSegment overwrites the active segment after its header with zeros, as the write of its first record failed.
 func (l *Log) clearSegment() error {
 	if err := l.fillWithZeros(l.file, headerSize); err != nil {
 		return err
@@ -130,29 +131,34 @@
 	return nil
 }
 
-// createSegment makes the segment that begins with the next record, under a temporary path first.
-func (l *Log) createSegment(temporary string) (File, error) {
-	file, err := l.fs.Create(temporary)
+// createSegment creates the segment that begins with the next record, at temporaryPath, and renames it when it is ready.
+func (l *Log) createSegment(temporaryPath string) (File, error) {
+	file, err := l.fs.Create(temporaryPath)
 	if err != nil {
 		return nil, err
 	}
-	header := segmentHeader{size: l.segmentSize, first: l.next, previous: l.first, previousEnd: uint32(l.end)}
+	header := segmentHeader{
+		size:          l.segmentSize,
+		firstSequence: l.nextSequence,
+		previousFirst: l.firstSequence,
+		previousEnd:   uint32(l.end),
+	}
 	err = l.initializeSegment(file, header)
 	if err == nil {
-		err = l.fs.Rename(temporary, segmentPath(l.dir, header.first))
+		err = l.fs.Rename(temporaryPath, segmentPath(l.dir, header.firstSequence))
 	}
 	if err == nil {
 		err = l.fs.SyncDir(l.dir)
 	}
 	if err != nil {
 		file.Close()
-		l.fs.Remove(temporary)
+		l.fs.Remove(temporaryPath)
 		return nil, err
 	}
 	return file, nil
 }
 
-// initializeSegment reserves the space of a segment on the disk and writes its header.
+// initializeSegment fills a segment with zeros, which reserves its space on the disk, and writes its header.
 func (l *Log) initializeSegment(file File, header segmentHeader) error {
 	if err := l.fillWithZeros(file, 0); err != nil {
 		return err
@@ -165,7 +171,7 @@
 
 const zerosPerWrite = 256 << 10
 
-// fillWithZeros writes zeros from an offset to the end of a segment.
+// fillWithZeros writes zeros from an offset to the end of a segment and syncs the file.
 func (l *Log) fillWithZeros(file File, from int64) error {
 	zeros := make([]byte, zerosPerWrite)
 	end := int64(l.segmentSize)
@@ -179,39 +185,40 @@
 	return file.Sync()
 }
 
-// Append writes a record to the disk. After an error the record does not count: it is not replayed once a later Append
-// has succeeded. It returns ErrRecordTooLarge, wrapped, for a payload that is empty or does not fit in a segment.
+// Append writes a record to the disk. A record whose Append returned an error is not part of the log: Replay does not
+// visit it once a later Append has succeeded. Append returns an error that wraps ErrInvalidRecordSize if the payload is
+// empty or does not fit in a segment.
 func (l *Log) Append(payload []byte) error {
 	size := int64(recordSize(len(payload)))
 	if len(payload) == 0 || size > int64(l.segmentSize)-headerSize {
-		return fmt.Errorf("%w: %d bytes", ErrRecordTooLarge, len(payload))
+		return fmt.Errorf("%w: %d bytes of payload", ErrInvalidRecordSize, len(payload))
 	}
 	if l.writeFailed || l.end+size > int64(l.segmentSize) {
 		if err := l.Rotate(); err != nil {
 			return err
 		}
 	}
-	l.buffer = appendRecord(l.buffer[:0], l.next, payload)
+	l.buffer = appendRecord(l.buffer[:0], l.nextSequence, payload)
 	failpoint.Hit("log-before-write")
 	if _, err := l.file.WriteAt(l.buffer, l.end); err != nil {
-		l.writeFailed = true // it may be there in part: the next segment says that this one ends before it
+		l.writeFailed = true // part of the record may be written: the header of the next segment excludes it
 		return err
 	}
 	failpoint.Hit("log-before-sync")
 	if err := l.file.Sync(); err != nil {
-		l.writeFailed = true // it is unknown what a failed sync has written
+		l.writeFailed = true // after a failed sync, it is unknown what is on the disk
 		return err
 	}
 	failpoint.Hit("log-after-sync")
-	l.next++
+	l.nextSequence++
 	l.end += size
 	return nil
 }
 
-// Release removes the segments whose records all have a sequence up to upTo. The active segment stays.
+// Release removes the segments whose records all have a sequence of at most upTo. It never removes the active segment.
 func (l *Log) Release(upTo uint64) error {
 	for len(l.completed) > 0 {
-		successor := l.first
+		successor := l.firstSequence
 		if len(l.completed) > 1 {
 			successor = l.completed[1]
 		}
@@ -235,5 +242,5 @@
 	return err
 }
 
-// Close closes the active segment.
+// Close closes the file of the active segment.
 func (l *Log) Close() error { return l.file.Close() }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -11,27 +11,27 @@
 
 const testSegmentSize = 4096
 
-// replay returns the payloads of all records after a sequence, and the results of Replay.
-func replay(t *testing.T, dir string, after uint64) (payloads []string, next uint64, end int64, err error) {
+// replay returns the payloads of all records whose sequence is greater than after, and the results of Replay.
+func replay(t *testing.T, dir string, after uint64) (payloads []string, nextSequence uint64, end int64, err error) {
 	t.Helper()
-	next, end, err = Replay(dir, after, func(_ uint64, payload []byte) error {
+	nextSequence, end, err = Replay(dir, after, func(_ uint64, payload []byte) error {
 		payloads = append(payloads, string(payload))
 		return nil
 	})
-	return payloads, next, end, err
+	return payloads, nextSequence, end, err
 }
 
 func reopen(t *testing.T, fs FS, dir string) *Log {
 	t.Helper()
-	_, next, end, err := replay(t, dir, 0)
+	_, nextSequence, end, err := replay(t, dir, 0)
 	require.NoError(t, err)
-	l, err := Open(fs, dir, testSegmentSize, next, end)
+	l, err := Open(fs, dir, testSegmentSize, nextSequence, end)
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	return l
 }
 
-// appendRecords appends records of several lengths, numbered from one number up to another, and returns their payloads.
+// appendRecords appends records of several lengths, numbered in the range [from, to), and returns their payloads.
 func appendRecords(t *testing.T, l *Log, from, to int) []string {
 	t.Helper()
 	var payloads []string
@@ -47,26 +47,26 @@
 	dir := t.TempDir()
 	want := appendRecords(t, reopen(t, Disk{}, dir), 1, 200)
 	want = append(want, appendRecords(t, reopen(t, Disk{}, dir), 200, 400)...)
-	reopen(t, Disk{}, dir) // a log to which nothing is appended leaves no trace
+	reopen(t, Disk{}, dir) // opening the log without appending must not affect replay
 	l := reopen(t, Disk{}, dir)
-	payloads, next, _, err := replay(t, dir, 0)
+	payloads, nextSequence, _, err := replay(t, dir, 0)
 	require.NoError(t, err)
 	assert.Equal(t, want, payloads)
-	assert.Equal(t, uint64(400), next)
+	assert.Equal(t, uint64(400), nextSequence)
 	require.NoError(t, l.Release(300))
 	payloads, _, _, err = replay(t, dir, 300)
 	require.NoError(t, err)
 	assert.Equal(t, want[300:], payloads)
 	_, _, _, err = replay(t, dir, 5)
-	assert.ErrorIs(t, err, ErrDamaged, "released records are missing")
-	assert.ErrorIs(t, l.Append(make([]byte, testSegmentSize)), ErrRecordTooLarge)
+	assert.ErrorIs(t, err, ErrDamaged, "record 6 was released")
+	assert.ErrorIs(t, l.Append(make([]byte, testSegmentSize)), ErrInvalidRecordSize)
 }
 
-// failingDisk fails writes or syncs from some moment on.
+// failingDisk is a disk whose writes or syncs fail after a given number of them.
 type failingDisk struct {
 	Disk
-	writesLeft int // writes that succeed; negative: all
-	syncsLeft  int // syncs that succeed; negative: all
+	writesLeft int // number of writes that still succeed; negative: all
+	syncsLeft  int // number of syncs that still succeed; negative: all
 }
 
 type failingFile struct {
@@ -76,7 +76,7 @@
 
 var errDisk = errors.New("no space left on device")
 
-// countDown takes one off what is left, or returns errDisk if nothing is.
+// countDown decrements a positive counter, and returns errDisk if the counter is zero.
 func countDown(left *int) error {
 	if *left == 0 {
 		return errDisk
@@ -97,7 +97,7 @@
 	return failingFile{file, d}, err
 }
 
-// WriteAt writes half of the data when it fails.
+// WriteAt writes half of the data before it returns an error.
 func (f failingFile) WriteAt(data []byte, offset int64) (int, error) {
 	if err := countDown(&f.disk.writesLeft); err != nil {
 		written, _ := f.File.WriteAt(data[:len(data)/2], offset)
@@ -113,16 +113,16 @@
 	return f.File.Sync()
 }
 
-// A record whose Append failed is never replayed, although all of it may be on the disk.
+// A record whose Append failed is never replayed after a later Append, although the whole record may be on the disk.
 func TestFailedRecordIsNeverReplayed(t *testing.T) {
-	for _, recordsBefore := range []int{0, 3} { // the first record of a segment, or a later one
-		for _, failing := range []string{"write", "sync"} {
-			t.Run(fmt.Sprintf("%s after %d records", failing, recordsBefore), func(t *testing.T) {
+	for _, recordsBefore := range []int{0, 3} { // the failing record is the first of its segment, or a later one
+		for _, failingOperation := range []string{"write", "sync"} {
+			t.Run(fmt.Sprintf("%s after %d records", failingOperation, recordsBefore), func(t *testing.T) {
 				dir := t.TempDir()
 				disk := &failingDisk{writesLeft: -1, syncsLeft: -1}
 				l := reopen(t, disk, dir)
 				want := appendRecords(t, l, 1, 1+recordsBefore)
-				if failing == "write" {
+				if failingOperation == "write" {
 					disk.writesLeft = 0
 				} else {
 					disk.syncsLeft = 0
