--- a/internal/citest/citest_test.go
+++ b/internal/citest/citest_test.go
@@ -1,4 +1,5 @@
-// Package citest tests the script .ci/test, which decides whether CI passes: a check that cannot fail would be none.
+// Package citest tests the script .ci/test, which decides whether CI passes. An error in the script could let CI pass
+// while tests fail.
 package citest
 
 import (
@@ -11,32 +12,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Entries of KNOWN-RED.txt for tests of the fixture module.
+// Entries of KNOWN-RED.txt for tests of the fixture module. A name such as subtestAlways or missingByHand states the test
+// and when the entry says that it fails. In the entries named without..., one column is missing or empty.
 const (
-	redKnown       = "m/a TestRed | always | go test ./a | it is broken | issue 3\n"
-	redAtTimes     = "m/a TestRed | at times | go test ./a | it is broken | issue 3\n"
-	redByHand      = "m/a TestRed | by hand | go test ./a | it is broken | issue 3\n"
-	seedByHand     = "m/a TestFine/9492 | by hand | SEED=9492 go test ./a | it is broken | issue 3\n"
-	fourthByHand   = "m/a TestFine/9579 | by hand | SEED=9579 go test ./a | it is broken | issue 3\n"
-	fineKnown      = "m/a TestFine | always | go test ./a | it is broken | issue 3\n"
-	redOfBKnown    = "m/b TestRed | always | go test ./b | it is broken | issue 3\n"
-	subtestKnown   = "m/a TestRed/part | always | go test ./a | it is broken | issue 3\n"
-	missingKnown   = "m/a TestNone | always | go test ./a | it is broken | issue 3\n"
-	missingByHand  = "m/a TestNone/9492 | by hand | SEED=9492 go test ./a | it is broken | issue 3\n"
-	withoutCommand = "m/a TestRed | always |  | it is broken | issue 3\n"
-	withoutSeen    = "m/a TestRed | always | go test ./a | issue 3\n"
-	withoutIssue   = "m/a TestRed | always | go test ./a | it is broken\n"
-	withoutWhen    = "m/a TestRed | go test ./a | it is broken | issue 3\n"
+	listedAlways       = "m/a TestRed | always | go test ./a | it is broken | issue 3\n"
+	listedAtTimes      = "m/a TestRed | at times | go test ./a | it is broken | issue 3\n"
+	listedByHand       = "m/a TestRed | by hand | go test ./a | it is broken | issue 3\n"
+	subtestByHand      = "m/a TestFine/9492 | by hand | SEED=9492 go test ./a | it is broken | issue 3\n"
+	otherSubtestByHand = "m/a TestFine/9579 | by hand | SEED=9579 go test ./a | it is broken | issue 3\n"
+	passingAlways      = "m/a TestFine | always | go test ./a | it is broken | issue 3\n"
+	packageBAlways     = "m/b TestRed | always | go test ./b | it is broken | issue 3\n"
+	subtestAlways      = "m/a TestRed/part | always | go test ./a | it is broken | issue 3\n"
+	missingAlways      = "m/a TestNone | always | go test ./a | it is broken | issue 3\n"
+	missingByHand      = "m/a TestNone/9492 | by hand | SEED=9492 go test ./a | it is broken | issue 3\n"
+	withoutCommand     = "m/a TestRed | always |  | it is broken | issue 3\n"
+	withoutSeen        = "m/a TestRed | always | go test ./a | issue 3\n"
+	withoutIssue       = "m/a TestRed | always | go test ./a | it is broken\n"
+	withoutWhen        = "m/a TestRed | go test ./a | it is broken | issue 3\n"
 )
 
-// fixture is a module m with the packages a and b, which have tests of the same name.
+// fixture describes a Go module m with the packages a and b. Both have a test TestRed; package a also has TestFine, which
+// passes.
 type fixture struct {
-	knownRed string // content of KNOWN-RED.txt; empty: there is no such file
-	aBroken  bool   // TestRed/part of package a fails, and TestRed with it
-	bBroken  bool   // TestRed of package b fails
+	knownRed string // content of KNOWN-RED.txt; if empty, the file is not written
+	aFails   bool   // TestRed/part of package a fails, and therefore TestRed too
+	bFails   bool   // TestRed/part of package b fails, and therefore TestRed too
 }
 
-// write returns the folder of the module.
+// write creates the module in a temporary directory and returns its path.
 func (f fixture) write(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -46,103 +49,104 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	}
 	writeFile("go.mod", "module m\n\ngo 1.26\n")
-	writeFile("a/a_test.go", testFile("a", f.aBroken)+"func TestFine(t *testing.T) {}\n")
-	writeFile("b/b_test.go", testFile("b", f.bBroken))
+	writeFile("a/a_test.go", testFile("a", f.aFails)+"func TestFine(t *testing.T) {}\n")
+	writeFile("b/b_test.go", testFile("b", f.bFails))
 	if f.knownRed != "" {
 		writeFile("KNOWN-RED.txt", f.knownRed)
 	}
 	return dir
 }
 
-// testFile returns a test file with the test TestRed.
-func testFile(packageName string, broken bool) string {
+// testFile returns the source of a test file with TestRed, which fails in its subtest part if failing is set.
+func testFile(packageName string, failing bool) string {
 	body := ""
-	if broken {
+	if failing {
 		body = `t.Run("part", func(t *testing.T) { t.Error("broken") })`
 	}
 	return "package " + packageName + "\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { " + body + " }\n"
 }
 
+// verdictCases holds the cases of TestVerdict by name.
 var verdictCases = map[string]struct {
 	fixture
-	passes bool
-	prints string
+	passes bool   // whether the script exits with status 0
+	prints string // text that the script's output must contain
 }{
-	"red and not known": {
-		fixture: fixture{aBroken: true},
+	"unlisted failure": {
+		fixture: fixture{aFails: true},
 		prints:  "--- FAIL: TestRed",
 	},
-	"red and known": {
-		fixture: fixture{knownRed: redKnown, aBroken: true},
+	"listed failure": {
+		fixture: fixture{knownRed: listedAlways, aFails: true},
 		passes:  true,
 		prints:  "known red, failed: m/a TestRed | always | go test ./a | it is broken | issue 3",
 	},
-	"only its subtest known": {
-		fixture: fixture{knownRed: subtestKnown, aBroken: true},
+	"only the failing subtest listed": {
+		fixture: fixture{knownRed: subtestAlways, aFails: true},
 		passes:  true,
 		prints:  "known red, failed: m/a TestRed/part",
 	},
-	"red at times, fails": {
-		fixture: fixture{knownRed: redAtTimes, aBroken: true},
+	"listed at times, fails": {
+		fixture: fixture{knownRed: listedAtTimes, aFails: true},
 		passes:  true,
 		prints:  "known red, failed: m/a TestRed",
 	},
-	"red at times, passes": {
-		fixture: fixture{knownRed: redAtTimes},
+	"listed at times, passes": {
+		fixture: fixture{knownRed: listedAtTimes},
 		passes:  true,
 		prints:  "known red, passed: m/a TestRed",
 	},
-	"red at times, another test red": {
-		fixture: fixture{knownRed: redAtTimes, bBroken: true},
+	"listed at times, passes, unlisted failure in the other package": {
+		fixture: fixture{knownRed: listedAtTimes, bFails: true},
 		prints:  "--- FAIL: TestRed",
 	},
-	"played by hand": {
-		fixture: fixture{knownRed: seedByHand},
+	"listed by hand, not run": {
+		fixture: fixture{knownRed: subtestByHand},
 		passes:  true,
 		prints:  "known red, not run: m/a TestFine/9492",
 	},
-	"played by hand, red in CI": {
-		fixture: fixture{knownRed: redByHand, aBroken: true},
+	"listed by hand, fails in CI": {
+		fixture: fixture{knownRed: listedByHand, aFails: true},
 		prints:  "--- FAIL: TestRed",
 	},
-	"known, but passes": {
-		fixture: fixture{knownRed: redKnown},
+	"listed as always failing, passes": {
+		fixture: fixture{knownRed: listedAlways},
 		prints:  "TestRed passes",
 	},
-	"another test red": {
-		fixture: fixture{knownRed: fineKnown, aBroken: true},
+	"passing test listed, unlisted failure": {
+		fixture: fixture{knownRed: passingAlways, aFails: true},
 		prints:  "--- FAIL: TestRed",
 	},
-	"no command": {
-		fixture: fixture{knownRed: withoutCommand, aBroken: true},
+	"entry without a command": {
+		fixture: fixture{knownRed: withoutCommand, aFails: true},
 		prints:  "not 'PACKAGE TEST",
 	},
-	"not what was seen": {
-		fixture: fixture{knownRed: withoutSeen, aBroken: true},
+	"entry without the observed failure": {
+		fixture: fixture{knownRed: withoutSeen, aFails: true},
 		prints:  "not 'PACKAGE TEST",
 	},
-	"no issue": {
-		fixture: fixture{knownRed: withoutIssue, aBroken: true},
+	"entry without an issue": {
+		fixture: fixture{knownRed: withoutIssue, aFails: true},
 		prints:  "not 'PACKAGE TEST",
 	},
-	"not when it fails": {
-		fixture: fixture{knownRed: withoutWhen, aBroken: true},
+	"entry without how often the test fails": {
+		fixture: fixture{knownRed: withoutWhen, aFails: true},
 		prints:  "not 'PACKAGE TEST",
 	},
-	"no such test": {
-		fixture: fixture{knownRed: missingKnown, aBroken: true},
+	"entry for a test that does not exist": {
+		fixture: fixture{knownRed: missingAlways, aFails: true},
 		prints:  "is no test of m/a",
 	},
-	"no such test, played by hand": {
+	"entry by hand for a test that does not exist": {
 		fixture: fixture{knownRed: missingByHand},
 		prints:  "is no test of m/a",
 	},
-	"listed twice": {
-		fixture: fixture{knownRed: redKnown + redKnown, aBroken: true},
+	"test listed twice": {
+		fixture: fixture{knownRed: listedAlways + listedAlways, aFails: true},
 		prints:  "listed twice: m/a TestRed",
 	},
 	"four entries": {
-		fixture: fixture{knownRed: redKnown + redOfBKnown + seedByHand + fourthByHand, aBroken: true, bBroken: true},
+		fixture: fixture{knownRed: listedAlways + packageBAlways + subtestByHand + otherSubtestByHand, aFails: true, bFails: true},
 		passes:  true,
 		prints:  "known red, failed: m/b TestRed",
 	},
@@ -150,17 +154,18 @@
 		fixture: fixture{knownRed: "\n"},
 		prints:  "names no test",
 	},
-	"red and known in the other package": {
-		fixture: fixture{knownRed: redOfBKnown, bBroken: true},
+	"listed failure in the other package": {
+		fixture: fixture{knownRed: packageBAlways, bFails: true},
 		passes:  true,
 		prints:  "known red, failed: m/b TestRed | always | go test ./b | it is broken | issue 3",
 	},
-	"red in both packages, known in one": {
-		fixture: fixture{knownRed: redOfBKnown, aBroken: true, bBroken: true},
+	"failures in both packages, one listed": {
+		fixture: fixture{knownRed: packageBAlways, aFails: true, bFails: true},
 		prints:  "--- FAIL: TestRed",
 	},
 }
 
+// TestVerdict runs the script on each module and checks its exit status and output.
 func TestVerdict(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	require.NoError(t, err)
--- a/internal/fakes/core.go
+++ b/internal/fakes/core.go
@@ -14,14 +14,14 @@
 	"kitefall/internal/worker"
 )
 
-// Limits of the cores that tests start.
+// Limits of the cores that NewCore and NewCoreWithSettings start.
 const (
-	maxInFlight  = 100
-	maxBodyBytes = 1 << 20
+	maxInFlight  = 100     // calls in flight at a time
+	maxBodyBytes = 1 << 20 // bytes of the bodies of all calls in flight
 )
 
-// Settings returns the settings of a small site with two classes: requests of consulta are idempotent, those of reserva
-// are not.
+// Settings returns balancer settings for one dispatcher with two classes: requests of class consulta are idempotent,
+// requests of class reserva are not.
 func Settings() balancer.Settings {
 	return balancer.Settings{
 		Dispatchers:   1,
@@ -52,7 +52,8 @@
 	}
 }
 
-// PoolConfig returns the configuration of connection pools that suits Settings.
+// PoolConfig returns a configuration of connection pools with the dial timeout of Settings and a connection limit of its
+// own.
 func PoolConfig() worker.Config {
 	return worker.Config{
 		DialTimeout: time.Second,
@@ -63,13 +64,15 @@
 	}
 }
 
-// NewCore starts a core with Settings that knows the workers. The caller stops it.
+// NewCore starts a core with Settings and sends it an endpoint list of the workers, if there are any. The caller must
+// stop the core.
 func NewCore(t testing.TB, workers ...*Worker) *dispatch.Core {
 	t.Helper()
 	return NewCoreWithSettings(t, Settings(), workers...)
 }
 
-// NewCoreWithSettings is NewCore with settings of the test's own. Without workers the core knows no list yet.
+// NewCoreWithSettings starts a core as NewCore does, with the given settings. Without workers, the core has received no
+// endpoint list when it is returned.
 func NewCoreWithSettings(t testing.TB, settings balancer.Settings, workers ...*Worker) *dispatch.Core {
 	t.Helper()
 	core, err := dispatch.New(dispatch.Config{
@@ -87,7 +90,8 @@
 	return core
 }
 
-// Endpoints returns a full endpoint list of the workers, all ready. The id of each is made from its address.
+// Endpoints returns a full endpoint list of the workers, all in the state ready. Each worker's ID is derived from its
+// address.
 func Endpoints(workers ...*Worker) discovery.Update {
 	update := discovery.Update{Scope: balancer.ScopeFull}
 	for _, w := range workers {
@@ -97,7 +101,7 @@
 	return update
 }
 
-// LoadOrder returns an order for one copy of a function, which may be given and answered until Deadline.
+// LoadOrder returns a load order for one copy of a function. It may be sent and answered until Deadline.
 func LoadOrder(function string) worker.LoadOrder {
 	return worker.LoadOrder{Function: function, Copies: 1, StartBy: Deadline(), LeaseEnd: Deadline(), Deadline: Deadline()}
 }
--- a/internal/fakes/frame.go
+++ b/internal/fakes/frame.go
@@ -8,41 +8,42 @@
 	"strings"
 )
 
-// A frame of the worker protocol is a head, the fields, the body and a CRC-32 of fields and body. The head has the mark,
-// the code, the length of the fields (2 bytes), that of the body (4 bytes) and the id (8 bytes), in big endian. What
-// follows is written anew rather than taken from package worker, so that a fault there does not cancel itself out.
+// A frame of the worker protocol consists of a header, the fields, the body and a CRC-32 of fields and body. The header
+// holds the mark (1 byte), the code (1 byte), the length of the fields (2 bytes), the length of the body (4 bytes) and the
+// ID (8 bytes). All numbers are big-endian. This file does not use the codec of package worker: with one codec on both
+// sides, tests would not notice an error in it.
 const (
-	headSize     = 16
+	headerSize   = 16
 	checksumSize = 4
 
-	fieldsLengthOffset = 2
-	bodyLengthOffset   = 4
-	idOffset           = 8
+	fieldsSizeOffset = 2
+	bodySizeOffset   = 4
+	idOffset         = 8
 
 	answerMark = 193
 )
 
-// Codes of the frames that the dispatcher sends.
+// Codes of the commands that the dispatcher sends and Worker handles.
 const (
 	codeCall   = 48
 	codeCancel = 49
 	codeLoad   = 52
 )
 
-// Codes of answers.
+// Codes of the answers that workers send.
 const (
-	CodeOK   = 64 // served, or loaded
+	CodeOK   = 64 // the call was served, or the load order was carried out
 	CodeMiss = 66 // the function is not loaded
-	CodeFull = 67 // rejected
+	CodeFull = 67 // the worker rejected the call
 )
 
-// Names of fields.
+// Names of the fields that Worker reads or writes.
 const (
 	fieldFunction = "thing"
 	fieldCopies   = "n"
 )
 
-// Frame encodes an answer.
+// Frame returns an encoded answer frame.
 func Frame(code byte, id uint64, fields, body string) []byte {
 	encoded := []byte{answerMark, code}
 	encoded = binary.BigEndian.AppendUint16(encoded, uint16(len(fields)))
@@ -50,32 +51,32 @@
 	encoded = binary.BigEndian.AppendUint64(encoded, id)
 	encoded = append(encoded, fields...)
 	encoded = append(encoded, body...)
-	return binary.BigEndian.AppendUint32(encoded, crc32.ChecksumIEEE(encoded[headSize:]))
+	return binary.BigEndian.AppendUint32(encoded, crc32.ChecksumIEEE(encoded[headerSize:]))
 }
 
-// readFrame reads one frame of the dispatcher and returns its code and, whichever the code, the rest as a Call. It
-// checks neither mark nor checksum.
-func readFrame(conn net.Conn) (code byte, received *Call, err error) {
-	head := make([]byte, headSize)
-	if _, err := io.ReadFull(conn, head); err != nil {
+// readFrame reads one frame from the dispatcher. It returns the frame's code, and its ID, fields and body as a Call, also
+// if the frame is not a call. It checks neither the mark nor the checksum.
+func readFrame(conn net.Conn) (code byte, call *Call, err error) {
+	header := make([]byte, headerSize)
+	if _, err := io.ReadFull(conn, header); err != nil {
 		return 0, nil, err
 	}
-	fieldsLength := int(binary.BigEndian.Uint16(head[fieldsLengthOffset:]))
-	bodyLength := int(binary.BigEndian.Uint32(head[bodyLengthOffset:]))
-	rest := make([]byte, fieldsLength+bodyLength+checksumSize)
-	if _, err := io.ReadFull(conn, rest); err != nil {
+	fieldsSize := int(binary.BigEndian.Uint16(header[fieldsSizeOffset:]))
+	bodySize := int(binary.BigEndian.Uint32(header[bodySizeOffset:]))
+	payload := make([]byte, fieldsSize+bodySize+checksumSize)
+	if _, err := io.ReadFull(conn, payload); err != nil {
 		return 0, nil, err
 	}
-	received = &Call{
-		ID:     binary.BigEndian.Uint64(head[idOffset:]),
-		Fields: string(rest[:fieldsLength]),
-		Body:   string(rest[fieldsLength : fieldsLength+bodyLength]),
+	call = &Call{
+		ID:     binary.BigEndian.Uint64(header[idOffset:]),
+		Fields: string(payload[:fieldsSize]),
+		Body:   string(payload[fieldsSize : fieldsSize+bodySize]),
 		conn:   conn,
 	}
-	return head[1], received, nil
+	return header[1], call, nil
 }
 
-// field returns the value of a field, or "" where the frame has none of that name.
+// field returns the value of the named field, or "" if the frame has no such field.
 func (c *Call) field(name string) string {
 	for pair := range strings.SplitSeq(c.Fields, ",") {
 		if key, value, _ := strings.Cut(pair, "="); key == name {
--- a/internal/fakes/identity.go
+++ b/internal/fakes/identity.go
@@ -24,53 +24,54 @@
 	"google.golang.org/grpc/status"
 )
 
-// Domain is the trust domain of the identities.
+// Domain is the trust domain of all identities that an Authority issues.
 const Domain = "spiffe://turnos.example"
 
-// dispatcherID is the identity that the Workload API gives to its callers.
+// dispatcherID is the SPIFFE ID in the SVIDs that the Workload API returns.
 const dispatcherID = Domain + "/edge"
 
-// securityHeader is the metadata key that the Workload API demands of its callers.
+// securityHeader is the metadata key that every request to the Workload API must carry.
 const securityHeader = "workload.spiffe.io"
 
-// certificateValidity is how long before and after its issue a certificate is valid.
+// certificateValidity is how long a certificate is valid before and after the time of its issue.
 const certificateValidity = time.Hour
 
-// Authority issues SVIDs and serves them by the SPIFFE Workload API.
+// Authority is a certificate authority that issues SVIDs and serves them through the SPIFFE Workload API.
 type Authority struct {
 	workload.UnimplementedSpiffeWorkloadAPIServer
-	Addr string // of the Workload API
+	Addr string // address of the Workload API: tcp://host:port
 
 	t           testing.TB
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority starts an authority, which ends with the test. Its Workload API gives every caller the SVID of /edge.
+// NewAuthority starts an authority and stops it at the end of the test. Its Workload API returns an SVID with the path
+// /edge to every caller.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{t: t}
-	a.certificate, a.key = a.newRoot()
+	a.certificate, a.key = a.newRootCertificate()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	a.Addr = "tcp://" + listener.Addr().String()
 	server := grpc.NewServer()
 	workload.RegisterSpiffeWorkloadAPIServer(server, a)
-	go server.Serve(listener) // until the server is stopped
+	go server.Serve(listener) // returns when the server is stopped
 	t.Cleanup(server.Stop)
 	return a
 }
 
-// newRoot returns a self-signed certificate of the trust domain.
-func (a *Authority) newRoot() (*x509.Certificate, *ecdsa.PrivateKey) {
+// newRootCertificate returns a self-signed CA certificate for the trust domain, and its key.
+func (a *Authority) newRootCertificate() (*x509.Certificate, *ecdsa.PrivateKey) {
 	key := a.newKey()
 	template := a.newTemplate(Domain, x509.KeyUsageCertSign)
 	template.IsCA = true
 	return a.sign(template, template, key, key), key
 }
 
-// issue returns a certificate for an identity, signed by the authority.
-func (a *Authority) issue(id string) (*x509.Certificate, *ecdsa.PrivateKey) {
+// issueCertificate returns a certificate for a SPIFFE ID, signed by the authority, and the key of the certificate.
+func (a *Authority) issueCertificate(id string) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key := a.newKey()
 	template := a.newTemplate(id, x509.KeyUsageDigitalSignature)
 	return a.sign(template, a.certificate, key, a.key), key
@@ -96,7 +97,8 @@
 	}
 }
 
-// sign returns the template as a certificate of key, signed by the parent with signer.
+// sign returns a certificate made from template for the public part of key. It is signed with signer, the key of the
+// parent certificate.
 func (a *Authority) sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) *x509.Certificate {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, key.Public(), signer)
 	require.NoError(a.t, err)
@@ -105,13 +107,13 @@
 	return certificate
 }
 
-// FetchX509SVID implements the Workload API: it sends one SVID and keeps the stream open until the caller ends it.
+// FetchX509SVID implements the Workload API. It sends one SVID and keeps the stream open until its context ends.
 func (a *Authority) FetchX509SVID(_ *workload.X509SVIDRequest, stream workload.SpiffeWorkloadAPI_FetchX509SVIDServer) error {
 	header, _ := metadata.FromIncomingContext(stream.Context())
 	if len(header.Get(securityHeader)) == 0 {
 		return status.Error(codes.InvalidArgument, "security header missing")
 	}
-	certificate, key := a.issue(dispatcherID)
+	certificate, key := a.issueCertificate(dispatcherID)
 	pkcs8, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
@@ -127,9 +129,10 @@
 	return err
 }
 
-// Client returns an HTTP client with the SVID of an id. It accepts a server with the SVID of /edge alone.
+// Client returns an HTTP client that presents an SVID with the given SPIFFE ID. The client only accepts servers whose SVID
+// has the path /edge and is signed by this authority.
 func (a *Authority) Client(id string) *http.Client {
-	certificate, key := a.issue(id)
+	certificate, key := a.issueCertificate(id)
 	svid := &x509svid.SVID{
 		ID:           spiffeid.RequireFromString(id),
 		Certificates: []*x509.Certificate{certificate},
--- a/internal/fakes/identity_test.go
+++ b/internal/fakes/identity_test.go
@@ -17,8 +17,8 @@
 	"kitefall/internal/fakes"
 )
 
-// newServer starts an HTTPS server with the SVID that an authority serves, and returns its URL. It answers with the
-// client's identity.
+// newServer starts an HTTPS server with an SVID from the authority's Workload API, and returns the server's URL. The
+// server answers each request with the SPIFFE ID of the client.
 func newServer(t *testing.T, authority *fakes.Authority) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Until(fakes.Deadline()))
@@ -26,28 +26,28 @@
 	source, err := workloadapi.NewX509Source(ctx, workloadapi.WithClientOptions(workloadapi.WithAddr(authority.Addr)))
 	require.NoError(t, err)
 	t.Cleanup(func() { source.Close() })
-	members := tlsconfig.AuthorizeMemberOf(spiffeid.RequireTrustDomainFromString("turnos.example"))
-	listener, err := tls.Listen("tcp", "127.0.0.1:0", tlsconfig.MTLSServerConfig(source, source, members))
+	authorizer := tlsconfig.AuthorizeMemberOf(spiffeid.RequireTrustDomainFromString("turnos.example"))
+	listener, err := tls.Listen("tcp", "127.0.0.1:0", tlsconfig.MTLSServerConfig(source, source, authorizer))
 	require.NoError(t, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, r.TLS.PeerCertificates[0].URIs[0].String())
 	})}
-	go server.Serve(listener) // until the server is closed
+	go server.Serve(listener) // returns when the server is closed
 	t.Cleanup(func() { server.Close() })
 	return "https://" + listener.Addr().String()
 }
 
-func TestAuthorityIssuesIdentitiesThatItAloneVouchesFor(t *testing.T) {
+func TestConnectionsNeedIdentitiesOfOneAuthority(t *testing.T) {
 	authority := fakes.NewAuthority(t)
-	url := newServer(t, authority)
+	serverURL := newServer(t, authority)
 
-	response, err := authority.Client(fakes.Domain + "/desk/a").Get(url)
+	response, err := authority.Client(fakes.Domain + "/desk/a").Get(serverURL)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	identity, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	assert.Equal(t, fakes.Domain+"/desk/a", string(identity))
 
-	_, err = fakes.NewAuthority(t).Client(fakes.Domain + "/desk/a").Get(url)
-	require.Error(t, err, "the right name by another authority")
+	_, err = fakes.NewAuthority(t).Client(fakes.Domain + "/desk/a").Get(serverURL)
+	require.Error(t, err, "a client with the same SPIFFE ID from another authority could connect")
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -1,5 +1,5 @@
-// Package fakes holds scripted peers for tests over loopback: workers, a core that knows them, and an authority that
-// issues identities. The test says, call by call, what a worker does with it; nothing waits for a clock.
+// Package fakes provides peers for tests over loopback: workers, a core that sends calls to them, and an authority that
+// issues identities. A test decides for each call when and how the worker answers. The workers use no timers.
 package fakes
 
 import (
@@ -13,63 +13,63 @@
 	"github.com/stretchr/testify/require"
 )
 
-// waitLimit is how long a test waits for something before it fails.
-const waitLimit = 10 * time.Second
+// waitTimeout is how long a test waits for a call or another event before the test fails.
+const waitTimeout = 10 * time.Second
 
-// channelSize is how many calls or cancellations a worker holds that the test has not taken yet.
-const channelSize = 64
+// channelCapacity is the number of calls, and also of cancellations, that a Worker buffers until the test receives them.
+const channelCapacity = 64
 
-// Deadline returns the time at which a test that waits for something from now on gives up.
-func Deadline() time.Time { return time.Now().Add(waitLimit) }
+// Deadline returns the time at which a test that starts to wait now must stop waiting and fail: now plus waitTimeout.
+func Deadline() time.Time { return time.Now().Add(waitTimeout) }
 
-// Receive returns what arrives at a channel. If nothing does in time, the test fails and the
-// zero value is returned.
-func Receive[T any](t testing.TB, from <-chan T) (received T) {
+// Receive returns the next value from the channel. If none arrives within waitTimeout, it marks the test as failed and
+// returns the zero value.
+func Receive[T any](t testing.TB, channel <-chan T) (value T) {
 	t.Helper()
 	select {
-	case received = <-from:
-	case <-time.After(waitLimit):
-		assert.Fail(t, "nothing was received in time")
+	case value = <-channel:
+	case <-time.After(waitTimeout):
+		assert.Fail(t, "no value was received before the timeout")
 	}
-	return received
+	return value
 }
 
-// Worker listens like a worker. It answers load orders at once; calls wait for the test. Its methods are safe for
-// concurrent use.
+// Worker is a fake worker that listens on loopback. It answers load orders immediately. Calls of loaded functions are
+// answered by the test. The methods are safe for concurrent use.
 type Worker struct {
 	Addr      string
-	Calls     chan *Call  // calls that have arrived completely
-	Cancelled chan uint64 // ids of calls that the dispatcher has cancelled
+	Calls     chan *Call  // calls of loaded functions, received completely
+	Cancelled chan uint64 // IDs of the calls for which a cancel command was received
 
 	t        testing.TB
 	listener net.Listener
 
 	mu             sync.Mutex
-	callCounts     map[string]int  // by body
-	loaded         map[string]bool // functions; nil: every function is loaded
-	loadOrderTimes []time.Time
+	callCounts     map[string]int  // number of calls of loaded functions, by body
+	loaded         map[string]bool // by function; nil: every function is loaded
+	loadOrderTimes []time.Time     // when each load order was received
 }
 
-// NewWorker starts a worker, which accepts connections until the test ends.
+// NewWorker starts a worker that accepts connections until StopListening is called or the test ends.
 func NewWorker(t testing.TB) *Worker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	w := &Worker{
 		Addr:       listener.Addr().String(),
-		Calls:      make(chan *Call, channelSize),
-		Cancelled:  make(chan uint64, channelSize),
+		Calls:      make(chan *Call, channelCapacity),
+		Cancelled:  make(chan uint64, channelCapacity),
 		t:          t,
 		listener:   listener,
 		callCounts: map[string]int{},
 	}
 	t.Cleanup(w.StopListening)
-	go w.accept()
+	go w.acceptConns()
 	return w
 }
 
-// accept serves connections until the listener is closed.
-func (w *Worker) accept() {
+// acceptConns accepts and serves connections until the listener is closed.
+func (w *Worker) acceptConns() {
 	for {
 		conn, err := w.listener.Accept()
 		if err != nil {
@@ -79,140 +79,142 @@
 	}
 }
 
-// serveConn reads frames until the peer closes the connection or a call resets it.
+// serveConn handles the frames of a connection until the peer or the test closes or resets it.
 func (w *Worker) serveConn(conn net.Conn) {
 	defer conn.Close()
 	for {
-		code, received, err := readFrame(conn)
+		code, call, err := readFrame(conn)
 		if err != nil {
 			return
 		}
 		switch code {
 		case codeCall:
-			w.onCall(received)
+			w.handleCall(call)
 		case codeCancel:
-			w.Cancelled <- received.ID
+			w.Cancelled <- call.ID
 		case codeLoad:
-			w.onLoad(received)
+			w.handleLoadOrder(call)
 		}
 	}
 }
 
-// onCall counts a call and passes it to the test, or answers with a miss where its function is not loaded.
-func (w *Worker) onCall(received *Call) {
-	if !w.countIfLoaded(received) {
-		received.Answer(CodeMiss, "", "")
+// handleCall counts a call and passes it to the test if its function is loaded. Otherwise it answers with a miss.
+func (w *Worker) handleCall(call *Call) {
+	if !w.countIfLoaded(call) {
+		call.Answer(CodeMiss, "", "")
 		return
 	}
-	w.Calls <- received
+	w.Calls <- call
 }
 
-// countIfLoaded counts a call and reports true if its function is loaded.
-func (w *Worker) countIfLoaded(received *Call) bool {
+// countIfLoaded reports whether the function of a call is loaded, and if so counts the call.
+func (w *Worker) countIfLoaded(call *Call) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.loaded != nil && !w.loaded[received.field(fieldFunction)] {
+	if w.loaded != nil && !w.loaded[call.field(fieldFunction)] {
 		return false
 	}
-	w.callCounts[received.Body]++
+	w.callCounts[call.Body]++
 	return true
 }
 
-// onLoad carries out a load order and answers it.
-func (w *Worker) onLoad(received *Call) {
+// handleLoadOrder loads the function of a load order and answers that one copy is loaded.
+func (w *Worker) handleLoadOrder(order *Call) {
 	w.mu.Lock()
 	w.loadOrderTimes = append(w.loadOrderTimes, time.Now())
 	if w.loaded != nil {
-		w.loaded[received.field(fieldFunction)] = true
+		w.loaded[order.field(fieldFunction)] = true
 	}
 	w.mu.Unlock()
-	received.Answer(CodeOK, fieldCopies+"=1", "")
+	order.Answer(CodeOK, fieldCopies+"=1", "")
 }
 
-// UnloadAll unloads all functions: from now on the worker answers calls with a miss until a load order has come.
+// UnloadAll unloads all functions. Until a load order loads a function again, its calls are answered with a miss.
 func (w *Worker) UnloadAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loaded = map[string]bool{}
 }
 
-// LoadOrderTimes returns the times at which load orders have come.
+// LoadOrderTimes returns the times at which load orders were received.
 func (w *Worker) LoadOrderTimes() []time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.loadOrderTimes)
 }
 
-// CallCount returns how many calls with the body have arrived for a loaded function.
+// CallCount returns the number of calls with the given body that were received while their function was loaded.
 func (w *Worker) CallCount(body string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.callCounts[body]
 }
 
-// Serve passes each call to answer, one at a time, until the test binary ends.
+// Serve starts a goroutine that passes the calls to answer, one at a time. The goroutine runs until the
+// test binary exits.
 func (w *Worker) Serve(answer func(*Call)) {
 	go func() {
-		for received := range w.Calls {
-			answer(received)
+		for call := range w.Calls {
+			answer(call)
 		}
 	}()
 }
 
-// Next returns the next call to arrive. The test fails if none does.
+// Next returns the next call that the worker receives. The test fails if none arrives within waitTimeout.
 func (w *Worker) Next() *Call {
 	w.t.Helper()
 	select {
-	case received := <-w.Calls:
-		return received
-	case <-time.After(waitLimit):
-		require.FailNow(w.t, "no call came to the worker")
+	case call := <-w.Calls:
+		return call
+	case <-time.After(waitTimeout):
+		require.FailNow(w.t, "the worker received no call before the timeout")
 		return nil
 	}
 }
 
-// StopListening has further connections refused. Those that were accepted stay open.
+// StopListening closes the listener: new connections are refused, accepted ones stay open.
 func (w *Worker) StopListening() { w.listener.Close() }
 
-// FirstCallAtEither returns the next call to arrive at one of two workers, and the other worker. The test fails if none
-// does.
+// FirstCallAtEither returns the next call that one of two workers receives, and the worker that did not receive it. The
+// test fails if no call arrives within waitTimeout.
 func FirstCallAtEither(a, b *Worker) (*Call, *Worker) {
 	a.t.Helper()
 	select {
-	case received := <-a.Calls:
-		return received, b
-	case received := <-b.Calls:
-		return received, a
-	case <-time.After(waitLimit):
-		require.FailNow(a.t, "no call came to either worker")
+	case call := <-a.Calls:
+		return call, b
+	case call := <-b.Calls:
+		return call, a
+	case <-time.After(waitTimeout):
+		require.FailNow(a.t, "neither worker received a call before the timeout")
 		return nil, nil
 	}
 }
 
-// Call is a call that has arrived at a Worker.
+// Call is a call that a Worker has received.
 type Call struct {
 	ID     uint64
-	Fields string // as the frame has them: "name=value,name=value"
+	Fields string // as encoded in the frame: "name=value,name=value"
 	Body   string
 	conn   net.Conn
 }
 
-// Answer writes an answer.
+// Answer writes an answer to the call.
 func (c *Call) Answer(code byte, fields, body string) { c.WriteRaw(Frame(code, c.ID, fields, body)) }
 
-// OK answers that the call was served by a loaded copy.
+// OK answers that a copy that was already loaded has served the call.
 func (c *Call) OK(body string) { c.Answer(CodeOK, "remark=hot", body) }
 
-// WriteRaw writes bytes to the connection as they are. Errors are ignored: the peer may have closed it.
+// WriteRaw writes data to the connection without encoding it. It ignores errors because the peer may have closed the
+// connection.
 func (c *Call) WriteRaw(data []byte) { c.conn.Write(data) }
 
-// From returns the address that the call came from, which differs between connections.
+// From returns the peer address of the call's connection. It tells apart the connections of one dispatcher.
 func (c *Call) From() string { return c.conn.RemoteAddr().String() }
 
-// CloseConn closes the connection, as a worker does that ends in good order.
+// CloseConn closes the connection, as a worker does when it shuts down in an orderly way.
 func (c *Call) CloseConn() { c.conn.Close() }
 
-// ResetConn resets the connection, as the kernel does for a process that dies.
+// ResetConn resets the connection, as the kernel does for a worker process that crashes.
 func (c *Call) ResetConn() {
 	c.conn.(*net.TCPConn).SetLinger(0)
 	c.conn.Close()
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -23,7 +23,7 @@
 	return pool
 }
 
-// startCall sends a call and returns the channel for its result.
+// startCall starts an attempt of a call and returns the channel that receives its result.
 func startCall(t *testing.T, pool *worker.Pool, id uint64, body string) <-chan worker.Result {
 	t.Helper()
 	results := make(chan worker.Result, 1)
@@ -33,43 +33,43 @@
 	return results
 }
 
-func TestWorkerMissesUntilTheFunctionIsLoaded(t *testing.T) {
+func TestWorkerAnswersMissUntilFunctionIsLoaded(t *testing.T) {
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w)
 	w.UnloadAll()
 	assert.Equal(t, balancer.Miss, fakes.Receive(t, startCall(t, pool, 1, "x")).Status)
 	assert.Zero(t, w.CallCount("x"))
 
-	loads := make(chan worker.Result, 1)
-	_, err := pool.Load(fakes.LoadOrder(testFunction), func(r worker.Result) { loads <- r })
+	loadResults := make(chan worker.Result, 1)
+	_, err := pool.Load(fakes.LoadOrder(testFunction), func(r worker.Result) { loadResults <- r })
 	require.NoError(t, err)
-	loaded := fakes.Receive(t, loads)
-	assert.Equal(t, balancer.OK, loaded.Status)
-	assert.Equal(t, 1, loaded.Copies)
+	loadResult := fakes.Receive(t, loadResults)
+	assert.Equal(t, balancer.OK, loadResult.Status)
+	assert.Equal(t, 1, loadResult.Copies)
 	require.Len(t, w.LoadOrderTimes(), 1)
 	assert.WithinDuration(t, time.Now(), w.LoadOrderTimes()[0], time.Until(fakes.Deadline()))
 
-	result := startCall(t, pool, 2, "x")
-	received := w.Next()
-	assert.Equal(t, uint64(2), received.ID)
-	assert.Equal(t, "x", received.Body)
-	received.OK("done")
-	served := fakes.Receive(t, result)
-	assert.Equal(t, balancer.OK, served.Status)
-	assert.Equal(t, "done", string(served.Body))
+	callResults := startCall(t, pool, 2, "x")
+	call := w.Next()
+	assert.Equal(t, uint64(2), call.ID)
+	assert.Equal(t, "x", call.Body)
+	call.OK("done")
+	callResult := fakes.Receive(t, callResults)
+	assert.Equal(t, balancer.OK, callResult.Status)
+	assert.Equal(t, "done", string(callResult.Body))
 	assert.Equal(t, 1, w.CallCount("x"))
 }
 
-func TestWorkerAnswersAndResetsAsTheTestSays(t *testing.T) {
+func TestWorkerRejectsCallAndResetsConnection(t *testing.T) {
 	w, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	pool := newPool(t, w)
-	rejected := startCall(t, pool, 1, "x")
-	received, idle := fakes.FirstCallAtEither(other, w)
+	firstResults := startCall(t, pool, 1, "x")
+	call, idle := fakes.FirstCallAtEither(other, w)
 	assert.Same(t, other, idle)
-	received.Answer(fakes.CodeFull, "", "")
-	assert.Equal(t, balancer.Rejected, fakes.Receive(t, rejected).Status)
+	call.Answer(fakes.CodeFull, "", "")
+	assert.Equal(t, balancer.Rejected, fakes.Receive(t, firstResults).Status)
 
-	broken := startCall(t, pool, 2, "x")
+	secondResults := startCall(t, pool, 2, "x")
 	w.Next().ResetConn()
-	assert.Equal(t, balancer.Reset, fakes.Receive(t, broken).Status)
+	assert.Equal(t, balancer.Reset, fakes.Receive(t, secondResults).Status)
 }
