--- a/cmd/dispatcher/commands.go
+++ b/cmd/dispatcher/commands.go
@@ -15,13 +15,14 @@
 	"kitefall/internal/frontend/invoke"
 )
 
-// configEnv is the environment variable that names the dispatcher's configuration file.
+// configEnv is the environment variable that holds the path of the dispatcher's configuration file.
 const configEnv = "RELAY_CONFIG"
 
-// legacyInvokeFlag is an early spelling of --invoke with a single dash, which deployments still use.
+// legacyInvokeFlag is an older spelling of --invoke, with a single dash. Deployments still use it.
 const legacyInvokeFlag = "-invoke"
 
-// expandLegacyFlags returns args with each legacyInvokeFlag spelled with two dashes.
+// expandLegacyFlags returns a copy of args in which each legacyInvokeFlag has two dashes. It does not change "-invoke=",
+// which has an empty value and is then rejected as a usage error.
 func expandLegacyFlags(args []string) []string {
 	expanded := append([]string{}, args...)
 	for i, arg := range expanded {
@@ -68,11 +69,11 @@
 	return root
 }
 
-// configureLog sets up the default logger: one line per record, as text or as JSON. docs/ON-CALL.md documents the lines
-// and their keys.
+// configureLog sets up the default logger, which writes one line per record to w, as text or as JSON. docs/ON-CALL.md
+// documents the messages and their keys.
 func configureLog(w io.Writer, format string) error {
 	switch format {
-	case "text": // time, level, message, then key=value
+	case "text": // each line has the time, the level, the message and key=value pairs
 		log.SetOutput(w)
 		log.SetFlags(log.Ltime | log.Lmicroseconds)
 	case "json":
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// usageArgs wraps a check of positional arguments so that its errors count as errors of usage.
+// usageArgs wraps a check of positional arguments so that its errors are usage errors.
 func usageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -95,39 +96,39 @@
 
 func newConfigCommand() *cobra.Command {
 	group := &cobra.Command{Use: "config", Short: "Look at operators' files"}
-	var relayConfig string
+	var relayConfigFile string
 	check := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check an operator's file, all of it, and say what it means",
 		Args:  usageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
-			return checkInvokeFile(c.OutOrStdout(), args[0], relayConfig)
+			return checkInvokeFile(c.OutOrStdout(), args[0], relayConfigFile)
 		},
 	}
-	check.Flags().StringVar(&relayConfig, "relay-config", os.Getenv(configEnv),
+	check.Flags().StringVar(&relayConfigFile, "relay-config", os.Getenv(configEnv),
 		"the dispatcher's configuration, for its classes and tenants")
 	group.AddCommand(check)
 	return group
 }
 
-// checkInvokeFile validates an operator's file and writes what it means to w. Its classes and tenants are checked against
-// the dispatcher's configuration if that is named.
-func checkInvokeFile(w io.Writer, invokeFile, relayConfig string) error {
-	checkSettings := relayConfig != ""
+// checkInvokeFile validates an operator's file and writes an explanation of its settings to w. The classes and tenants in
+// the file are checked against the dispatcher's configuration, unless relayConfigFile is empty.
+func checkInvokeFile(w io.Writer, invokeFile, relayConfigFile string) error {
+	settingsKnown := relayConfigFile != ""
 	settings := balancer.Settings{}
-	if checkSettings {
-		relay, err := config.Read(relayConfig)
+	if settingsKnown {
+		dispatcherConfig, err := config.Read(relayConfigFile)
 		if err != nil {
 			return err
 		}
-		settings = relay.Settings
+		settings = dispatcherConfig.Settings
 	}
-	conf, err := invoke.CheckConfig(invokeFile, settings, checkSettings)
+	invokeConfig, err := invoke.CheckConfig(invokeFile, settings, settingsKnown)
 	if err != nil {
 		return err
 	}
-	fmt.Fprint(w, conf.Explain())
-	if !checkSettings {
+	fmt.Fprint(w, invokeConfig.Explain())
+	if !settingsKnown {
 		fmt.Fprintln(w, "classes and tenants were not checked: name the dispatcher's configuration with --relay-config")
 	}
 	return nil
--- a/cmd/dispatcher/drain.go
+++ b/cmd/dispatcher/drain.go
@@ -7,11 +7,13 @@
 	"kitefall/internal/metrics"
 )
 
-// drainPollInterval is the time between two checks whether everything in flight is answered.
+// drainPollInterval is the time between two checks for calls in flight and open client connections.
 const drainPollInterval = 5 * time.Millisecond
 
-// drain ends the program's service. Everything is taken for a while, as package drain says; then the listeners close and the
-// clients are sent away, and drain returns once all calls in flight are answered and no client connection is active.
+// drain shuts the service down gracefully. The program still accepts all calls for the time that drain.State.Linger
+// returns. Then drain closes the listener for clients, has the invoke API reject new invocations, and waits until all calls
+// in flight are answered and the frontend has closed all client connections, as s.drainState schedules. Finally drain stops
+// the invoke API and logs the metrics.
 func (s *server) drain() error {
 	s.phases.Enter(lifecycle.Draining)
 	s.drainState.Terminate(time.Now())
--- a/cmd/dispatcher/invoke.go
+++ b/cmd/dispatcher/invoke.go
@@ -21,20 +21,22 @@
 )
 
 const (
-	// identityTimeout is how long the Workload API may take to deliver the first identity.
+	// identityTimeout is how long the program waits at its start for the first identity from the Workload API.
 	identityTimeout = 30 * time.Second
-	// storeLockTimeout is how long another process may hold the lock of the invocation store.
+	// storeLockTimeout is how long the program waits at its start for the lock of the invocation store while another
+	// process holds it.
 	storeLockTimeout = 5 * time.Second
-	// maxClockLead is how far the times of the last run may lie from the wall clock before it is logged.
-	maxClockLead = time.Minute
-	// invokeGCPercent replaces the garbage collector's default of 100 while the invoke API is on.
+	// maxClockOffset is the largest difference between the store's clock and the wall clock, in either direction, that is
+	// not logged at the start.
+	maxClockOffset = time.Minute
+	// invokeGCPercent is the garbage collector's target percentage (GOGC) while the invoke API is on; Go's default is 100.
 	invokeGCPercent = 50
-	// shutdownTimeout is how long requests of the invoke API may take to end.
+	// shutdownTimeout is how long HTTP requests in flight may take to finish, from the call of invokeService.close.
 	shutdownTimeout = 5 * time.Second
 )
 
-// invokeService is the invoke API and what it needs: the executor of invocations with its store, the control socket and
-// the source of the TLS identity.
+// invokeService is the invoke API with its dependencies: the executor of invocations, which owns their store, the control
+// socket and the source of the TLS identity.
 type invokeService struct {
 	core     *dispatch.Core
 	identity *workloadapi.X509Source
@@ -43,8 +45,9 @@
 	server   *invoke.Server
 }
 
-// readInvokeConfig reads the operator's file, if there is one, and returns how many connections it wants.
-func readInvokeConfig(invokeFile string, conf *config.Config) (invokeConfig *invoke.Config, connections int, err error) {
+// readInvokeConfig reads the operator's file and returns it with the maximum number of connections that it configures. If
+// invokeFile is empty, the invoke API is off, and readInvokeConfig returns nil and 0.
+func readInvokeConfig(invokeFile string, conf *config.Config) (invokeConfig *invoke.Config, maxConns int, err error) {
 	if invokeFile == "" {
 		return nil, 0, nil
 	}
@@ -55,10 +58,10 @@
 	return invokeConfig, invokeConfig.MaxConns, nil
 }
 
-// startInvoke starts the invoke API as the operator's file says, with connections that take their descriptors from a share. An
-// error of the server after the start is sent to failed.
+// startInvoke starts the invoke API as the operator's file configures it. The connections of its clients take their
+// descriptors from share. If the HTTP server fails after the start, its error is sent to serveErrors.
 func startInvoke(invokeConfig *invoke.Config, conf *config.Config, core *dispatch.Core, share *descriptors.Share,
-	failed chan<- error) (*invokeService, error) {
+	serveErrors chan<- error) (*invokeService, error) {
 	if share.Limit() < invokeConfig.MaxConns {
 		slog.Warn("invoke: fewer connections than configured, for want of descriptors", "configured", invokeConfig.MaxConns,
 			"allowed", share.Limit())
@@ -68,11 +71,11 @@
 	if s.identity, err = waitForIdentity(invokeConfig.WorkloadAPI); err != nil {
 		return nil, err
 	}
-	invocations, err := s.startExecutor(invokeConfig)
+	invocationStore, err := s.startExecutor(invokeConfig)
 	if err != nil {
 		return nil, err
 	}
-	operations := control.ForStore(invocations, s.executor.Clock(), s.executor.Redrive)
+	operations := control.ForStore(invocationStore, s.executor.Clock(), s.executor.Redrive)
 	if s.control, err = control.Listen(invokeConfig.Control, operations); err != nil {
 		return nil, err
 	}
@@ -81,64 +84,67 @@
 		return nil, err
 	}
 	s.server = invoke.New(invokeConfig, s.executor, s.identity)
-	go func() { // ended by close
+	go func() { // ends when close shuts the server down
 		if err := s.server.Serve(share.Listener(listener)); err != nil {
-			failed <- err
+			serveErrors <- err
 		}
 	}()
 	slog.Info("serving the invoke API", "name", conf.Name, "addr", listener.Addr().String())
 	return s, nil
 }
 
-// waitForIdentity returns the source of the server's identity once the first one is there.
+// waitForIdentity returns the source of the server's identity, once the Workload API has delivered the first identity. It
+// fails after identityTimeout.
 func waitForIdentity(workloadAPI string) (*workloadapi.X509Source, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(identityTimeout))
 	defer cancel()
 	return invoke.WaitForIdentity(ctx, workloadAPI)
 }
 
-// startExecutor opens the store and has the executor take up the invocations that the last run left open.
+// startExecutor opens the store and starts the executor, which resumes the invocations that the last run of the program
+// left incomplete.
 func (s *invokeService) startExecutor(invokeConfig *invoke.Config) (*store.Store, error) {
-	invocations, clock, err := openStore(invokeConfig)
+	invocationStore, clock, err := openStore(invokeConfig)
 	if err != nil {
 		return nil, err
 	}
-	s.executor, err = executor.New(invocations, s.core, invokeConfig, invokeConfig.SchedulerConfig(), clock)
+	s.executor, err = executor.New(invocationStore, s.core, invokeConfig, invokeConfig.SchedulerConfig(), clock)
 	if err != nil {
 		return nil, err
 	}
-	// The store may hold 100,000 waiting invocations: small objects that live long. Keeping less garbage beside them is
-	// worth the collector's time. While the invoke API is off the default stays.
+	// The store may hold 100,000 waiting invocations: small objects that live long. The lower target keeps less garbage on
+	// the heap beside them, which is worth the additional collections. While the invoke API is off, the default stays.
 	debug.SetGCPercent(invokeGCPercent)
-	return invocations, s.executor.Recover()
+	return invocationStore, s.executor.Recover()
 }
 
-// openStore opens and verifies the invocation store. It also returns the clock of the store's times.
+// openStore opens and verifies the invocation store. It also returns the clock for the times in the store, which continues
+// from the last run of the program.
 func openStore(invokeConfig *invoke.Config) (*store.Store, *monotonic.Clock, error) {
 	options := invokeConfig.StoreOptions()
 	options.Durable.LockDeadline = time.Now().Add(storeLockTimeout)
 	options.Durable.VerifyOnOpen = true
-	invocations, err := store.Open(invokeConfig.Store, options)
+	invocationStore, err := store.Open(invokeConfig.Store, options)
 	if err != nil {
 		return nil, nil, err
 	}
 	wall := time.Now()
-	clock, err := invocations.StartClock(wall, monotonic.ReadUptime())
+	clock, err := invocationStore.StartClock(wall, monotonic.ReadUptime())
 	if err != nil {
 		return nil, nil, err
 	}
-	if lead := clock.Now().Sub(wall.Round(0)); lead.Abs() > maxClockLead {
+	if offset := clock.Now().Sub(wall.Round(0)); offset.Abs() > maxClockOffset {
 		slog.Warn("tickets: the wall clock was set since the last run; times go on from those of that run",
-			"ahead", lead.Round(time.Second))
+			"ahead", offset.Round(time.Second))
 	}
-	return invocations, clock, nil
+	return invocationStore, clock, nil
 }
 
-// followDrain has the invoke API send its clients away, and take them again, as the state says, until the process is told to
-// end: what is to be done then is drain's business.
+// followDrain evacuates the invoke API, or has it accept clients again, whenever the drain state changes. It returns once
+// the process is terminating, as server.drain then shuts the invoke API down.
 func (s *invokeService) followDrain(state *drain.State) {
 	for {
-		changed := state.Changed() // before the phase, lest a change be missed
+		changed := state.Changed() // read before the phase, so that no change between the two reads is missed
 		switch state.Phase() {
 		case drain.Terminating:
 			return
@@ -151,26 +157,29 @@
 	}
 }
 
-// evacuate follows a schedule, unless the state changes.
+// evacuate carries out the steps of an evacuation at the times of the schedule, counted from now. It returns early when
+// changed is closed.
 func (s *invokeService) evacuate(schedule drain.Schedule, changed <-chan struct{}) {
-	begun := time.Now()
+	start := time.Now()
 	for _, step := range []struct {
-		at    time.Duration
-		carry func()
+		after time.Duration
+		run   func()
 	}{{schedule.Linger, s.server.Evacuate}, {schedule.AnswerBy, s.server.EndWaits}} {
 		select {
-		case <-time.After(time.Until(begun.Add(step.at))):
-			step.carry()
+		case <-time.After(time.Until(start.Add(step.after))):
+			step.run()
 		case <-changed:
 			return
 		}
 	}
 }
 
-// drain rejects new requests from now on. Without it a busy invoke API would never run out of calls in flight.
+// drain rejects new invocations from now on. Otherwise a busy invoke API would always have calls in flight, and the program
+// could not end.
 func (s *invokeService) drain() { s.server.Drain() }
 
-// close ends the service and stops the core. It must be called once nothing is in flight in the core.
+// close shuts down the invoke API, the control socket, the core, the identity source and the executor with its store, in
+// this order. It must not be called while the core has calls in flight.
 func (s *invokeService) close() error {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(shutdownTimeout))
 	defer cancel()
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,8 +1,8 @@
 // Command dispatcher forwards calls from clients to workers that have the called function loaded, and answers each call
-// exactly once. It connects the packages of the program and owns its command line; all decisions about where and when
-// a call is forwarded are made by package balancer.
+// exactly once. This package parses the command line and connects the other packages; package balancer alone decides
+// where and when a call is forwarded.
 //
-// The program names itself kitefall in its usage and in its error messages.
+// In its usage text and its error messages the program is called kitefall.
 package main
 
 import (
@@ -14,12 +14,12 @@
 	"kitefall/internal/invocation"
 )
 
-// The exit codes. Scripts depend on them, and the usage text lists them: they must not change.
+// Exit codes of the process. They must not change: scripts depend on them, and the usage text lists them.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitUsage    = 2
-	exitNotFound = 3 // no such invocation
+	exitNotFound = 3 // the invocation does not exist or has expired
 	exitRejected = 4 // the invocation's state does not allow the operation
 	exitStorage  = 5 // the store is corrupt, locked by another process, or cannot be written
 )
@@ -28,10 +28,10 @@
 	os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// errUsage marks errors that are caused by the command line itself.
+// errUsage is wrapped by errors in the command line itself, such as an unknown flag.
 var errUsage = errors.New("usage")
 
-// execute runs a command line and returns the exit code of the process. Without a command it serves.
+// execute runs the command that args name, or the service if args name none, and returns the exit code of the process.
 func execute(args []string, stdout, stderr io.Writer) int {
 	root := newRootCommand()
 	root.SetArgs(expandLegacyFlags(args))
@@ -45,7 +45,7 @@
 	return exitCode(err)
 }
 
-// exitCode returns the exit code that stands for err.
+// exitCode returns the process's exit code for err, which must not be nil.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, errUsage):
--- a/cmd/dispatcher/operators.go
+++ b/cmd/dispatcher/operators.go
@@ -12,21 +12,21 @@
 	"kitefall/internal/drain"
 )
 
-// errTerminating refuses what cannot be done any more.
+// errTerminating is returned to operators for operations that a terminating process does not carry out.
 var errTerminating = errors.New("the process has been told to end")
 
-// operations carries out the operators' calls. It implements admin.Operations.
-type operations struct{ server *server }
+// adminOperations implements admin.Operations: it carries out operators' requests on the server.
+type adminOperations struct{ server *server }
 
-func (o operations) Ready() bool { return o.server.ready() }
+func (o adminOperations) Ready() bool { return o.server.ready() }
 
-func (o operations) Evacuate() error {
+func (o adminOperations) Evacuate() error {
 	phase := o.server.drainState.Evacuate(time.Now())
 	slog.Info("operators: told to send clients away", "drain", phase.String())
 	return nil
 }
 
-func (o operations) Rejoin() error {
+func (o adminOperations) Rejoin() error {
 	phase := o.server.drainState.Rejoin()
 	slog.Info("operators: told to take clients again", "drain", phase.String())
 	if phase == drain.Terminating {
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// openAdmin listens for operators and answers them in the background until the end of the process, if the configuration names
-// an address for it.
+// openAdmin listens for operators' requests at the configured address and serves them in the background until the end of
+// the process. Without an address in the configuration it does nothing. An error of the server is sent to s.serveErrors.
 func (s *server) openAdmin(terminate <-chan os.Signal) error {
 	if s.config.Admin == "" {
 		return nil
@@ -46,10 +46,10 @@
 	if err != nil {
 		return err
 	}
-	operators := admin.New(operations{server: s}, s.descriptors.Operators)
+	adminServer := admin.New(adminOperations{server: s}, s.descriptors.Operators)
 	go func() {
-		if err := operators.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			s.failed <- err
+		if err := adminServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			s.serveErrors <- err
 		}
 	}()
 	slog.Info("listening for operators", "addr", s.config.Admin)
--- a/cmd/dispatcher/reload.go
+++ b/cmd/dispatcher/reload.go
@@ -9,21 +9,21 @@
 	"kitefall/internal/lifecycle"
 )
 
-// reloadOn reloads the configuration at every signal until ctx ends.
-func (s *server) reloadOn(ctx context.Context, hangup <-chan os.Signal) {
+// reloadOnSignal reloads the configuration at every signal on hangup until ctx is done.
+func (s *server) reloadOnSignal(ctx context.Context, hangup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
-			s.ready() // the endpoints may be known although no CHECK has asked yet
+			s.ready() // enters the phase Serving if the endpoints are known but no readiness check has come yet
 			s.reload()
 		}
 	}
 }
 
-// reload reads the configuration file again and follows the discovery address that it names. This is done in every phase,
-// as a draining program too has to learn which workers drain. A file that cannot be used changes nothing.
+// reload reads the configuration file again and switches to the discovery address in it. A file that is invalid or cannot
+// be read changes nothing. Reloads happen in every phase: a draining program too has to learn which workers drain.
 func (s *server) reload() {
 	if s.phases.Enter(lifecycle.Reloading) {
 		defer s.phases.Enter(lifecycle.Serving)
--- a/cmd/dispatcher/server.go
+++ b/cmd/dispatcher/server.go
@@ -26,32 +26,32 @@
 	"kitefall/internal/worker"
 )
 
-// metricsInterval is the time between two lines of the log that show the counters.
+// metricsInterval is the time between two log lines with the metrics.
 const metricsInterval = 30 * time.Second
 
-// server is the dispatcher as a network service: the core, what feeds it with endpoints, and its frontends. It serves
-// once, from newServer to the end of drain.
+// server is the dispatcher as a network service: the core, the watcher that keeps the core's endpoints up to date, and the
+// frontends. A server serves once, from newServer to the return of drain, and cannot be restarted.
 type server struct {
 	configPath   string
-	config       *config.Config // as read at the start; a reload changes nothing in it
+	config       *config.Config // as read at the start; a reload does not change it
 	phases       *lifecycle.Lifecycle
-	drainState   *drain.State // whether clients are sent away
+	drainState   *drain.State // whether the process is serving, evacuating or terminating
 	descriptors  *descriptors.Budget
 	core         *dispatch.Core
 	watcher      *discovery.Watcher
 	frontend     *resp.Server
-	listener     net.Listener   // the frontend's
+	listener     net.Listener   // of the frontend
 	invokeConfig *invoke.Config // nil if the invoke API is off
 	invoke       *invokeService // nil if the invoke API is off
-	listening    atomic.Bool    // the frontend accepts clients
-	failed       chan error     // errors of the listeners that end the program; has room for one of each
+	listening    atomic.Bool    // set once the frontend accepts clients
+	serveErrors  chan error     // fatal errors of the three network servers; buffered, one place for each server
 }
 
-// run serves until SIGTERM or an interrupt, and returns once everything in flight is answered. The invoke API is on if
-// invokeFile names an operator's file. Where run returns an error, the caller is expected to end the process, which
-// releases what was opened until then.
+// run serves until SIGTERM or an interrupt, and returns once all calls in flight are answered. The invoke API is on if
+// invokeFile names an operator's file. If run returns an error, the caller must end the process: run itself does not
+// release what it opened before the error.
 func run(configPath, invokeFile string) error {
-	signals := notifySignals() // first of all: an unhandled SIGHUP would end the program
+	signals := notifySignals() // before everything else, as an unhandled SIGHUP would end the program
 	defer signals.stop()
 	s, err := newServer(configPath, invokeFile)
 	if err != nil {
@@ -64,49 +64,49 @@
 		return err
 	}
 	if s.invokeConfig != nil {
-		if s.invoke, err = startInvoke(s.invokeConfig, s.config, s.core, s.descriptors.Devices, s.failed); err != nil {
+		if s.invoke, err = startInvoke(s.invokeConfig, s.config, s.core, s.descriptors.Devices, s.serveErrors); err != nil {
 			return err
 		}
-		go s.invoke.followDrain(s.drainState) // ended by SIGTERM
+		go s.invoke.followDrain(s.drainState) // returns once drain has entered the phase Terminating
 	}
 	if err := s.openFrontend(signals.terminate); err != nil {
 		return err
 	}
-	go s.reloadOn(ctx, signals.hangup)
+	go s.reloadOnSignal(ctx, signals.hangup)
 	select {
-	case err := <-s.failed:
+	case err := <-s.serveErrors:
 		return err
 	case <-signals.terminate:
 		return s.drain()
 	}
 }
 
-// newServer reads the configuration, and the operator's file if there is one, applies its resource limits to the process,
-// and starts the core.
+// newServer reads the configuration and, unless invokeFile is empty, the operator's file. It applies the configured
+// resource limits to the process and starts the core.
 func newServer(configPath, invokeFile string) (*server, error) {
 	conf, err := config.Read(configPath)
 	if err != nil {
 		return nil, err
 	}
 	conf.WarnUnknown(os.Environ())
-	invokeConfig, devices, err := readInvokeConfig(invokeFile, conf)
+	invokeConfig, invokeConns, err := readInvokeConfig(invokeFile, conf)
 	if err != nil {
 		return nil, err
 	}
-	s := &server{configPath: configPath, config: conf, phases: lifecycle.New(), failed: make(chan error, 3)}
+	s := &server{configPath: configPath, config: conf, phases: lifecycle.New(), serveErrors: make(chan error, 3)}
 	s.drainState = drain.New(drain.Evacuation(), drain.Termination(longestDeadline(conf.Settings)))
 	s.invokeConfig = invokeConfig
-	s.descriptors = descriptors.NewBudget(conf.Descriptors(devices))
+	s.descriptors = descriptors.NewBudget(conf.Descriptors(invokeConns))
 	applyLimits(conf)
 	if s.core, err = dispatch.New(coreConfig(conf, s.descriptors)); err != nil {
 		return nil, err
 	}
 	go s.logMetrics() // runs until the end of the process
-	go s.core.Run()   // ended by closing the invoke service, else by the end of the process
+	go s.core.Run()   // stopped by invokeService.close; with the invoke API off it runs until the end of the process
 	return s, nil
 }
 
-// logMetrics writes the counters into the log from time to time.
+// logMetrics checks the number of open descriptors and logs the metrics, every metricsInterval.
 func (s *server) logMetrics() {
 	for range time.Tick(metricsInterval) {
 		s.descriptors.Check()
@@ -114,13 +114,14 @@
 	}
 }
 
-// applyLimits makes the Go runtime keep to the configured limits of memory and cores.
+// applyLimits sets the Go runtime's memory limit and GOMAXPROCS from the configured limits of memory and cores.
 func applyLimits(conf *config.Config) {
 	debug.SetMemoryLimit(conf.MemoryLimit())
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(conf.Limits.Cores))))
 }
 
-// coreConfig translates the configuration file into the configuration of the core and its connection pools.
+// coreConfig returns the configuration of the core and of its connection pools to workers, from the configuration file
+// and the descriptor budget.
 func coreConfig(conf *config.Config, budget *descriptors.Budget) dispatch.Config {
 	return dispatch.Config{
 		Settings:     conf.Settings,
@@ -138,7 +139,8 @@
 	}
 }
 
-// watchEndpoints keeps the core's list of endpoints up to date until ctx ends, starting with the configured list.
+// watchEndpoints starts a goroutine that gives the core the endpoint list of the configuration and then follows discovery
+// until ctx is done.
 func (s *server) watchEndpoints(ctx context.Context) {
 	s.watcher = discovery.NewWatcher(s.config.DiscoveryAddr, s.descriptors.Discovery, s.core)
 	go func() {
@@ -147,7 +149,8 @@
 	}()
 }
 
-// openFrontend listens for clients and serves them in the background until drain closes the listener.
+// openFrontend listens for clients and serves them in the background until drain closes the listener. An error of the
+// frontend is sent to s.serveErrors.
 func (s *server) openFrontend(terminate <-chan os.Signal) error {
 	open := func() (net.Listener, error) { return net.Listen("tcp", s.config.Listen) }
 	var err error
@@ -156,14 +159,14 @@
 	}
 	s.frontend = &resp.Server{Core: s.core, Ready: s.ready, Settings: s.config.Settings, Timeouts: resp.DefaultTimeouts,
 		DrainState: s.drainState}
-	go func() { s.failed <- s.frontend.Serve(s.listener, s.descriptors.Clients) }()
+	go func() { s.serveErrors <- s.frontend.Serve(s.listener, s.descriptors.Clients) }()
 	s.listening.Store(true)
 	slog.Info("listening", "name", s.config.Name, "addr", s.config.Listen)
 	return nil
 }
 
-// ready reports whether the dispatcher takes calls. The program counts as serving from the first time that it is asked
-// with the endpoints known. It is safe for concurrent use.
+// ready reports whether the dispatcher is ready for calls. The first call of ready after the endpoints are known and the
+// frontend accepts clients changes the phase to Serving. It is safe for concurrent use.
 func (s *server) ready() bool {
 	if s.listening.Load() && s.core.EndpointsKnown() {
 		s.phases.Enter(lifecycle.Serving)
@@ -171,7 +174,7 @@
 	return s.phases.Phase().Ready() && s.drainState.Phase() == drain.Serving
 }
 
-// longestDeadline returns the longest deadline of all classes; 0: no class has one.
+// longestDeadline returns the longest deadline of all classes, or 0 if no class has a deadline.
 func longestDeadline(settings balancer.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range settings.Classes {
@@ -180,9 +183,9 @@
 	return longest
 }
 
-// signals delivers the signals that the program reacts to.
+// signals holds the channels on which the program receives operating system signals.
 type signals struct {
-	terminate chan os.Signal // SIGTERM or an interrupt: drain and end
+	terminate chan os.Signal // SIGTERM or an interrupt: drain and exit
 	hangup    chan os.Signal // SIGHUP: reload the configuration
 }
 
@@ -193,7 +196,7 @@
 	return s
 }
 
-// stop gives the signals back to their default handling.
+// stop restores the default handling of the signals.
 func (s signals) stop() {
 	signal.Stop(s.terminate)
 	signal.Stop(s.hangup)
--- a/cmd/dispatcher/tickets.go
+++ b/cmd/dispatcher/tickets.go
@@ -13,13 +13,14 @@
 	"kitefall/internal/invocation/store"
 )
 
-// cliLockTimeout is how long a command waits for the lock of the store's file.
+// cliLockTimeout is how long a command waits for the lock of the store's file, from when it starts to open the store.
 const cliLockTimeout = time.Second
 
-// defaultListLimit is how many invocations the list command shows by default.
+// defaultListLimit is the maximum number of invocations that the list command shows by default.
 const defaultListLimit = 100
 
-// ticketsCommand is what the commands on invocations share: their flags. The command line calls invocations tickets.
+// ticketsCommand holds the flags that all commands on invocations share. On the command line an invocation is called a
+// ticket.
 type ticketsCommand struct {
 	invokeFile string
 	json       bool
@@ -42,44 +43,44 @@
 	return group
 }
 
-// storeAccess says how a command opens a store that no dispatcher has open.
+// storeAccess is how a command opens the store's file when no dispatcher is running on the store.
 type storeAccess bool
 
 const (
-	readOnly  storeAccess = true // nothing is written to the file
+	readOnly  storeAccess = true // the file is not written to
 	readWrite storeAccess = false
 )
 
-// operation is the body of a command that works on invocations.
-type operation func(c *cobra.Command, invocations control.Operations, args []string) error
+// operation is the body of a command on invocations. Its ops reach them over the control socket or in the store's file.
+type operation func(c *cobra.Command, ops control.Operations, args []string) error
 
-// withInvocations returns a command's body that opens the invocations, runs the operation and closes them.
+// withInvocations returns a RunE function for a command. It opens the invocations, runs the operation and closes them.
 func (t *ticketsCommand) withInvocations(access storeAccess, run operation) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
-		invocations, closeStore, err := t.open(access)
+		ops, closeStore, err := t.open(access)
 		if err != nil {
 			return err
 		}
-		return errors.Join(run(c, invocations, args), closeStore())
+		return errors.Join(run(c, ops, args), closeStore())
 	}
 }
 
-// open returns the operations of a running dispatcher if one answers on the control socket, else those on the store's
-// file. The caller must call the returned function in the end.
+// open returns the operations of a running dispatcher, if one accepts connections on the control socket, and otherwise
+// operations on the store's file. The caller must call the returned function to close the store.
 func (t *ticketsCommand) open(access storeAccess) (control.Operations, func() error, error) {
 	conf, err := t.readInvokeFile()
 	if err != nil {
 		return nil, nil, err
 	}
-	if running, ok := control.Dial(conf.Control); ok {
-		return running, func() error { return nil }, nil
+	if ops, ok := control.Dial(conf.Control); ok {
+		return ops, func() error { return nil }, nil
 	}
 	options := conf.StoreOptions()
 	options.Durable.LockDeadline = time.Now().Add(cliLockTimeout)
 	return control.OpenFile(conf.Store, options, access == readOnly)
 }
 
-// readInvokeFile reads the operator's file, which has to name a store. The rest of the file need not be valid.
+// readInvokeFile reads the operator's file, which has to name a store. The other settings in the file are not validated.
 func (t *ticketsCommand) readInvokeFile() (*invoke.Config, error) {
 	if t.invokeFile == "" {
 		return nil, fmt.Errorf("%w: --invoke names the operator's file that says where the store is", errUsage)
@@ -97,12 +98,12 @@
 		Use:   "list",
 		Short: "List tickets",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE: t.withInvocations(readOnly, func(c *cobra.Command, invocations control.Operations, _ []string) error {
-			found, err := invocations.List(filter)
+		RunE: t.withInvocations(readOnly, func(c *cobra.Command, ops control.Operations, _ []string) error {
+			invocations, err := ops.List(filter)
 			if err != nil {
 				return err
 			}
-			return t.print(c, found, func(w io.Writer) { printTable(w, found) })
+			return t.print(c, invocations, func(w io.Writer) { printTable(w, invocations) })
 		}),
 	}
 	c.Flags().StringVar(&filter.Tenant, "tenant", "", "those of one tenant")
@@ -118,12 +119,12 @@
 		Use:   "show TICKET",
 		Short: "Show a ticket and its history",
 		Args:  usageArgs(cobra.ExactArgs(1)),
-		RunE: t.withInvocations(readOnly, func(c *cobra.Command, invocations control.Operations, args []string) error {
-			found, err := invocations.Show(args[0])
+		RunE: t.withInvocations(readOnly, func(c *cobra.Command, ops control.Operations, args []string) error {
+			invocation, err := ops.Show(args[0])
 			if err != nil {
 				return err
 			}
-			return t.printInvocation(c, found)
+			return t.printInvocation(c, invocation)
 		}),
 	}
 }
--- a/cmd/dispatcher/tickets_deadletter.go
+++ b/cmd/dispatcher/tickets_deadletter.go
@@ -11,7 +11,7 @@
 	"kitefall/internal/control"
 )
 
-// errReasonMissing rejects a redrive that is confirmed without saying how.
+// errReasonMissing rejects a redrive with --checked but without a --reason, which says how the operator checked.
 var errReasonMissing = fmt.Errorf("%w: --checked needs a --reason", errUsage)
 
 func (t *ticketsCommand) newRedriveCommand() *cobra.Command {
@@ -25,11 +25,11 @@
 One that may have run and must not run twice is refused, unless --checked says that it was found not to have run, and
 --reason how.`,
 		Args: usageArgs(cobra.ExactArgs(1)),
-		RunE: t.withInvocations(readWrite, func(c *cobra.Command, invocations control.Operations, args []string) error {
+		RunE: t.withInvocations(readWrite, func(c *cobra.Command, ops control.Operations, args []string) error {
 			if confirmed && strings.TrimSpace(reason) == "" {
 				return errReasonMissing
 			}
-			created, err := invocations.Redrive(args[0], confirmed, reason)
+			created, err := ops.Redrive(args[0], confirmed, reason)
 			if err != nil {
 				return err
 			}
@@ -48,12 +48,12 @@
 		Use:   "purge [TICKET...]",
 		Short: "Forget dead letters",
 		Args:  usageArgs(cobra.ArbitraryArgs),
-		RunE: t.withInvocations(readWrite, func(c *cobra.Command, invocations control.Operations, args []string) error {
-			namesTickets := len(args) > 0
-			if all == namesTickets {
+		RunE: t.withInvocations(readWrite, func(c *cobra.Command, ops control.Operations, args []string) error {
+			idsGiven := len(args) > 0
+			if all == idsGiven {
 				return fmt.Errorf("%w: name tickets, or say --all", errUsage)
 			}
-			purged, err := invocations.Purge(args, minAge)
+			purged, err := ops.Purge(args, minAge)
 			if err != nil {
 				return err
 			}
--- a/cmd/dispatcher/tickets_output.go
+++ b/cmd/dispatcher/tickets_output.go
@@ -12,10 +12,11 @@
 	"kitefall/internal/control"
 )
 
-// historyTimeFormat is the layout of times in an invocation's history, in local time.
+// historyTimeFormat is the layout of times in an invocation's history. They are printed in local time.
 const historyTimeFormat = "2006-01-02 15:04:05.000"
 
-// The results of the commands with --json that have no type elsewhere. Their form is part of the command line.
+// Results that commands print with --json and that no other package defines. Their JSON form is part of the command-line
+// interface.
 type (
 	purgeResult struct {
 		Purged int `json:"purged"`
@@ -30,12 +31,12 @@
 		Invocations int `json:"tickets"`
 	}
 	compactResult struct {
-		After  int64 `json:"after"` // bytes
-		Before int64 `json:"before"`
+		After  int64 `json:"after"`  // size of the store's file in bytes
+		Before int64 `json:"before"` // size of the store's file in bytes
 	}
 )
 
-// print writes the result as JSON if --json is given, else calls printText.
+// print writes the result as JSON if the flag --json is set, and otherwise calls printText.
 func (t *ticketsCommand) print(c *cobra.Command, result any, printText func(io.Writer)) error {
 	if !t.json {
 		printText(c.OutOrStdout())
@@ -50,24 +51,24 @@
 	return t.print(c, v, func(w io.Writer) { printDetails(w, v) })
 }
 
-// printTable writes one line for each invocation.
+// printTable writes a header and one line for each invocation.
 func printTable(w io.Writer, invocations []control.Invocation) {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "TICKET\tTENANT\tFUNCTION\tSTATE\tRUNS\tCREATED\tEXPIRES")
 	for _, v := range invocations {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", v.ID, v.Tenant, v.Function, stateText(v), v.Runs,
-			timeText(v.CreatedAt), timeText(v.Expires))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", v.ID, v.Tenant, v.Function, formatState(v), v.Runs,
+			formatTime(v.CreatedAt), formatTime(v.Expires))
 	}
 	table.Flush()
 }
 
-// printDetails writes all that is known of an invocation, with its history.
+// printDetails writes the properties of an invocation, one per line, and then its history.
 func printDetails(w io.Writer, v control.Invocation) {
 	fmt.Fprintf(w, "ticket    %s of %s\n", v.ID, v.Tenant)
 	fmt.Fprintf(w, "function  %s, %s\n", v.Function, v.Class)
-	fmt.Fprintf(w, "state     %s after %d runs\n", stateText(v), v.Runs)
-	fmt.Fprintf(w, "created   %s\n", timeText(v.CreatedAt))
-	fmt.Fprintf(w, "expires   %s\n", timeText(v.Expires))
+	fmt.Fprintf(w, "state     %s after %d runs\n", formatState(v), v.Runs)
+	fmt.Fprintf(w, "created   %s\n", formatTime(v.CreatedAt))
+	fmt.Fprintf(w, "expires   %s\n", formatTime(v.Expires))
 	if v.RedriveOf != "" {
 		fmt.Fprintf(w, "origin    %s\n", v.RedriveOf)
 	}
@@ -79,8 +80,9 @@
 	}
 }
 
-// stateText describes the state of an invocation, or its outcome once it has one.
-func stateText(v control.Invocation) string {
+// formatState returns the state of an invocation, or its outcome once it has completed, followed by "may have run" and
+// "dead" where they apply.
+func formatState(v control.Invocation) string {
 	text := v.State
 	if v.Outcome != "" {
 		text = v.Outcome
@@ -94,8 +96,8 @@
 	return text
 }
 
-// timeText formats a time in local time; the zero time is a dash.
-func timeText(t time.Time) string {
+// formatTime formats t in local time. It returns a dash for the zero time.
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
--- a/cmd/dispatcher/tickets_store.go
+++ b/cmd/dispatcher/tickets_store.go
@@ -16,12 +16,12 @@
 		Use:   "snapshot FILE",
 		Short: "Write a copy of the store to a new file",
 		Args:  usageArgs(cobra.ExactArgs(1)),
-		RunE: t.withInvocations(readWrite, func(c *cobra.Command, invocations control.Operations, args []string) error {
+		RunE: t.withInvocations(readWrite, func(c *cobra.Command, ops control.Operations, args []string) error {
 			path, err := filepath.Abs(args[0])
 			if err != nil {
 				return err
 			}
-			if err := invocations.Snapshot(path); err != nil {
+			if err := ops.Snapshot(path); err != nil {
 				return err
 			}
 			return t.print(c, snapshotResult{path}, func(w io.Writer) { fmt.Fprintf(w, "the copy is %s\n", path) })
@@ -52,8 +52,8 @@
 		Use:   "verify",
 		Short: "Read all that is kept and check it",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE: t.withInvocations(readWrite, func(c *cobra.Command, invocations control.Operations, _ []string) error {
-			count, err := invocations.Verify()
+		RunE: t.withInvocations(readWrite, func(c *cobra.Command, ops control.Operations, _ []string) error {
+			count, err := ops.Verify()
 			if err != nil {
 				return err
 			}
@@ -67,8 +67,8 @@
 		Use:   "compact",
 		Short: "Write the store's file anew, without its gaps",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE: t.withInvocations(readWrite, func(c *cobra.Command, invocations control.Operations, _ []string) error {
-			before, after, err := invocations.Compact()
+		RunE: t.withInvocations(readWrite, func(c *cobra.Command, ops control.Operations, _ []string) error {
+			before, after, err := ops.Compact()
 			if err != nil {
 				return err
 			}
