--- a/cmd/dispatcher/commands_test.go
+++ b/cmd/dispatcher/commands_test.go
@@ -18,13 +18,13 @@
 	"kitefall/internal/monotonic"
 )
 
-// commandLine runs command lines of the program with an operator's file.
+// commandLine runs commands of the program within the test's process, with the flag --invoke set to invokeFile.
 type commandLine struct {
 	t          *testing.T
 	invokeFile string
 }
 
-// run requires the exit code, and returns what the command wrote to its two outputs.
+// run runs a command and requires its exit code. It returns the command's standard output, followed by its standard error.
 func (c commandLine) run(exitCode int, args ...string) string {
 	c.t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -33,9 +33,10 @@
 	return stdout.String() + stderr.String()
 }
 
-// newStore makes a store with an open invocation, one that was served, and two dead letters: ran, which may have run, and
-// refused, which has not. It returns the path of an operator's file for the store, and the store's own.
-func newStore(t *testing.T) (invokeFile, storePath string) {
+// writeTestStore writes a store with four invocations: open, which is incomplete; served, which was served; and the dead
+// letters ran, which may have run, and refused, which did not run. It returns the paths of an operator's file for the store
+// and of the store.
+func writeTestStore(t *testing.T) (invokeFile, storePath string) {
 	t.Helper()
 	dir := t.TempDir()
 	invokeFile = filepath.Join(dir, "invoke.toml")
@@ -68,7 +69,7 @@
 	return invokeFile, storePath
 }
 
-// openSmallStore opens a store that takes up to 100 invocations.
+// openSmallStore opens a store with a limit of 100 invocations.
 func openSmallStore(t *testing.T, path string) *store.Store {
 	t.Helper()
 	s, err := store.Open(path, store.Options{Retention: time.Hour, MaxInvocations: 100})
@@ -76,8 +77,8 @@
 	return s
 }
 
-// openControlSocket opens a store and a control socket for it, as a running dispatcher does, until the returned function
-// is called.
+// openControlSocket opens a store and a control socket for it, as a running dispatcher does, and checks the permissions of
+// the socket. The returned function closes both.
 func openControlSocket(t *testing.T, storePath string) (closeAll func()) {
 	t.Helper()
 	socketPath := storePath + ".sock"
@@ -86,9 +87,9 @@
 	require.NoError(t, err)
 	info, err := os.Stat(socketPath)
 	require.NoError(t, err)
-	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "the owner's alone")
+	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "only the owner may use the control socket")
 	_, err = control.Listen(socketPath, control.ForStore(s, monotonic.Start(time.Now()), nil))
-	require.Error(t, err, "another server listens on it")
+	require.Error(t, err, "another server already listens on the socket")
 	return func() {
 		server.Close()
 		s.Close()
@@ -97,22 +98,22 @@
 
 func TestTicketsCommands(t *testing.T) {
 	t.Run("on the file", func(t *testing.T) {
-		invokeFile, storePath := newStore(t)
+		invokeFile, storePath := writeTestStore(t)
 		testTicketsCommands(t, invokeFile, storePath, func() {})
 	})
 	t.Run("over the control socket", func(t *testing.T) {
-		invokeFile, storePath := newStore(t)
+		invokeFile, storePath := writeTestStore(t)
 		testTicketsCommands(t, invokeFile, storePath, openControlSocket(t, storePath))
 	})
 }
 
-// testTicketsCommands runs every command. Before the store is restored it calls closeAll.
+// testTicketsCommands runs every tickets command. It calls closeAll before it deletes and restores the store.
 func testTicketsCommands(t *testing.T, invokeFile, storePath string, closeAll func()) {
 	c := commandLine{t, invokeFile}
 	assert.Contains(t, c.run(exitOK, "tickets", "list"), "served")
-	var found []control.Invocation
-	require.NoError(t, json.Unmarshal([]byte(c.run(exitOK, "tickets", "list", "--dead", "--json")), &found))
-	assert.Len(t, found, 2)
+	var deadLetters []control.Invocation
+	require.NoError(t, json.Unmarshal([]byte(c.run(exitOK, "tickets", "list", "--dead", "--json")), &deadLetters))
+	assert.Len(t, deadLetters, 2)
 	assert.Contains(t, c.run(exitOK, "tickets", "show", "ran"), "may have run, dead")
 	c.run(exitNotFound, "tickets", "show", "none")
 	c.run(exitUsage, "tickets", "show")
@@ -147,7 +148,7 @@
 }
 
 func TestTicketsResultsInJSON(t *testing.T) {
-	invokeFile, storePath := newStore(t)
+	invokeFile, storePath := writeTestStore(t)
 	c := commandLine{t, invokeFile}
 	assert.Equal(t, "{\n  \"purged\": 1\n}\n", c.run(exitOK, "tickets", "purge", "refused", "--json"))
 	assert.Equal(t, "{\n  \"tickets\": 3\n}\n", c.run(exitOK, "tickets", "verify", "--json"))
@@ -159,9 +160,9 @@
 	assert.JSONEq(t, fmt.Sprintf(`{"store": %q}`, storePath), c.run(exitOK, "tickets", "restore", snapshot, "--json"))
 }
 
-// The store is locked by a process that has no control socket.
-func TestTicketsOfALockedStore(t *testing.T) {
-	invokeFile, storePath := newStore(t)
+// A command must report the lock if another process holds the store open but serves no control socket.
+func TestTicketsCommandOnALockedStore(t *testing.T) {
+	invokeFile, storePath := writeTestStore(t)
 	s, err := store.Open(storePath, store.Options{})
 	require.NoError(t, err)
 	defer s.Close()
--- a/cmd/dispatcher/helpers_test.go
+++ b/cmd/dispatcher/helpers_test.go
@@ -22,17 +22,19 @@
 const (
 	// waitTimeout limits how long a test waits for a condition.
 	waitTimeout = 5 * time.Second
-	// waitInterval is the time between two looks at it.
+	// waitInterval is the time between two checks of the condition.
 	waitInterval = time.Millisecond
-	// noDiscovery is a discovery address that nothing listens at. What is known of the worker expires there within seconds.
-	noDiscovery = "127.0.0.1:1"
-	// clientIdentity is the path of the SPIFFE ID of the tenant a, which writeInvokeFile knows.
+	// unreachableDiscovery is a discovery address that nothing listens at. What a dispatcher knows of its worker
+	// expires there within seconds, because no poll is answered.
+	unreachableDiscovery = "127.0.0.1:1"
+	// clientIdentity is the path of the SPIFFE ID of tenant a, which writeInvokeFile configures.
 	clientIdentity = "/desk/a"
 )
 
-// calmDiscovery starts a discovery service that knows of no change, and returns its address. A process that lives for longer than
-// some seconds needs one: without it nothing says that its worker is still ready.
-func calmDiscovery(t *testing.T) string {
+// newIdleDiscovery starts a discovery server that answers each poll after its linger time, without events, and returns the
+// server's address. A process that runs for longer than some seconds needs one: only answers to its polls confirm that its
+// worker is still ready.
+func newIdleDiscovery(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		linger, _ := strconv.Atoi(r.URL.Query().Get("linger"))
@@ -46,7 +48,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// freeAddress returns an address that nothing listens at.
+// freeAddress returns a loopback address that nothing listens at.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,7 +57,7 @@
 	return listener.Addr().String()
 }
 
-// writeConfig writes a dispatcher's configuration that knows one worker from the start.
+// writeConfig writes a dispatcher's configuration whose initial endpoint list contains one worker.
 func writeConfig(t *testing.T, path, listenAddr, discoveryAddr string, worker *fakes.Worker) {
 	t.Helper()
 	text := fmt.Appendf(nil, `{"name":"n1","listen":%q,"seed":"8c1f30d27a5be964",
@@ -70,7 +72,7 @@
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 }
 
-// writeInvokeFile writes an operator's file with one tenant and the function book, which is not idempotent. It returns the
+// writeInvokeFile writes an operator's file with the tenant a and the function book, which is not idempotent. It returns the
 // file's path and the URL of the invoke API.
 func writeInvokeFile(t *testing.T, authority *fakes.Authority) (path, url string) {
 	t.Helper()
@@ -93,7 +95,7 @@
 	return path, "https://" + addr
 }
 
-// addLookFunction adds the function look to an operator's file. It is as book, but idempotent.
+// addLookFunction adds the function look to an operator's file. It is configured like book, but is idempotent.
 func addLookFunction(t *testing.T, path string) {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -108,26 +110,26 @@
 	require.NoError(t, os.WriteFile(path, []byte(text+look), 0o600))
 }
 
-// service is the program's service, running within the process of the test.
+// service is the program's service, which runs within the process of the test.
 type service struct {
 	configPath string
 	addr       string
-	ended      chan error // what run returned
+	runErr     chan error // receives the result of run
 }
 
-// newService writes a configuration without starting the service.
+// newService writes the configuration of a service with one worker and returns the service, not yet started.
 func newService(t *testing.T, discoveryAddr string, worker *fakes.Worker) *service {
 	t.Helper()
 	s := &service{
 		configPath: filepath.Join(t.TempDir(), "config.json"),
 		addr:       freeAddress(t),
-		ended:      make(chan error, 1),
+		runErr:     make(chan error, 1),
 	}
 	writeConfig(t, s.configPath, s.addr, discoveryAddr, worker)
 	return s
 }
 
-// rewriteConfig replaces the configuration by what edit makes of it.
+// rewriteConfig replaces the text of the configuration file with the result of edit.
 func (s *service) rewriteConfig(t *testing.T, edit func(text string) string) {
 	t.Helper()
 	text, err := os.ReadFile(s.configPath)
@@ -135,15 +137,16 @@
 	require.NoError(t, os.WriteFile(s.configPath, []byte(edit(string(text))), 0o600))
 }
 
-// start runs the service until signalSelf terminates it. The invoke API is off if invokeFile is empty.
+// start runs the service in the background until it fails or signalSelf terminates it. The invoke API is off if invokeFile
+// is empty.
 func (s *service) start(invokeFile string) {
-	go func() { s.ended <- run(s.configPath, invokeFile) }()
+	go func() { s.runErr <- run(s.configPath, invokeFile) }()
 }
 
-// signalSelf sends a signal to the process of the test, and so to the service in it.
+// signalSelf sends a signal to the process of the test, in which the service runs.
 func signalSelf(signal syscall.Signal) error { return syscall.Kill(os.Getpid(), signal) }
 
-// dial connects to an address once something listens there.
+// dial connects to an address. It retries until something listens there.
 func dial(t *testing.T, addr string) (conn net.Conn) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -155,14 +158,14 @@
 	return conn
 }
 
-// sendCall sends a call of the class reserva in RESP.
+// sendCall sends a RESP call of the class reserva.
 func sendCall(conn net.Conn, id, body string) {
 	fields := "id=" + id + ",wait=4000,key=7f3a9c21e0b4d655"
 	fmt.Fprintf(conn, "*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$7\r\nreserva\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n", len(fields), fields,
 		len(body), body)
 }
 
-// checkReady asks a dispatcher in RESP whether it is ready, and returns its answer: yes or no.
+// checkReady sends the RESP request CHECK and returns the dispatcher's answer: yes if it is ready, otherwise no.
 func checkReady(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	fmt.Fprint(conn, "*3\r\n$5\r\nCHECK\r\n$1\r\n9\r\n$0\r\n\r\n")
@@ -172,9 +175,9 @@
 	return strings.Fields(string(answer[:length]))[4]
 }
 
-// newDiscovery starts a discovery server that never answers. It sends its name and the watched revision of each poll to
-// polls, and returns its address.
-func newDiscovery(t *testing.T, name string, polls chan<- string) string {
+// newHangingDiscovery starts a discovery server that never answers a poll, and returns its address. For each poll the
+// server sends its name and the polled revision to polls.
+func newHangingDiscovery(t *testing.T, name string, polls chan<- string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		polls <- name + " " + r.URL.Query().Get("watch")
@@ -193,7 +196,8 @@
 	return program
 }
 
-// programCommand returns a command that runs a built program.
+// programCommand returns a command that runs a built program with the given files. The environment variables, NAME=VALUE,
+// are added to those of the test.
 func programCommand(program, configPath, invokeFile string, environment ...string) *exec.Cmd {
 	c := exec.Command(program, "-invoke", invokeFile)
 	c.Env = append(os.Environ(), configEnv+"="+configPath)
@@ -201,7 +205,7 @@
 	return c
 }
 
-// newInvocationRequest returns a request that invokes a function.
+// newInvocationRequest returns an HTTP request that invokes a function with a JSON body.
 func newInvocationRequest(url, function, body string) (*http.Request, error) {
 	r, err := http.NewRequest(http.MethodPost, url+"/v1/functions/"+function+"/invocations", strings.NewReader(body))
 	if err != nil {
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -22,8 +22,9 @@
 	"kitefall/internal/fakes"
 )
 
-// failpoints are the points at which the process is killed: before and after each commit of the store, and before and
-// after the first byte to a worker.
+// failpoints are the points at which the process is killed: before, between and after the write and the sync of a log
+// record; after the creation of an invocation and the start of its run are stored; before and after the write of a frame to
+// a worker; at the end of a run, and before and after its outcome is stored; and before and after a checkpoint.
 var failpoints = []string{
 	"log-before-write", "log-before-sync", "log-after-sync",
 	"created", "marked",
@@ -33,18 +34,19 @@
 }
 
 const (
-	// defaultKills is how often the process is killed in CI.
+	// defaultKills is the number of kills in CI.
 	defaultKills = 24
-	// failpointTimeout is how long the process may take to reach its failpoint before it is killed wherever it is.
+	// failpointTimeout is how long the process may take, from when load is put on it, to reach its failpoint. After that
+	// it is killed wherever it is.
 	failpointTimeout = 1500 * time.Millisecond
-	// clientRetryInterval paces the repeats of a client while the program is not up.
+	// clientRetryInterval is the pause of a client before it repeats a request that was not accepted.
 	clientRetryInterval = 2 * time.Millisecond
-	// statusRejected is the code of a worker's frame that rejects a call.
-	statusRejected = 67
+	// codeRejected is the code of the frame with which a worker rejects a call.
+	codeRejected = 67
 )
 
-// killTest is a program that is killed and started again, with what outlives the process: its worker, its clients and what
-// they have seen. A request's body identifies it.
+// killTest is a program that is killed and started again, with the state that outlives its process: its worker, its
+// clients, and the runs and answers that these have seen. A request is identified by its body.
 type killTest struct {
 	t          *testing.T
 	program    string
@@ -54,19 +56,20 @@
 	client     *http.Client
 	random     *rand.Rand
 
-	kills     map[string]int // by failpoint
-	submitted int            // requests
+	kills     map[string]int // number of kills by failpoint
+	submitted int            // number of requests
 
 	mu        sync.Mutex
-	runs      map[string]int             // how often the worker has run a request
-	answers   map[string]map[string]bool // the different final answers to a request
-	locations map[string]string          // where the invocation of a request is polled
+	runs      map[string]int             // number of runs at the worker, by request
+	answers   map[string]map[string]bool // set of distinct final answers, by request
+	locations map[string]string          // path at which the invocation is polled, by request
 }
 
-// The real process is killed at every step of an invocation, and started again on its store. No invocation that is not
-// idempotent runs twice, each that was accepted has exactly one final answer, and none is lost.
+// Kills a real process with SIGKILL at every step of an invocation, and starts it again on its store. Guards against
+// records that are missing, or written too late, when the process dies: a non-idempotent invocation must not run twice, and
+// every accepted invocation must be kept and get exactly one final answer.
 //
-// KITEFALL_KILLS sets the number of kills; the figures are logged. The long run is outside CI.
+// KITEFALL_KILLS sets the number of kills, for long runs outside CI. The test logs its counts.
 func TestKilledAtEveryStep(t *testing.T) {
 	kills := defaultKills
 	if text := os.Getenv("KITEFALL_KILLS"); text != "" {
@@ -82,20 +85,20 @@
 	for i := range kills {
 		k.startAndKill(failpoints[i%len(failpoints)], func() { k.submitRequests(ctx, &clients) })
 	}
-	process, ended := k.start("")
+	process, exited := k.start("")
 	clients.Wait()
-	require.NoError(t, ctx.Err(), "all requests were accepted")
+	require.NoError(t, ctx.Err(), "not all requests were accepted in time")
 
-	final, served := k.awaitFinalAnswers(ctx)
-	twice := k.checkRuns()
+	completed, served := k.awaitFinalAnswers(ctx)
+	repeated := k.checkRuns()
 	for body, answers := range k.answers {
-		assert.Len(t, answers, 1, "%s has two final answers", body)
+		assert.Len(t, answers, 1, "%s must have exactly one final answer", body)
 	}
-	t.Logf("%d kills (%v), %d requests, %d invocations with a final answer (%d served), %d ran twice", kills, k.kills,
-		k.submitted, final, served, twice)
-	assert.Equal(t, k.submitted, final)
+	t.Logf("%d kills (%v), %d requests, %d invocations with a final answer (%d served), %d non-idempotent ones ran again",
+		kills, k.kills, k.submitted, completed, served, repeated)
+	assert.Equal(t, k.submitted, completed)
 	require.NoError(t, process.Process.Signal(os.Interrupt))
-	assert.NoError(t, <-ended)
+	assert.NoError(t, <-exited)
 }
 
 func newKillTest(t *testing.T, random *rand.Rand) *killTest {
@@ -112,30 +115,31 @@
 		locations:  map[string]string{},
 	}
 	go k.serveWorker(worker)
-	writeConfig(t, k.configPath, freeAddress(t), calmDiscovery(t), worker)
+	writeConfig(t, k.configPath, freeAddress(t), newIdleDiscovery(t), worker)
 	k.invokeFile, k.url = writeInvokeFile(t, authority)
 	addLookFunction(t, k.invokeFile)
-	k.retryQuickly()
+	k.setFastRetries()
 	k.client = authority.Client(fakes.Domain + clientIdentity)
 	k.client.Transport.(*http.Transport).DisableKeepAlives = true
 	return k
 }
 
-// retryQuickly makes the program retry deferred invocations often and soon.
-func (k *killTest) retryQuickly() {
+// setFastRetries configures short pauses, a high rate and a high number of runs for the retries of deferred invocations.
+func (k *killTest) setFastRetries() {
 	text, err := os.ReadFile(k.invokeFile)
 	require.NoError(k.t, err)
 	deferred := "[deferred]\nbackoff = \"10ms\"\nmost_backoff = \"100ms\"\nretry_per_second = 200.0\nmost_runs = 100\n"
 	require.NoError(k.t, os.WriteFile(k.invokeFile, append(text, deferred...), 0o600))
 }
 
-// serveWorker answers calls: most are served, some are rejected, some are cut off or never answered.
+// serveWorker answers calls. Of 20 calls on average, 3 are rejected, the connection of 1 is reset, 1 is never answered, and
+// the others are served.
 func (k *killTest) serveWorker(worker *fakes.Worker) {
 	random := rand.New(rand.NewPCG(5, 5))
 	for call := range worker.Calls {
 		choice := random.IntN(20)
 		if choice < 3 {
-			call.Answer(statusRejected, "", "")
+			call.Answer(codeRejected, "", "")
 			continue
 		}
 		k.mu.Lock()
@@ -144,14 +148,15 @@
 		switch {
 		case choice == 3:
 			call.ResetConn()
-		case choice == 4: // never answered
+		case choice == 4: // no answer is sent
 		default:
 			call.OK(strconv.Quote("done " + strings.Trim(call.Body, `"`)))
 		}
 	}
 }
 
-// start starts the program with a failpoint, NAME:N, or with none. The channel receives the result of its end.
+// start starts the program, which kills itself at the Nth hit of the failpoint NAME:N, or never if failpoint is empty. The
+// channel receives the result of waiting for the process.
 func (k *killTest) start(failpoint string) (*exec.Cmd, <-chan error) {
 	process := programCommand(k.program, k.configPath, k.invokeFile, "KITEFALL_FAILPOINT="+failpoint)
 	if path := os.Getenv("KITEFALL_KILL_LOG"); path != "" {
@@ -161,29 +166,29 @@
 		process.Stderr = log
 	}
 	require.NoError(k.t, process.Start())
-	ended := make(chan error, 1)
-	go func() { ended <- process.Wait() }()
-	return process, ended
+	exited := make(chan error, 1)
+	go func() { exited <- process.Wait() }()
+	return process, exited
 }
 
-// startAndKill starts the program, makes load on it, and waits until it is killed at the failpoint; where it does not reach
-// that in time, it is killed at whatever it does.
-func (k *killTest) startAndKill(failpoint string, makeLoad func()) {
-	process, ended := k.start(fmt.Sprintf("%s:%d", failpoint, 1+k.random.IntN(6)))
-	makeLoad()
+// startAndKill starts the program, puts load on it, and waits until it kills itself at the failpoint. If it does not reach
+// the failpoint within failpointTimeout, it is killed wherever it is.
+func (k *killTest) startAndKill(failpoint string, submitLoad func()) {
+	process, exited := k.start(fmt.Sprintf("%s:%d", failpoint, 1+k.random.IntN(6)))
+	submitLoad()
 	select {
-	case <-ended:
+	case <-exited:
 		status := process.ProcessState.Sys().(syscall.WaitStatus)
-		require.True(k.t, status.Signaled(), "it ended by itself: %v", process.ProcessState)
+		require.True(k.t, status.Signaled(), "the process must be killed by a signal: %v", process.ProcessState)
 		k.kills[failpoint]++
 	case <-time.After(failpointTimeout):
 		require.NoError(k.t, process.Process.Kill())
-		<-ended
+		<-exited
 		k.kills["anywhere"]++
 	}
 }
 
-// submitRequests starts some clients, each with one request, to either function.
+// submitRequests starts two to five clients, each of which submits one request, to book or to look.
 func (k *killTest) submitRequests(ctx context.Context, clients *sync.WaitGroup) {
 	for range 2 + k.random.IntN(4) {
 		k.submitted++
@@ -196,14 +201,15 @@
 	}
 }
 
-// submit sends a request again and again under its idempotency key until the program has it on record.
+// submit sends a request, under an idempotency key, until the program has accepted it or ctx is done.
 func (k *killTest) submit(ctx context.Context, function, body string, async bool) {
 	for ctx.Err() == nil && !k.submitOnce(ctx, function, body, async) {
 		time.Sleep(clientRetryInterval)
 	}
 }
 
-// submitOnce reports whether the request is on record. Until then it does no harm to repeat it.
+// submitOnce sends a request once and reports whether the program has accepted it. If not, the idempotency key makes it
+// safe to send the request again.
 func (k *killTest) submitOnce(ctx context.Context, function, body string, async bool) bool {
 	request, err := newInvocationRequest(k.url, function, body)
 	if !assert.NoError(k.t, err) {
@@ -229,7 +235,9 @@
 	return true
 }
 
-// recordLocation keeps where the invocation of a request is polled, if the response says that there is one.
+// recordLocation records the path at which the invocation of a request is polled. For a response of status 200 or
+// 202 without a location it records an empty path, on which awaitFinalAnswers fails the test. For any other response
+// without a location it records nothing.
 func (k *killTest) recordLocation(body string, resp *http.Response) {
 	location := resp.Header.Get("Location")
 	if location == "" {
@@ -253,9 +261,9 @@
 	k.answers[body][fmt.Sprint(status, " ", string(text))] = true
 }
 
-// awaitFinalAnswers polls all invocations until each has its final answer. It returns the number of invocations, and how
-// many of them were served.
-func (k *killTest) awaitFinalAnswers(ctx context.Context) (final, served int) {
+// awaitFinalAnswers polls each invocation until it has its final answer. It returns how many invocations have one, and how
+// many of these were served.
+func (k *killTest) awaitFinalAnswers(ctx context.Context) (completed, served int) {
 	for body, location := range k.locations {
 		require.NotEmpty(k.t, location, body)
 		status := 0
@@ -263,15 +271,15 @@
 			status = k.poll(ctx, body, location)
 			return status != 0
 		}, 30*time.Second, time.Millisecond, body)
-		final++
+		completed++
 		if status == http.StatusOK {
 			served++
 		}
 	}
-	return final, served
+	return completed, served
 }
 
-// poll asks for the final answer to a request and returns its status, or 0 if there is none yet.
+// poll asks for the final answer to a request and returns its HTTP status, or 0 if there is no answer yet.
 func (k *killTest) poll(ctx context.Context, body, location string) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, k.url+location, nil)
 	require.NoError(k.t, err)
@@ -282,26 +290,27 @@
 	}
 	text, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
-	require.NotEqual(k.t, http.StatusNotFound, resp.StatusCode, "%s is lost", body)
+	require.NotEqual(k.t, http.StatusNotFound, resp.StatusCode, "the invocation of %s is lost", body)
 	if err != nil || resp.StatusCode == http.StatusAccepted {
 		return 0
 	}
 	k.recordAnswer(body, resp.StatusCode, text)
 	if resp.StatusCode == http.StatusOK {
-		assert.Contains(k.t, string(text), strings.Trim(body, `"`), "no answer that no worker made")
+		assert.Contains(k.t, string(text), strings.Trim(body, `"`), "the result must be that of the worker")
 	}
 	return resp.StatusCode
 }
 
-// checkRuns reports requests to book, which is not idempotent, that have run more than once, and returns their number.
-func (k *killTest) checkRuns() (twice int) {
+// checkRuns fails the test for each request to book, which is not idempotent, that has run more than once, and returns the
+// number of these requests.
+func (k *killTest) checkRuns() (repeated int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for body, runs := range k.runs {
 		if strings.HasPrefix(body, `"b`) && runs > 1 {
-			twice++
+			repeated++
 			k.t.Errorf("reserva %s ran %d times", body, runs)
 		}
 	}
-	return twice
+	return repeated
 }
--- a/cmd/dispatcher/measure_start_test.go
+++ b/cmd/dispatcher/measure_start_test.go
@@ -19,24 +19,25 @@
 )
 
 const (
-	// storedInvocations is how many invocations a store of the measurement holds, unless it is empty.
+	// storedInvocations is the number of invocations in each store that is not empty.
 	storedInvocations = 100_000
-	// settleTime is how long the program's memory has to settle. It is part of the measurement.
+	// settleTime is how long the program's memory settles between its first reading, right after the start, and its second
+	// reading. It is part of the definition of the measurement.
 	settleTime = 5 * time.Second
-	// fillWorkers is how many goroutines fill a store, so that they share its syncs.
-	fillWorkers = 64
+	// fillGoroutines is the number of goroutines that fill a store at the same time, so that one sync covers several writes.
+	fillGoroutines = 64
 )
 
-// startMeasurement is the state of the store with which a start is measured.
+// startMeasurement describes the contents of the store with which the program's start is measured.
 type startMeasurement struct {
-	name       string // short: it is part of the path of the control socket, whose length is limited
+	name       string // must be short: it is part of the path of the control socket, whose length is limited
 	empty      bool
-	incomplete int // of the stored invocations
-	bodyBytes  int // of each invocation
+	incomplete int // number of the stored invocations that are incomplete
+	bodyBytes  int // size of the body of each invocation
 }
 
-// Measures the start of the real process on a store with 100,000 invocations, and its memory then. Outside CI:
-// KITEFALL_MEASURE_START has to be set.
+// Measures how long a real process takes to start, and its memory afterwards, on an empty store and on stores with 100,000
+// invocations. It runs only if KITEFALL_MEASURE_START is set, and so not in CI.
 func TestMeasureStart(t *testing.T) {
 	if os.Getenv("KITEFALL_MEASURE_START") == "" {
 		t.Skip("KITEFALL_MEASURE_START is not set")
@@ -55,7 +56,7 @@
 func (m startMeasurement) run(t *testing.T, program string) {
 	t.Helper()
 	authority, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
-	s := newService(t, calmDiscovery(t), worker)
+	s := newService(t, newIdleDiscovery(t), worker)
 	invokeFile, url := writeInvokeFile(t, authority)
 	text, err := os.ReadFile(invokeFile)
 	require.NoError(t, err)
@@ -66,7 +67,7 @@
 	}
 
 	process := programCommand(program, s.configPath, invokeFile)
-	begin := time.Now()
+	start := time.Now()
 	require.NoError(t, process.Start())
 	client := authority.Client(fakes.Domain + clientIdentity)
 	require.Eventually(t, func() bool {
@@ -76,19 +77,20 @@
 		}
 		return err == nil
 	}, time.Minute, time.Millisecond)
-	ready := time.Since(begin)
+	startupTime := time.Since(start)
 
-	memoryAtFirst := processMemory(t, process.Process.Pid)
+	initialMemory := processMemory(t, process.Process.Pid)
 	time.Sleep(settleTime)
 	info, err := os.Stat(storePath)
 	require.NoError(t, err)
-	t.Logf("%+v: ready after %v, file %d MB, held at first%s, after %v%s", m, ready.Round(time.Millisecond),
-		info.Size()>>20, memoryAtFirst, settleTime, processMemory(t, process.Process.Pid))
+	t.Logf("%+v: ready after %v, store file %d MB, memory at first%s, after another %v%s", m, startupTime.Round(time.Millisecond),
+		info.Size()>>20, initialMemory, settleTime, processMemory(t, process.Process.Pid))
 	require.NoError(t, process.Process.Signal(syscall.SIGTERM))
 	process.Wait()
 }
 
-// processMemory returns what the kernel tells of a process's resident memory.
+// processMemory returns a process's resident memory as the kernel reports it: current (VmRSS), anonymous (RssAnon) and peak
+// (VmHWM).
 func processMemory(t *testing.T, pid int) string {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -104,24 +106,25 @@
 	return found
 }
 
-// fillStore makes a store with invocations that wait for a time far off. All but the incomplete ones are cancelled.
+// fillStore creates a store with deferred invocations that must not run within the next hour. All but m.incomplete of them
+// are cancelled.
 func (m startMeasurement) fillStore(t *testing.T, path string) {
 	t.Helper()
 	s, err := store.Open(path, store.Options{Retention: 24 * time.Hour, MaxInvocations: 1 << 30})
 	require.NoError(t, err)
 	defer s.Close()
 	now := time.Now()
-	var workers sync.WaitGroup
-	for first := range fillWorkers {
-		workers.Go(func() {
-			for i := first; i < storedInvocations; i += fillWorkers {
+	var goroutines sync.WaitGroup
+	for offset := range fillGoroutines {
+		goroutines.Go(func() {
+			for i := offset; i < storedInvocations; i += fillGoroutines {
 				if !assert.NoError(t, m.addInvocation(s, i, now)) {
 					return
 				}
 			}
 		})
 	}
-	workers.Wait()
+	goroutines.Wait()
 }
 
 func (m startMeasurement) addInvocation(s *store.Store, index int, now time.Time) error {
--- a/cmd/dispatcher/measure_test.go
+++ b/cmd/dispatcher/measure_test.go
@@ -20,70 +20,74 @@
 )
 
 const (
-	sequentialCalls    = 300
-	concurrentClients  = 64
-	callsPerClient     = 40
-	measureTurns       = 3
-	bareSyncBytes      = 500
-	bareSyncRepeats    = 1000
-	bareSyncFileLength = 4 << 20
+	sequentialCalls        = 300
+	concurrentClients      = 64
+	callsPerClient         = 40
+	measureRounds          = 3
+	baselineSyncBytes      = 500
+	baselineSyncRepeats    = 1000
+	baselineSyncFileLength = 4 << 20
 )
 
-// Measures programs side by side over HTTPS, with a worker that answers at once: one client's synchronous calls, and
-// those of many clients at once. Outside CI: KITEFALL_MEASURE names the programs, separated by colons; the last is the
-// present one.
+// Compares the latency and throughput of builds of the program over HTTPS, with a worker that answers at once. It measures
+// the synchronous calls of one client and then of many concurrent clients. The builds take turns in each round.
+//
+// KITEFALL_MEASURE holds the paths of the builds, separated by colons, the build of the present code last. Without it, as
+// in CI, the test is skipped.
 func TestMeasureProgramsSideBySide(t *testing.T) {
 	programs := os.Getenv("KITEFALL_MEASURE")
 	if programs == "" {
-		t.Skip("KITEFALL_MEASURE names no programs")
+		t.Skip("KITEFALL_MEASURE is not set")
 	}
-	t.Logf("bare sync of %d bytes: %v", bareSyncBytes, measureBareSync(t))
-	for turn := range measureTurns {
+	t.Logf("baseline: median write and fdatasync of %d bytes: %v", baselineSyncBytes, measureBaselineSync(t))
+	for round := range measureRounds {
 		for _, program := range strings.Split(programs, ":") {
-			measureProgram(t, turn, program)
+			measureProgram(t, round, program)
 		}
 	}
 }
 
-// measureBareSync returns the median time of a write and sync to a file that has its length already.
-func measureBareSync(t *testing.T) time.Duration {
+// measureBaselineSync returns the median duration of a write with fdatasync to a file that does not grow, as a
+// baseline for the measured latencies.
+func measureBaselineSync(t *testing.T) time.Duration {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "bare"))
 	require.NoError(t, err)
 	defer file.Close()
-	_, err = file.Write(make([]byte, bareSyncFileLength))
+	_, err = file.Write(make([]byte, baselineSyncFileLength))
 	require.NoError(t, err)
 	require.NoError(t, file.Sync())
-	var took []time.Duration
-	for i := range bareSyncRepeats {
-		begin := time.Now()
-		_, err := file.WriteAt(make([]byte, bareSyncBytes), int64(i*bareSyncBytes))
+	var durations []time.Duration
+	for i := range baselineSyncRepeats {
+		start := time.Now()
+		_, err := file.WriteAt(make([]byte, baselineSyncBytes), int64(i*baselineSyncBytes))
 		require.NoError(t, err)
 		require.NoError(t, syscall.Fdatasync(int(file.Fd())))
-		took = append(took, time.Since(begin))
+		durations = append(durations, time.Since(start))
 	}
-	return percentile(took, 50)
+	return percentile(durations, 50)
 }
 
-// percentile returns a percentile of the durations, and sorts them.
+// percentile sorts the durations in place and returns the given percentile.
 func percentile(durations []time.Duration, percent int) time.Duration {
 	slices.Sort(durations)
 	return durations[len(durations)*percent/100]
 }
 
-// measuredProgram is a running program that is measured over its invoke API.
+// measuredProgram is a running program and a client of its invoke API.
 type measuredProgram struct {
 	t      *testing.T
 	url    string
 	client *http.Client
 }
 
-// startMeasuredProgram starts a program with a worker that answers at once. It is terminated at the end of the test.
+// startMeasuredProgram starts a program with a worker that answers at once. The returned function stop terminates the
+// program.
 func startMeasuredProgram(t *testing.T, program string) (p *measuredProgram, stop func()) {
 	t.Helper()
 	authority, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
 	worker.Serve(func(call *fakes.Call) { call.OK(`"done"`) })
-	s := newService(t, calmDiscovery(t), worker)
+	s := newService(t, newIdleDiscovery(t), worker)
 	invokeFile, url := writeInvokeFile(t, authority)
 	addLookFunction(t, invokeFile)
 	process := programCommand(program, s.configPath, invokeFile)
@@ -99,7 +103,7 @@
 	process.Wait()
 }
 
-// invoke calls a function and returns the status.
+// invoke invokes a function synchronously and returns the HTTP status of the answer.
 func (p *measuredProgram) invoke(function, body string) int {
 	request, err := newInvocationRequest(p.url, function, body)
 	require.NoError(p.t, err)
@@ -110,35 +114,37 @@
 	return resp.StatusCode
 }
 
-func measureProgram(t *testing.T, turn int, program string) {
+func measureProgram(t *testing.T, round int, program string) {
 	t.Helper()
 	p, stop := startMeasuredProgram(t, program)
 	defer stop()
-	line := fmt.Sprintf("turn %d, %s:", turn, filepath.Base(program))
+	summary := fmt.Sprintf("round %d, %s:", round, filepath.Base(program))
 	for _, function := range []string{"look", "book"} {
-		took := p.measureSequentialCalls(function)
-		line += fmt.Sprintf(" %s p50 %v p99 %v;", function, percentile(took, 50), percentile(took, 99))
+		durations := p.measureSequentialCalls(function)
+		summary += fmt.Sprintf(" %s p50 %v p99 %v;", function, percentile(durations, 50), percentile(durations, 99))
 	}
-	statuses, took := p.measureConcurrentCalls()
-	t.Logf("%s %d callers: %v in %v", line, concurrentClients, statuses, took.Round(time.Millisecond))
+	statuses, duration := p.measureConcurrentCalls()
+	t.Logf("%s %d concurrent clients: %v in %v", summary, concurrentClients, statuses, duration.Round(time.Millisecond))
 }
 
-// measureSequentialCalls returns the duration of each of one client's calls.
+// measureSequentialCalls makes sequentialCalls calls one after another and returns their durations. It makes a
+// warm-up call first, which is not measured.
 func (p *measuredProgram) measureSequentialCalls(function string) []time.Duration {
 	p.invoke(function, "first")
-	var took []time.Duration
+	var durations []time.Duration
 	for i := range sequentialCalls {
-		begin := time.Now()
+		start := time.Now()
 		require.Equal(p.t, 200, p.invoke(function, fmt.Sprintf("%s %d", function, i)))
-		took = append(took, time.Since(begin))
+		durations = append(durations, time.Since(start))
 	}
-	return took
+	return durations
 }
 
-// measureConcurrentCalls returns how often each status was the answer to many clients at once, and how long it took.
-func (p *measuredProgram) measureConcurrentCalls() (statuses map[int]int, took time.Duration) {
+// measureConcurrentCalls has concurrentClients clients make callsPerClient calls each, at the same time. It returns the
+// number of answers by HTTP status and the duration of all calls together.
+func (p *measuredProgram) measureConcurrentCalls() (statuses map[int]int, duration time.Duration) {
 	statuses = map[int]int{}
-	begin := time.Now()
+	start := time.Now()
 	var mu sync.Mutex
 	var clients sync.WaitGroup
 	for i := range concurrentClients {
@@ -152,5 +158,5 @@
 		})
 	}
 	clients.Wait()
-	return statuses, time.Since(begin)
+	return statuses, time.Since(start)
 }
--- a/cmd/dispatcher/server_test.go
+++ b/cmd/dispatcher/server_test.go
@@ -16,14 +16,14 @@
 	"kitefall/internal/fakes"
 )
 
-// A broken file changes nothing, a good one makes the watcher follow its discovery address, and the program goes on. An
-// invocation that is pending meanwhile is answered.
+// A reload of an invalid file keeps the present discovery address, and a reload of a valid file switches to the address in
+// it. Neither interrupts service: an invocation that is in flight during both is answered.
 func TestReloadFollowsTheNewDiscoveryAddress(t *testing.T) {
 	worker, authority := fakes.NewWorker(t), fakes.NewAuthority(t)
 	invokeFile, url := writeInvokeFile(t, authority)
 	client := authority.Client(fakes.Domain + clientIdentity)
 	polls := make(chan string, 64)
-	first, second := newDiscovery(t, "first", polls), newDiscovery(t, "second", polls)
+	first, second := newHangingDiscovery(t, "first", polls), newHangingDiscovery(t, "second", polls)
 	s := newService(t, first, worker)
 	s.start(invokeFile)
 	dial(t, s.addr).Close()
@@ -40,7 +40,7 @@
 	require.Equal(t, "first 1", <-polls)
 	require.NoError(t, os.WriteFile(s.configPath, []byte(`{"board":`), 0o600))
 	require.NoError(t, signalSelf(syscall.SIGHUP))
-	require.Equal(t, "first 1", <-polls, "it goes on with the address that it has")
+	require.Equal(t, "first 1", <-polls, "an invalid file must not change the discovery address")
 	writeConfig(t, s.configPath, s.addr, second, worker)
 	require.NoError(t, signalSelf(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return <-polls == "second 1" }, waitTimeout, waitInterval)
@@ -56,43 +56,46 @@
 	answered.Body.Close()
 	assert.Equal(t, []any{200, `"booked"`}, []any{answered.StatusCode, string(answer)})
 	require.NoError(t, signalSelf(syscall.SIGTERM))
-	assert.NoError(t, <-s.ended)
+	assert.NoError(t, <-s.runErr)
 }
 
-// A planned restart: calls in flight are answered, and new ones are still taken for a while, before the program ends.
+// After SIGTERM, as in a planned restart, the program answers the calls in flight and for a while still accepts new ones. It
+// ends once all are answered.
 func TestDrainAnswersCallsInFlight(t *testing.T) {
 	worker, authority := fakes.NewWorker(t), fakes.NewAuthority(t)
 	invokeFile, url := writeInvokeFile(t, authority)
-	s := newService(t, noDiscovery, worker)
+	s := newService(t, unreachableDiscovery, worker)
 	s.start(invokeFile)
-	before := dial(t, s.addr)
+	connBefore := dial(t, s.addr)
 	notFound, err := authority.Client(fakes.Domain + clientIdentity).Get(url + "/v1/invocations/none")
 	require.NoError(t, err)
 	notFound.Body.Close()
-	assert.Equal(t, 404, notFound.StatusCode, "the invoke API is up before the platform's frontend")
+	assert.Equal(t, 404, notFound.StatusCode, "the invoke API must be up before the frontend for the platform's clients")
 
-	sendCall(before, "9b1f03aa5c7e2d41", "open")
+	sendCall(connBefore, "9b1f03aa5c7e2d41", "open")
 	inFlight := worker.Next()
 	require.NoError(t, signalSelf(syscall.SIGTERM))
-	after := dial(t, s.addr)
-	sendCall(after, "9b1f03aa5c7e2d42", "new")
+	connAfter := dial(t, s.addr)
+	sendCall(connAfter, "9b1f03aa5c7e2d42", "new")
 	worker.Next().OK("done")
 	inFlight.OK("done")
-	for _, conn := range []net.Conn{before, after} {
-		got, err := io.ReadAll(conn) // to the end: the program closes connections with nothing in flight
+	for _, conn := range []net.Conn{connBefore, connAfter} {
+		got, err := io.ReadAll(conn) // returns once the program closes the connection, which has nothing in flight then
 		require.NoError(t, err)
 		assert.True(t, strings.HasSuffix(string(got), "$2\r\nok\r\n$0\r\n\r\n$4\r\ndone\r\n"), "%q", got)
 	}
-	assert.NoError(t, <-s.ended)
+	assert.NoError(t, <-s.runErr)
 }
 
-// The previous process may still be draining at the address.
-func TestListenWaitsForTheAddress(t *testing.T) {
+// A previous process that is still draining may use the address: listen must retry until the address is free, the deadline
+// passes or a signal arrives.
+func TestListenRetriesWhileTheAddressIsInUse(t *testing.T) {
 	previous, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	terminate := make(chan os.Signal, 1)
 	attempts := 0
-	// openFreedAt opens the address, which the previous process frees at the given attempt; never at 0.
+	// openFreedAt returns a function that tries to listen at the address. The address becomes free at the given attempt,
+	// counted from 1; 0: never.
 	openFreedAt := func(freedAt int) func() (net.Listener, error) {
 		attempts = 0
 		return func() (net.Listener, error) {
@@ -104,24 +107,24 @@
 	}
 
 	_, err = listen(openFreedAt(0), time.Now(), terminate)
-	assert.ErrorIs(t, err, syscall.EADDRINUSE, "until the deadline")
+	assert.ErrorIs(t, err, syscall.EADDRINUSE, "no retry after the deadline")
 	terminate <- syscall.SIGTERM
 	_, err = listen(openFreedAt(0), fakes.Deadline(), terminate)
-	assert.ErrorIs(t, err, syscall.EADDRINUSE, "until told to end")
+	assert.ErrorIs(t, err, syscall.EADDRINUSE, "no retry after a signal to terminate")
 	listener, err := listen(openFreedAt(3), fakes.Deadline(), terminate)
 	require.NoError(t, err)
 	listener.Close()
 	assert.Equal(t, 3, attempts)
 }
 
-// A process that starts while discovery is down is ready with the endpoints of its configuration. A reload is carried out
-// also while it drains, since it has to learn of draining workers until the last call; a file that cannot be used changes
-// nothing, and the program does not go back to serving.
+// A process that starts while discovery is down is ready with the endpoints of its configuration. A reload of an invalid or
+// missing file changes nothing. A draining process still follows a reloaded discovery address, since it has to learn of
+// draining workers until its last call is answered, and the reload must not make it ready again.
 func TestReloadWhileDraining(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	polls := make(chan string, 64)
-	next := newDiscovery(t, "next", polls)
-	s := newService(t, noDiscovery, worker)
+	nextDiscovery := newHangingDiscovery(t, "next", polls)
+	s := newService(t, unreachableDiscovery, worker)
 	s.start("")
 	conn := dial(t, s.addr)
 	require.Eventually(t, func() bool { return checkReady(t, conn) == "yes" }, waitTimeout, waitInterval)
@@ -139,7 +142,7 @@
 
 	require.NoError(t, signalSelf(syscall.SIGTERM))
 	require.Eventually(t, func() bool { return checkReady(t, conn) == "no" }, waitTimeout, waitInterval)
-	writeConfig(t, s.configPath, s.addr, next, worker)
+	writeConfig(t, s.configPath, s.addr, nextDiscovery, worker)
 	require.NoError(t, signalSelf(syscall.SIGHUP))
 	require.Equal(t, "next 1", <-polls)
 	require.Equal(t, "no", checkReady(t, conn))
@@ -147,12 +150,12 @@
 	got, err := io.ReadAll(conn)
 	require.NoError(t, err)
 	assert.Contains(t, string(got), "done")
-	assert.NoError(t, <-s.ended)
+	assert.NoError(t, <-s.runErr)
 }
 
-// Without any endpoints the program is not ready. Told to end then, with nothing in flight, it ends.
+// A program without any endpoints is not ready. On SIGTERM it ends, as no calls are in flight.
 func TestDrainWhileStarting(t *testing.T) {
-	s := newService(t, noDiscovery, fakes.NewWorker(t))
+	s := newService(t, unreachableDiscovery, fakes.NewWorker(t))
 	s.rewriteConfig(t, func(text string) string {
 		return text[:strings.Index(text, `"known"`)] + text[strings.Index(text, `"settings"`):]
 	})
@@ -160,14 +163,14 @@
 	conn := dial(t, s.addr)
 	assert.Equal(t, "no", checkReady(t, conn))
 	require.NoError(t, signalSelf(syscall.SIGTERM))
-	assert.NoError(t, <-s.ended)
+	assert.NoError(t, <-s.runErr)
 }
 
-// Idle clients hold all the connections that they can get while discovery is down: new clients, and the workers, are
-// reached all the same.
+// Idle clients that open as many connections as they can, while discovery is down, must not use up the descriptors: a new
+// client can still connect, and its call still reaches a worker.
 func TestIdleClientsLeaveSocketsForCalls(t *testing.T) {
 	worker := fakes.NewWorker(t)
-	s := newService(t, noDiscovery, worker)
+	s := newService(t, unreachableDiscovery, worker)
 	s.rewriteConfig(t, func(text string) string {
 		return strings.Replace(text, `"sockets":1024`, `"sockets":64`, 1)
 	})
@@ -188,5 +191,5 @@
 		conn.Close()
 	}
 	require.NoError(t, signalSelf(syscall.SIGTERM))
-	assert.NoError(t, <-s.ended)
+	assert.NoError(t, <-s.runErr)
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter connects the decision module to the platform's simulator. It reads batches of events from standard
-// input, has one balancer for each simulated dispatcher handle them, and writes the actions to standard output, one JSON
-// line for each batch (source: simulator protocol). Its error messages begin with benchlink.
+// Command simadapter connects package balancer to the platform's simulator. It reads batches of events from standard input,
+// passes each event to the balancer of the simulated dispatcher that it belongs to, and writes the balancers' actions to
+// standard output, one JSON line for each batch (source: simulator protocol). Its error messages begin with "benchlink:".
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"kitefall/internal/simwire"
 )
 
-// bufferSize is the size, in bytes, of the buffers for input and output.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 20
 
 func main() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run answers each batch that it reads from in with one line on out. It returns nil at the end of in.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -44,13 +44,14 @@
 		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := writer.Flush(); err != nil { // the simulator waits for the reply
+		if err := writer.Flush(); err != nil { // the simulator waits for this reply before it sends the next batch
 			return err
 		}
 	}
 }
 
-// readLine returns the next line, or nil at the end of the input. The last line may lack its newline.
+// readLine returns the next line with its newline, which may be absent from the last line. At the end of the input it returns
+// nil.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	line, err := reader.ReadBytes('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -62,18 +63,18 @@
 	return line, nil
 }
 
-// adapter holds the state between batches.
+// adapter holds the state that is kept from batch to batch: the decoder's worker lists and one balancer per dispatcher.
 type adapter struct {
 	decoder   *simwire.Decoder
 	encoder   simwire.Encoder
-	balancers map[int64]*balancer.Balancer // by dispatcher
+	balancers map[int64]*balancer.Balancer // by dispatcher number
 }
 
 func newAdapter() *adapter {
 	return &adapter{decoder: simwire.NewDecoder(), balancers: map[int64]*balancer.Balancer{}}
 }
 
-// handle returns the reply to one batch.
+// handle has the balancers handle the events of one batch, which is a line of input, and returns the line of output.
 func (a *adapter) handle(line []byte) ([]byte, error) {
 	batch, err := a.decoder.Decode(line)
 	if err != nil {
@@ -87,6 +88,8 @@
 	return a.encoder.Reply()
 }
 
+// handleEvent creates or removes the balancer of the event's dispatcher, or passes the event to it. Events for a dispatcher
+// that is not up are ignored.
 func (a *adapter) handleEvent(batch simwire.Batch, event simwire.Event) error {
 	dispatcher := event.Dispatcher
 	switch {
