--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -9,51 +9,51 @@
 	"time"
 )
 
-// Names of the classes in the settings of a fleet.
+// Names of the classes in the dispatchers' settings.
 const (
 	ClassIdempotent    = "consulta"
 	ClassNotIdempotent = "reserva"
 )
 
 const (
-	connsPerClient = 4 // at most
-	// giveUpAfter is how long after its time a request is still waited for.
-	giveUpAfter = time.Second
-	dialTimeout = time.Second
-	// quietInterval is how often a client that sends nothing looks whether its load has changed.
-	quietInterval = 20 * time.Millisecond
+	maxConnsPerClient = 4
+	// lateAnswerWait is how long a client still waits for an answer after the request's own wait has ended.
+	lateAnswerWait = time.Second
+	dialTimeout    = time.Second
+	// loadCheckInterval is how often a client whose rate is 0 checks whether its load has changed.
+	loadCheckInterval = 20 * time.Millisecond
 )
 
-// Load says what clients send to one dispatcher.
+// Load describes the requests that clients send to one dispatcher.
 type Load struct {
-	Conns         int     // connections that are used; 0: connsPerClient
-	Rate          float64 // requests a second; 0: none for now
-	Functions     int     // that are called, by a Zipf distribution
-	FirstFunction int
-	MinWait       time.Duration // how long clients wait for the answer
+	Conns         int           // connections in use at a time; 0: maxConnsPerClient
+	Rate          float64       // requests per second; 0: none
+	Functions     int           // number of functions called, drawn from a Zipf distribution
+	FirstFunction int           // number of the first of these functions
+	MinWait       time.Duration // bounds of the time that clients wait for an answer
 	MaxWait       time.Duration
-	CancelShare   float64 // part of the requests that the client cancels
-	CloseShare    float64 // part of the requests after which the client closes the connection
-	FreshShare    float64 // part of the requests that come on a connection of their own
-	PieceShare    float64 // part of these that are written in two pieces
+	CancelShare   float64 // share of requests that the client cancels
+	CloseShare    float64 // share of requests after which the client closes the connection
+	FreshShare    float64 // share of requests that are sent on a new connection of their own
+	SplitShare    float64 // share of the requests on new connections that are written in two parts
 }
 
-// client sends requests to one dispatcher and records what comes of them.
+// client sends requests to one dispatcher and records their results.
 type client struct {
 	fleet      *Fleet
 	dispatcher int
 	random     *rand.Rand
 
-	readers sync.WaitGroup // of the connections
+	readers sync.WaitGroup // the goroutines that read from connections
 
-	mu       sync.Mutex // guards also the connections and the requests
+	mu       sync.Mutex // guards the fields below and the fields of each clientConn and Request
 	load     Load
-	conns    [connsPerClient]*clientConn
+	conns    [maxConnsPerClient]*clientConn
 	requests []*Request
 }
 
-// recorded waits until all connections have ended and returns the requests.
-func (c *client) recorded() []*Request {
+// awaitRequests waits until all connections have ended and returns copies of all requests.
+func (c *client) awaitRequests() []*Request {
 	c.readers.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	return copies
 }
 
-// setLoad changes what is sent from now on.
+// setLoad sets the load from now on.
 func (c *client) setLoad(load Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,26 +78,26 @@
 		load := c.load
 		c.mu.Unlock()
 		if load.Rate == 0 {
-			if waitOr(stop, quietInterval) {
+			if waitOrDone(stop, loadCheckInterval) {
 				return
 			}
 			continue
 		}
 		pause := time.Duration(c.random.ExpFloat64() / load.Rate * float64(time.Second))
-		if waitOr(stop, pause) {
+		if waitOrDone(stop, pause) {
 			return
 		}
-		c.sendOne(load)
+		c.sendRequest(load)
 	}
 }
 
-// sendOne sends one request on one of the connections.
-func (c *client) sendOne(load Load) {
+// sendRequest sends one request, on one of the client's connections or on a new connection of its own.
+func (c *client) sendRequest(load Load) {
 	if c.random.Float64() < load.FreshShare {
-		c.sendFresh(load)
+		c.sendOnFreshConn(load)
 		return
 	}
-	conn := c.conn(c.random.IntN(cmp.Or(load.Conns, connsPerClient)))
+	conn := c.openConn(c.random.IntN(cmp.Or(load.Conns, maxConnsPerClient)))
 	if conn == nil {
 		return
 	}
@@ -106,23 +106,23 @@
 	if tag == 0 {
 		return
 	}
-	c.leaveLater(load, conn, tag, request)
+	c.scheduleCancelOrClose(load, conn, tag, request)
 }
 
-// newRequest draws a request and records it.
+// newRequest creates a random request and records it.
 func (c *client) newRequest(load Load, conn *clientConn) *Request {
 	class := ClassIdempotent
 	if c.random.Float64() < 0.3 {
 		class = ClassNotIdempotent
 	}
-	spread := load.MaxWait - load.MinWait
+	waitRange := load.MaxWait - load.MinWait
 	request := &Request{
 		ID:         c.random.Uint64(),
 		Dispatcher: c.dispatcher,
 		Run:        conn.run,
 		Class:      class,
-		Function:   functionName(load.FirstFunction + c.drawFunction(load.Functions)),
-		Wait:       load.MinWait + time.Duration(c.random.Float64()*float64(spread)),
+		Function:   functionName(load.FirstFunction + c.randomFunction(load.Functions)),
+		Wait:       load.MinWait + time.Duration(c.random.Float64()*float64(waitRange)),
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,31 +130,32 @@
 	return request
 }
 
-// leaveLater has the client cancel some requests, close the connection after others, and give up all in the end.
-func (c *client) leaveLater(load Load, conn *clientConn, tag int, request *Request) {
+// scheduleCancelOrClose schedules how the client ends its wait: it cancels some requests early, closes the connection of others,
+// and cancels the rest lateAnswerWait after their own wait.
+func (c *client) scheduleCancelOrClose(load Load, conn *clientConn, tag int, request *Request) {
 	draw := c.random.Float64()
-	leaveAfter := time.Duration(c.random.Float64() * float64(300*time.Millisecond))
+	leaveDelay := time.Duration(c.random.Float64() * float64(300*time.Millisecond))
 	switch {
 	case draw < load.CancelShare:
-		time.AfterFunc(leaveAfter, func() { conn.cancel(tag) })
+		time.AfterFunc(leaveDelay, func() { conn.cancel(tag) })
 	case draw < load.CancelShare+load.CloseShare:
-		time.AfterFunc(leaveAfter, conn.closeByClient)
+		time.AfterFunc(leaveDelay, conn.closeByClient)
 	default:
-		time.AfterFunc(request.Wait+giveUpAfter, func() { conn.cancel(tag) })
+		time.AfterFunc(request.Wait+lateAnswerWait, func() { conn.cancel(tag) })
 	}
 }
 
-// drawFunction draws the number of a function: a few are called often, most rarely.
-func (c *client) drawFunction(functions int) int {
+// randomFunction returns a random function number: a few functions are called often, most of them rarely.
+func (c *client) randomFunction(functions int) int {
 	return int(rand.NewZipf(c.random, 1.2, 3, uint64(functions-1)).Uint64())
 }
 
-// functionName returns the name of a function by its number.
+// functionName returns the name of the function with the given number.
 func functionName(number int) string { return fmt.Sprintf("%016x", 0x7f3a000000000001+uint64(number)) }
 
-// conn returns an open connection, a new one where the last has ended; nil if there is none. One that is open is used for
-// as long as it is, also while its dispatcher sends its clients away.
-func (c *client) conn(index int) *clientConn {
+// openConn returns the connection at an index. It opens a new one if the last has ended, and returns nil if that fails. An open
+// connection stays in use, even while its dispatcher sends its clients away.
+func (c *client) openConn(index int) *clientConn {
 	c.mu.Lock()
 	existing := c.conns[index]
 	c.mu.Unlock()
@@ -171,9 +172,9 @@
 	return conn
 }
 
-// dial makes a connection; nil if there is none.
+// dial opens a connection. It returns nil if the dispatcher accepts none.
 func (c *client) dial() *clientConn {
-	if !c.fleet.accepting(c.dispatcher) {
+	if !c.fleet.acceptsNewConns(c.dispatcher) {
 		return nil
 	}
 	run := c.fleet.currentRun(c.dispatcher)
@@ -185,9 +186,9 @@
 		client:  c,
 		netConn: netConn.(*net.TCPConn),
 		run:     run,
-		open:    map[int]*Request{},
-		all:     map[int]*Request{},
+		pending: map[int]*Request{},
+		byTag:   map[int]*Request{},
 	}
-	c.readers.Go(conn.read)
+	c.readers.Go(conn.readAnswers)
 	return conn
 }
--- a/internal/soak/clientconn_test.go
+++ b/internal/soak/clientconn_test.go
@@ -12,17 +12,18 @@
 	"kitefall/internal/tcptest"
 )
 
-// connectPair returns a client's connection, whose reader is not started, and the other side of it.
-func connectPair(t *testing.T) (*clientConn, net.Conn) {
+// newConnPair returns a client's connection, without a running reader, and the dispatcher's side of it.
+func newConnPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	dialed, accepted := tcptest.Pair(t)
-	return &clientConn{client: &client{}, netConn: dialed, open: map[int]*Request{}, all: map[int]*Request{}}, accepted
+	return &clientConn{client: &client{}, netConn: dialed, pending: map[int]*Request{}, byTag: map[int]*Request{}}, accepted
 }
 
-// sendTwo sends two requests, and has the dispatcher's side read them in part or whole, answer the first and close.
-func sendTwo(t *testing.T, readSecond, answerFirst bool) (first, second *Request) {
+// sendTwoRequests sends two requests. The dispatcher's side reads the first and, if readSecond is set, the second one, answers the
+// first one if answerFirst is set, and closes the connection.
+func sendTwoRequests(t *testing.T, readSecond, answerFirst bool) (first, second *Request) {
 	t.Helper()
-	conn, dispatcher := connectPair(t)
+	conn, dispatcher := newConnPair(t)
 	first = &Request{ID: 1, Class: ClassIdempotent, Wait: time.Second}
 	second = &Request{ID: 2, Class: ClassIdempotent, Wait: time.Second}
 	read := 0
@@ -40,26 +41,26 @@
 		require.NoError(t, err)
 	}
 	require.NoError(t, dispatcher.Close())
-	conn.read()
+	conn.readAnswers()
 	return first, second
 }
 
-// A request that was not read when its connection was closed is told from one that was read and has no answer, also where an
-// answer to an earlier request was on its way when it was sent.
+// Guards against taking a request that the dispatcher read and did not answer for one that it had not read when it closed the
+// connection. The answer to an earlier request may be in transit when the request is sent.
 func TestRequestThatCrossesTheCloseOfItsConnection(t *testing.T) {
-	first, second := sendTwo(t, false, true)
+	first, second := sendTwoRequests(t, false, true)
 	assert.Len(t, first.Answers, 1)
 	assert.True(t, second.EndedUnread)
 	assert.Equal(t, 1, second.OpenAtEnd)
 	assert.True(t, second.crossedClose())
 
-	_, second = sendTwo(t, true, true)
-	assert.False(t, second.EndedUnread, "it was read")
+	_, second = sendTwoRequests(t, true, true)
+	assert.False(t, second.EndedUnread, "the dispatcher read the second request")
 	assert.Equal(t, 1, second.OpenAtEnd)
 	assert.False(t, second.crossedClose())
 
-	first, second = sendTwo(t, false, false)
+	first, second = sendTwoRequests(t, false, false)
 	assert.Empty(t, first.Answers)
-	assert.Equal(t, 2, second.OpenAtEnd, "the first was read and has no answer either")
+	assert.Equal(t, 2, second.OpenAtEnd, "the first request was read and has no answer either")
 	assert.False(t, second.crossedClose())
 }
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -10,33 +10,33 @@
 	"kitefall/internal/wallstep"
 )
 
-// Rules are the figures of the rules that dispatchers are told.
+// Rules holds the limits that the oracle checks. All but WorkerRate are in the dispatchers' settings.
 type Rules struct {
-	LoadBurst     float64
-	LoadRatio     float64
-	LoadWindow    time.Duration
-	DrainGrace    time.Duration
-	OverloadTimes float64
-	OverloadSpan  time.Duration
-	ColdFrom      float64
-	WarmAfter     time.Duration
-	WorkerRate    float64 // calls a second that a warm worker can do
+	LoadBurst     float64       // load orders allowed in each LoadWindow without any request
+	LoadRatio     float64       // further load orders for each request in the LoadWindow
+	LoadWindow    time.Duration // time window of the load budget
+	DrainGrace    time.Duration // how long a dispatcher that counts as told of a drain may still call the worker
+	OverloadTimes float64       // calls in an OverloadSpan that are an overload, as a multiple of the worker's capacity
+	OverloadSpan  time.Duration // time window in which calls to a worker are counted
+	ColdFrom      float64       // capacity of a worker at its start, as a share of that of a warm worker
+	WarmAfter     time.Duration // from a worker's start until it is warm
+	WorkerRate    float64       // calls per second that a warm worker can serve
 }
 
 // Config configures a fleet.
 type Config struct {
-	Program     string // the dispatcher, built by wallstep.Build
-	Folder      string // of records, logs and configurations
+	Program     string // path of the dispatcher's program, built by wallstep.Build
+	Folder      string // directory for records, logs and configurations
 	Dispatchers int
-	Workers     int // processes of workers at the start
-	Spares      int // further ones that may be started
-	Members     int // workers that each such process stands for, each with an address of its own; 0: one
+	Workers     int // worker processes at the start
+	Spares      int // further worker processes that may be started later
+	Members     int // workers in each process, each with an address of its own; 0: one
 	Seed        uint64
 	Rules       Rules
-	Limits      Limits            // of each dispatcher; the zero value: DefaultLimits
-	Deadline    time.Duration     // of the classes, the longest one; 0: defaultDeadline
-	Worker      WorkerConfig      // the same for all; members and record are filled in
-	Steps       [][]wallstep.Step // of each dispatcher's wall clock, by its first process; may be shorter
+	Limits      Limits            // of each dispatcher; the zero value means DefaultLimits
+	Deadline    time.Duration     // the longest deadline of the classes; 0: defaultDeadline
+	Worker      WorkerConfig      // for all workers; the fleet fills in Members, Record, Seed and AcceptsFor
+	Steps       [][]wallstep.Step // wall-clock steps of each dispatcher's first process; may be shorter than Dispatchers
 }
 
 // Limits are the resources that a dispatcher may use.
@@ -46,22 +46,22 @@
 	Sockets  int // file descriptors
 }
 
-// DefaultLimits are limits that do not bind.
+// DefaultLimits returns limits that are high enough to have no effect.
 func DefaultLimits() Limits { return Limits{Cores: 1, MemoryMB: 192, Sockets: 1024} }
 
-// defaultDeadline is the longest deadline of the classes where a configuration sets none.
+// defaultDeadline is the longest deadline of the classes if a configuration sets none.
 const defaultDeadline = 2500 * time.Millisecond
 
 const (
-	// maxKillDelay is the most that a deadline adds to the time from SIGTERM to SIGKILL (source: client protocol, figures).
+	// maxKillDelay is the most that the deadline contributes to the time from SIGTERM to SIGKILL (source: client protocol, figures).
 	maxKillDelay = 3 * time.Second
-	// killMargin is what the time from SIGTERM to SIGKILL has beyond the deadline.
+	// killMargin is the time from SIGTERM to SIGKILL beyond the deadline's contribution.
 	killMargin = 700 * time.Millisecond
-	// shorterDeadline is the deadline of idempotent calls, as a part of the longest one.
-	shorterDeadline = 0.8
+	// idempotentDeadlineShare is the deadline of idempotent calls as a share of the longest deadline.
+	idempotentDeadlineShare = 0.8
 )
 
-// applyDefaults fills in what is not set.
+// applyDefaults sets defaults for unset fields.
 func (c *Config) applyDefaults() {
 	c.Members = max(1, c.Members)
 	if c.Limits == (Limits{}) {
@@ -72,16 +72,16 @@
 	}
 }
 
-// killDelay is the earliest time from SIGTERM to SIGKILL.
+// killDelay returns the shortest time from SIGTERM to SIGKILL on the platform.
 func (c *Config) killDelay() time.Duration { return min(c.Deadline, maxKillDelay) + killMargin }
 
-// DefaultRules are rules with short windows, so that a run of a few seconds sees them bind.
+// DefaultRules returns rules with windows short enough that a run of a few seconds reaches the limits.
 func DefaultRules() Rules {
 	return Rules{LoadBurst: 6, LoadRatio: 0.15, LoadWindow: 2 * time.Second, DrainGrace: time.Second, OverloadTimes: 2,
 		OverloadSpan: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, WorkerRate: 50}
 }
 
-// DefaultWorker is a worker that can do what DefaultRules say.
+// DefaultWorker returns the configuration of a worker that reaches the WorkerRate of DefaultRules: 3 cores at 60 ms a call.
 func DefaultWorker() WorkerConfig {
 	return WorkerConfig{Cores: 3, Queue: 40, Work: 60 * time.Millisecond, LoadTime: 30 * time.Millisecond,
 		KeepAlive: time.Second}
@@ -91,9 +91,9 @@
 	return filepath.Join(f.config.Folder, fmt.Sprintf("config-%d.json", number))
 }
 
-// writeConfig writes the configuration of a dispatcher.
-func (f *Fleet) writeConfig(number int, list listAnswer) error {
-	known, err := json.Marshal(list)
+// writeConfig writes the configuration file of a dispatcher and replaces the old one atomically.
+func (f *Fleet) writeConfig(number int, list pollResponse) error {
+	listJSON, err := json.Marshal(list)
 	if err != nil {
 		return err
 	}
@@ -101,8 +101,8 @@
 	limits := f.config.Limits
 	text := fmt.Sprintf(`{"name":"n%d","listen":%q,"seed":"%016x","limits":{"cores":%g,"memory_mb":%d,"sockets":%d},
 		"admin":%q,"board":%q,"known":%s,"settings":%s}`, number, f.dispatcherAddr(number), f.config.Seed*100+uint64(number),
-		limits.Cores, limits.MemoryMB, limits.Sockets, f.adminAddr(number), f.discoveryAddr(number, d.discovery), known,
-		f.settings(number))
+		limits.Cores, limits.MemoryMB, limits.Sockets, f.adminAddr(number), f.discoveryAddr(number, d.discoveryIndex), listJSON,
+		f.settingsJSON(number))
 	temporary := f.configPath(number) + ".new"
 	if err := os.WriteFile(temporary, []byte(text), 0o600); err != nil {
 		return err
@@ -110,10 +110,10 @@
 	return os.Rename(temporary, f.configPath(number))
 }
 
-// settings returns the settings object of a dispatcher (source: the platform's wire page).
-func (f *Fleet) settings(number int) string {
+// settingsJSON returns the settings object of a dispatcher's configuration (source: the platform's wire page).
+func (f *Fleet) settingsJSON(number int) string {
 	r := f.config.Rules
-	shorter := time.Duration(shorterDeadline * float64(f.config.Deadline))
+	idempotentDeadline := time.Duration(idempotentDeadlineShare * float64(f.config.Deadline))
 	return fmt.Sprintf(`{"peers_total":%d,"position":%d,"zone":"z%d","failure_domains":["z0","z1"],
 		"grades":[{"name":%q,"credit":1,"late_value":0.2,"effect":"pure","deadline_us":%d,"goal_time_us":750000},
 		{"name":%q,"credit":2,"late_value":0.2,"effect":"side_effect","deadline_us":%d,"goal_time_us":800000}],
@@ -123,7 +123,7 @@
 		"grace_to_answer_us":16000},
 		"domain":{"placement_calls":true,"answer_within_us":2000000,"keep_alive_us":%d,"load_floor":%g,
 		"loads_per_request":%g,"load_period_us":%d,"tells_warm":true}}`,
-		f.config.Dispatchers, number, number%2, ClassIdempotent, shorter.Microseconds(),
+		f.config.Dispatchers, number, number%2, ClassIdempotent, idempotentDeadline.Microseconds(),
 		ClassNotIdempotent, f.config.Deadline.Microseconds(), r.ColdFrom, r.WarmAfter.Microseconds(),
 		r.DrainGrace.Microseconds(), r.OverloadTimes, r.OverloadSpan.Microseconds(),
 		f.config.Worker.KeepAlive.Microseconds(), r.LoadBurst, r.LoadRatio, r.LoadWindow.Microseconds())
--- a/internal/soak/crowd.go
+++ b/internal/soak/crowd.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	crowdPart      = 0.5 // connections of a crowd at a time, as a part of the dispatcher's descriptors
-	crowdArrival   = 5 * time.Millisecond
-	crowdHalfCall  = "*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$8\r\ncons"
-	crowdDialLimit = 100 * time.Millisecond
+	crowdSocketShare  = 0.5 // open connections of a crowd, as a share of the dispatcher's descriptor limit
+	crowdDialInterval = 5 * time.Millisecond
+	partialCall       = "*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$8\r\ncons"
+	crowdDialTimeout  = 100 * time.Millisecond
 )
 
-// CrowdDispatcher makes connections to a dispatcher that never finish a request, half of them with a part of one: as many at
-// once as clients may have and more, then one after the other, each in the place of the oldest.
+// CrowdDispatcher opens connections to a dispatcher that never complete a request. Half of them send a part of one. It first opens
+// more connections than clients may have, then one every crowdDialInterval, and closes the oldest for each.
 func (f *Fleet) CrowdDispatcher(number int, length time.Duration) {
 	addr := f.dispatcherAddr(number)
-	size := int(crowdPart * float64(f.config.Limits.Sockets))
+	maxConns := int(crowdSocketShare * float64(f.config.Limits.Sockets))
 	var crowd []net.Conn
 	defer func() {
 		for _, conn := range crowd {
@@ -25,19 +25,19 @@
 		}
 	}()
 	for begin, i := Now(), 0; Now()-begin < length; i++ {
-		conn, err := net.DialTimeout("tcp", addr, crowdDialLimit)
-		if err != nil { // it has ended, or is about to
-			time.Sleep(crowdArrival)
+		conn, err := net.DialTimeout("tcp", addr, crowdDialTimeout)
+		if err != nil { // the dispatcher has ended or is about to end
+			time.Sleep(crowdDialInterval)
 			continue
 		}
 		if i%2 == 0 {
-			io.WriteString(conn, crowdHalfCall)
+			io.WriteString(conn, partialCall)
 		}
 		crowd = append(crowd, conn)
-		if len(crowd) > size {
+		if len(crowd) > maxConns {
 			crowd[0].Close()
 			crowd = crowd[1:]
-			time.Sleep(crowdArrival)
+			time.Sleep(crowdDialInterval)
 		}
 	}
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,13 +1,13 @@
 // Package soak runs dispatchers and workers as real processes over loopback, injects faults that overlap in time, and checks
-// the dispatchers' rules from outside, by what clients and workers have seen.
+// the dispatchers' rules from outside, using the events that clients and workers recorded.
 //
 // A [Fleet] holds the processes of one run. Its dispatchers are the real program, built by package wallstep so that their
-// wall clocks can be stepped. Its workers are processes of the test binary ([WorkerMain]), which write each event to a file;
-// the endpoint list and the clients live in the process of the test. All times are those of the machine's monotonic clock,
-// which the processes share. [Check] is the oracle: it takes what was recorded and returns the rules that were broken.
+// wall clocks can be stepped. Its workers are processes of the test binary ([WorkerMain]), which write each event to a file.
+// The endpoint list and the clients run in the process of the test. All recorded times are readings of the machine's monotonic
+// clock, which the processes share. [Check] is the oracle: it takes the recorded [History] and returns the violations of rules.
 //
-// A [Plan] holds the faults of a run. [RandomPlan] draws one from a seed; the same seed gives the same plan, but the
-// processes run in real time, so that a run does not repeat exactly.
+// A [Plan] holds the faults of a run. [RandomPlan] draws a plan from a seed. The same seed gives the same plan, but two runs of
+// a plan differ in detail, since the processes run in real time.
 package soak
 
 import (
@@ -16,11 +16,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the machine's monotonic time, which all processes share.
+// Now returns the time of the machine's monotonic clock, which all processes share.
 func Now() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
-		panic(err) // the clock exists on every Linux
+		panic(err) // every Linux kernel has this clock
 	}
 	return time.Duration(now.Nano())
 }
--- a/internal/soak/endpointlist.go
+++ b/internal/soak/endpointlist.go
@@ -18,10 +18,11 @@
 	stateLeft    = "left"
 )
 
-// notifiedAfter is when a change counts as told although it has not arrived (source: client protocol, figures).
+// notifiedAfter is how long after a change of the endpoint list a dispatcher counts as told of the change, even if it has not
+// received it (source: client protocol, figures).
 const notifiedAfter = 7 * time.Second
 
-// listTarget is one worker in an event.
+// listTarget is the state of one worker in an event.
 type listTarget struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -33,6 +34,7 @@
 	BootMS   int64  `json:"boot_ms"`
 }
 
+// listEvent holds the changes of one revision, or the whole list.
 type listEvent struct {
 	Revision int `json:"rev"`
 	Pool     struct {
@@ -41,12 +43,13 @@
 	} `json:"pool"`
 }
 
-type listAnswer struct {
+// pollResponse is the body of the answer to a poll.
+type pollResponse struct {
 	Revision      int         `json:"rev"`
 	Notifications []listEvent `json:"notices"`
 }
 
-// change is a change of the endpoint list, as the endpoint list keeps it.
+// change is a change of one worker's state in the endpoint list.
 type change struct {
 	at     time.Duration
 	worker *member
@@ -54,55 +57,55 @@
 	bootMS int64
 }
 
-// endpointList is the endpoint list. The first revision is the whole list, and each change is another one.
+// endpointList serves the endpoint list to the dispatchers. Revision 1 is the first list, and each change adds a revision.
 type endpointList struct {
 	fleet *Fleet
 
 	mu      sync.Mutex
-	first   []change // the whole list of the first revision
+	first   []change // the list of revision 1
 	changes []change
-	changed chan struct{}      // closed at each change and outage, and replaced
-	outages map[int]OutageKind // under way, by dispatcher
-	notices []Notification
+	updated chan struct{}      // closed and replaced when the list changes or an outage begins or ends
+	outages map[int]OutageKind // current outages, by dispatcher
+	notices []Notification     // when dispatchers count as told of changes
 }
 
 func newEndpointList(f *Fleet) *endpointList {
-	return &endpointList{fleet: f, changed: make(chan struct{}), outages: map[int]OutageKind{}}
+	return &endpointList{fleet: f, updated: make(chan struct{}), outages: map[int]OutageKind{}}
 }
 
-// add adds a change for each worker of a process.
-func (b *endpointList) add(process *workerHandle, state string, bootMS int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// add appends a change for each worker of a process.
+func (l *endpointList) add(process *workerHandle, state string, bootMS int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, worker := range process.members {
-		b.changes = append(b.changes, change{at: Now(), worker: worker, state: state, bootMS: bootMS})
+		l.changes = append(l.changes, change{at: Now(), worker: worker, state: state, bootMS: bootMS})
 	}
-	b.wakeLocked()
+	l.wakePollsLocked()
 }
 
-// revisionLocked is the last revision.
-func (b *endpointList) revisionLocked() int { return 1 + len(b.changes) }
+// lastRevisionLocked returns the number of the last revision.
+func (l *endpointList) lastRevisionLocked() int { return 1 + len(l.changes) }
 
-// eventLocked returns the event of a revision as a dispatcher sees it.
-func (b *endpointList) eventLocked(dispatcher, revision int) listEvent {
+// eventLocked returns the event of a revision, with the workers' addresses for a dispatcher.
+func (l *endpointList) eventLocked(dispatcher, revision int) listEvent {
 	var event listEvent
 	event.Revision = revision
 	if revision == 1 {
 		event.Pool.All = true
-		for _, c := range b.first {
+		for _, c := range l.first {
 			event.Pool.Targets = append(event.Pool.Targets, c.target(dispatcher))
 		}
 		return event
 	}
-	event.Pool.Targets = []listTarget{b.changes[revision-2].target(dispatcher)}
+	event.Pool.Targets = []listTarget{l.changes[revision-2].target(dispatcher)}
 	return event
 }
 
-// latestLocked returns the last change of each worker, in the order of their first.
-func (b *endpointList) latestLocked() []change {
+// latestChangesLocked returns the last change of each worker, in the order in which the workers were first listed.
+func (l *endpointList) latestChangesLocked() []change {
 	var latest []change
 	index := map[string]int{}
-	for _, c := range append(slices.Clone(b.first), b.changes...) {
+	for _, c := range append(slices.Clone(l.first), l.changes...) {
 		if i, seen := index[c.worker.uid]; seen {
 			latest[i] = c
 			continue
@@ -113,44 +116,47 @@
 	return latest
 }
 
-// known returns the whole list as one event, for a dispatcher that starts or reloads now, and what it tells.
-func (b *endpointList) known(dispatcher int) (answer listAnswer, told []change) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// known returns the current list as one event, for the configuration of a dispatcher that starts or reloads, and the changes that
+// the list contains.
+func (l *endpointList) known(dispatcher int) (response pollResponse, told []change) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var event listEvent
-	event.Revision = b.revisionLocked()
+	event.Revision = l.lastRevisionLocked()
 	event.Pool.All = true
-	told = b.latestLocked()
+	told = l.latestChangesLocked()
 	for _, c := range told {
 		event.Pool.Targets = append(event.Pool.Targets, c.target(dispatcher))
 	}
-	return listAnswer{Revision: event.Revision, Notifications: []listEvent{event}}, told
+	return pollResponse{Revision: event.Revision, Notifications: []listEvent{event}}, told
 }
 
-// firstKnown returns the first list, whatever has changed since.
-func (b *endpointList) firstKnown(dispatcher int) startList {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// firstList returns the list of revision 1 without later changes.
+func (l *endpointList) firstList(dispatcher int) startList {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return startList{
-		answer: listAnswer{Revision: 1, Notifications: []listEvent{b.eventLocked(dispatcher, 1)}},
-		told:   b.first,
+		response: pollResponse{Revision: 1, Notifications: []listEvent{l.eventLocked(dispatcher, 1)}},
+		told:     l.first,
 	}
 }
 
-// noteKnown notes that a dispatcher's process was told at its start of what was in its list.
-func (b *endpointList) noteKnown(dispatcher, run int, list startList) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// noteKnown records that a dispatcher's process counts as told of the changes in its start list from list.asOf on.
+func (l *endpointList) noteKnown(dispatcher, run int, list startList) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, c := range list.told {
-		b.noteNotifiedLocked(dispatcher, run, c, list.asOf)
+		l.recordNotificationLocked(dispatcher, run, c, list.asOf)
 	}
 }
 
-func (b *endpointList) noteNotifiedLocked(dispatcher, run int, c change, at time.Duration) {
-	b.notices = append(b.notices, Notification{Dispatcher: dispatcher, Run: run, Worker: c.worker.uid, State: c.state,
+// recordNotificationLocked records that a dispatcher's process counts as told of a change at the time at.
+func (l *endpointList) recordNotificationLocked(dispatcher, run int, c change, at time.Duration) {
+	l.notices = append(l.notices, Notification{Dispatcher: dispatcher, Run: run, Worker: c.worker.uid, State: c.state,
 		BootMS: c.bootMS, At: at})
 }
 
+// target returns the changed worker as a dispatcher sees it in the list.
 func (c change) target(dispatcher int) listTarget {
 	return listTarget{
 		UID:      c.worker.uid,
@@ -163,52 +169,52 @@
 	}
 }
 
-// serve answers the polls of a dispatcher at an address until the returned function is called.
-func (b *endpointList) serve(dispatcher int, addr string) (stop func(), err error) {
+// serve answers the polls of a dispatcher at an address until stop is called.
+func (l *endpointList) serve(dispatcher int, addr string) (stop func(), err error) {
 	listener, err := listenRetrying(addr)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/board/poll", func(w http.ResponseWriter, r *http.Request) { b.poll(w, r, dispatcher) })
+	mux.HandleFunc("/board/poll", func(w http.ResponseWriter, r *http.Request) { l.poll(w, r, dispatcher) })
 	server := &http.Server{Handler: mux}
 	go server.Serve(listener)
 	return func() { server.Close() }, nil
 }
 
-// poll answers once later events exist, or when the time that the dispatcher gives is over. During an outage it answers as
-// that has it.
-func (b *endpointList) poll(w http.ResponseWriter, r *http.Request, dispatcher int) {
-	watched, _ := strconv.Atoi(r.URL.Query().Get("watch"))
+// poll answers once a revision later than the dispatcher's exists, or when the linger time in the request is over. During an
+// outage respondDuringOutage answers: for OutageEmpty after the linger time, for OutageSilent never, for other kinds at once.
+func (l *endpointList) poll(w http.ResponseWriter, r *http.Request, dispatcher int) {
+	knownRevision, _ := strconv.Atoi(r.URL.Query().Get("watch"))
 	lingerMS, _ := strconv.Atoi(r.URL.Query().Get("linger"))
-	over := time.After(time.Duration(lingerMS) * time.Millisecond)
-	for isOver := false; ; {
-		b.mu.Lock()
-		changed := b.changed
-		pending := b.revisionLocked() > watched
-		outage := b.outages[dispatcher]
-		b.mu.Unlock()
+	lingerTimer := time.After(time.Duration(lingerMS) * time.Millisecond)
+	for lingerOver := false; ; {
+		l.mu.Lock()
+		updated := l.updated
+		pending := l.lastRevisionLocked() > knownRevision
+		outage := l.outages[dispatcher]
+		l.mu.Unlock()
 		switch {
-		case outage == "" && (pending || isOver):
-			b.answer(w, dispatcher, watched)
+		case outage == "" && (pending || lingerOver):
+			l.answer(w, dispatcher, knownRevision)
 			return
-		case outage != "" && outage != OutageSilent && (isOver || outage != OutageEmpty):
-			b.answerBroken(w, outage, dispatcher, watched)
+		case outage != "" && outage != OutageSilent && (lingerOver || outage != OutageEmpty):
+			l.respondDuringOutage(w, outage, dispatcher, knownRevision)
 			return
 		}
 		select {
-		case <-changed:
-		case <-over:
-			isOver = true
-			over = nil
+		case <-updated:
+		case <-lingerTimer:
+			lingerOver = true
+			lingerTimer = nil
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// waitOr waits and reports whether done came first.
-func waitOr(done <-chan struct{}, length time.Duration) bool {
+// waitOrDone waits until the time is over or done is closed, and reports whether done was closed first.
+func waitOrDone(done <-chan struct{}, length time.Duration) bool {
 	select {
 	case <-done:
 		return true
@@ -217,37 +223,38 @@
 	}
 }
 
-// answer writes the events after a revision. They count as told from now on, or since notifiedAfter where they come later.
-func (b *endpointList) answer(w http.ResponseWriter, dispatcher, watched int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	run := b.fleet.currentRun(dispatcher)
-	answer := listAnswer{Revision: b.revisionLocked(), Notifications: []listEvent{}}
-	for revision := watched + 1; revision <= b.revisionLocked(); revision++ {
-		answer.Notifications = append(answer.Notifications, b.eventLocked(dispatcher, revision))
+// answer writes the events after a revision. The dispatcher's process counts as told of each change from now on, or
+// from notifiedAfter after the change if that is earlier.
+func (l *endpointList) answer(w http.ResponseWriter, dispatcher, knownRevision int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	run := l.fleet.currentRun(dispatcher)
+	response := pollResponse{Revision: l.lastRevisionLocked(), Notifications: []listEvent{}}
+	for revision := knownRevision + 1; revision <= l.lastRevisionLocked(); revision++ {
+		response.Notifications = append(response.Notifications, l.eventLocked(dispatcher, revision))
 		if revision > 1 {
-			c := b.changes[revision-2]
-			b.noteNotifiedLocked(dispatcher, run, c, min(Now(), c.at+notifiedAfter))
+			c := l.changes[revision-2]
+			l.recordNotificationLocked(dispatcher, run, c, min(Now(), c.at+notifiedAfter))
 		}
 	}
-	json.NewEncoder(w).Encode(answer)
+	json.NewEncoder(w).Encode(response)
 }
 
-// allNotifications returns what dispatchers were told, also what counts as told without having arrived.
-func (b *endpointList) allNotifications(runs []DispatcherRun) []Notification {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	told := map[string]bool{}
+// allNotifications returns when each dispatcher's process counts as told of each change, including changes that did not reach it.
+func (l *endpointList) allNotifications(runs []DispatcherRun) []Notification {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	recorded := map[string]bool{}
 	key := func(dispatcher, run int, c change) string {
 		return fmt.Sprint(dispatcher, " ", run, " ", c.worker.uid, " ", c.state, " ", c.bootMS)
 	}
-	notices := slices.Clone(b.notices)
+	notices := slices.Clone(l.notices)
 	for _, n := range notices {
-		told[fmt.Sprint(n.Dispatcher, " ", n.Run, " ", n.Worker, " ", n.State, " ", n.BootMS)] = true
+		recorded[fmt.Sprint(n.Dispatcher, " ", n.Run, " ", n.Worker, " ", n.State, " ", n.BootMS)] = true
 	}
 	for _, run := range runs {
-		for _, c := range b.changes {
-			if !told[key(run.Dispatcher, run.Run, c)] && c.at >= run.ListedAt {
+		for _, c := range l.changes {
+			if !recorded[key(run.Dispatcher, run.Run, c)] && c.at >= run.ListedAt {
 				notices = append(notices, Notification{Dispatcher: run.Dispatcher, Run: run.Run, Worker: c.worker.uid,
 					State: c.state, BootMS: c.bootMS, At: c.at + notifiedAfter})
 			}
@@ -256,21 +263,21 @@
 	return notices
 }
 
-// allChanges returns the first list and all changes of it, by time.
-func (b *endpointList) allChanges() []ListChange {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// allChanges returns the first list and all later changes, by time.
+func (l *endpointList) allChanges() []ListChange {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var all []ListChange
-	for _, c := range b.first {
+	for _, c := range l.first {
 		all = append(all, ListChange{Worker: c.worker.uid, State: c.state})
 	}
-	for _, c := range b.changes {
+	for _, c := range l.changes {
 		all = append(all, ListChange{Worker: c.worker.uid, State: c.state, At: c.at})
 	}
 	return all
 }
 
-// dialable reports whether something listens at an address.
+// dialable reports whether an address accepts a connection.
 func dialable(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err == nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -8,17 +8,17 @@
 	"kitefall/internal/wallstep"
 )
 
-// downTime is how long nothing listens at a worker's address between two processes.
-const downTime = 600 * time.Millisecond
+// addressDownTime is how long nothing listens at a worker's address between its last process and the next one.
+const addressDownTime = 600 * time.Millisecond
 
-// count notes a fault that was injected.
+// count counts an injected fault of a kind.
 func (f *Fleet) count(kind FaultKind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults[string(kind)]++
 }
 
-// Reload has a dispatcher follow the endpoint list at another address (SIGHUP).
+// Reload makes a dispatcher poll the endpoint list at the next address, by a changed configuration and SIGHUP.
 func (f *Fleet) Reload(number int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,15 +26,16 @@
 	if channel.IsClosed(d.exited) {
 		return nil
 	}
-	d.discovery = (d.discovery + 1) % discoveryAddresses
-	known, _ := f.endpoints.known(number)
-	if err := f.writeConfig(number, known); err != nil {
+	d.discoveryIndex = (d.discoveryIndex + 1) % discoveryAddrCount
+	response, _ := f.endpoints.known(number)
+	if err := f.writeConfig(number, response); err != nil {
 		return err
 	}
 	return d.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// terminateDispatcher sends SIGTERM. Clients make new connections for a moment, and use open ones until the end.
+// terminateDispatcher sends SIGTERM to a dispatcher. Clients open new connections for acceptAfterTerm and use the open ones until
+// the process ends.
 func (f *Fleet) terminateDispatcher(number int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +50,8 @@
 	d.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// awaitExit waits for the end of a dispatcher that was told to end, and kills it when its time is over.
+// awaitExit waits until a dispatcher that was sent SIGTERM has ended, and kills it once killDelay has passed since the
+// SIGTERM.
 func (f *Fleet) awaitExit(number int) {
 	f.mu.Lock()
 	d := f.dispatchers[number]
@@ -62,22 +64,24 @@
 	}
 }
 
+// killDispatcher sends SIGKILL to a dispatcher and waits until it has ended.
 func (f *Fleet) killDispatcher(number int) {
 	f.mu.Lock()
 	d := f.dispatchers[number]
 	exited := d.exited
 	if !channel.IsClosed(exited) {
 		d.runs[len(d.runs)-1].Killed = Now()
-		d.acceptUntil = 1 // long past
+		d.acceptUntil = 1 // in the past: clients open no connections
 		d.cmd.Process.Kill()
 	}
 	f.mu.Unlock()
 	<-exited
 }
 
-// RestartDispatcher ends a dispatcher, by SIGTERM or at once, and starts it again with a wall clock that takes the steps.
-func (f *Fleet) RestartDispatcher(number int, planned bool, steps []wallstep.Step) error {
-	if planned {
+// RestartDispatcher ends a dispatcher, by SIGTERM if graceful and else by SIGKILL, and starts it again with a wall clock that
+// takes the steps.
+func (f *Fleet) RestartDispatcher(number int, graceful bool, steps []wallstep.Step) error {
+	if graceful {
 		f.terminateDispatcher(number)
 		f.awaitExit(number)
 	} else {
@@ -89,16 +93,16 @@
 	return f.awaitDispatcher(number)
 }
 
-// RestartDispatcherWithFirstList kills a dispatcher and starts it again with the list of its first start, whatever has changed.
+// RestartDispatcherWithFirstList kills a dispatcher and starts it again with the first endpoint list, without later changes.
 func (f *Fleet) RestartDispatcherWithFirstList(number int) error {
 	f.killDispatcher(number)
-	if err := f.startDispatcherWith(number, nil, f.endpoints.firstKnown(number)); err != nil {
+	if err := f.startDispatcherWithList(number, nil, f.endpoints.firstList(number)); err != nil {
 		return err
 	}
 	return f.awaitDispatcher(number)
 }
 
-// CrashWorker kills a worker and starts it again after a time, cold. The endpoint list tells of its new start.
+// CrashWorker kills a worker and starts it again, cold, after downFor. The endpoint list then announces its new start.
 func (f *Fleet) CrashWorker(number int, downFor time.Duration) error {
 	w := f.workers[number]
 	w.kill()
@@ -110,19 +114,20 @@
 	return nil
 }
 
-// DrainWorker has a worker drain: the list tells, and a little later than the grace it turns away what is new.
+// DrainWorker makes a worker drain: the endpoint list announces it, and the worker rejects new calls once the grace and drainTail
+// have passed.
 func (f *Fleet) DrainWorker(number int) {
 	f.endpoints.add(f.workers[number], stateLeaving, 0)
 	f.workers[number].signal(drainSignal)
 }
 
-// RemoveWorker ends a worker's process for good.
+// RemoveWorker kills a worker's process and announces in the endpoint list that the worker has left.
 func (f *Fleet) RemoveWorker(number int) {
 	f.workers[number].kill()
 	f.endpoints.add(f.workers[number], stateLeft, 0)
 }
 
-// ReturnWorker starts a worker that was removed, cold.
+// ReturnWorker starts a worker that has no process, cold, and announces it in the endpoint list.
 func (f *Fleet) ReturnWorker(number int) error {
 	if err := f.workers[number].start(); err != nil {
 		return err
@@ -131,7 +136,7 @@
 	return nil
 }
 
-// ReplaceWorker drains a worker, starts a spare in its place, and ends the drained one after a time.
+// ReplaceWorker drains a worker, starts a spare at once, and removes the drained worker after drainFor.
 func (f *Fleet) ReplaceWorker(number, spare int, drainFor time.Duration) error {
 	f.DrainWorker(number)
 	if err := f.ReturnWorker(spare); err != nil {
@@ -142,26 +147,26 @@
 	return nil
 }
 
-// CycleWorker drains a worker, ends it after a time, and starts it again, cold.
+// CycleWorker drains a worker, removes it after drainFor, and starts it again, cold, addressDownTime later.
 func (f *Fleet) CycleWorker(number int, drainFor time.Duration) error {
 	f.DrainWorker(number)
 	time.Sleep(drainFor)
 	f.RemoveWorker(number)
-	time.Sleep(downTime)
+	time.Sleep(addressDownTime)
 	return f.ReturnWorker(number)
 }
 
-// SucceedWorker drains a worker, ends it after a time, and starts a spare at its address.
+// SucceedWorker drains a worker, removes it after drainFor, and starts a spare at its address addressDownTime later.
 func (f *Fleet) SucceedWorker(number, spare int, drainFor time.Duration) error {
 	f.DrainWorker(number)
 	time.Sleep(drainFor)
 	f.RemoveWorker(number)
-	time.Sleep(downTime)
+	time.Sleep(addressDownTime)
 	f.workers[spare].takeAddresses(f.workers[number])
 	return f.ReturnWorker(spare)
 }
 
-// HangWorker has a worker run and answer nothing for a time; its connections stay open and silent.
+// HangWorker makes a worker hang for a time: it reads requests but runs and answers none, and its connections stay open.
 func (f *Fleet) HangWorker(number int, length time.Duration) {
 	w := f.workers[number]
 	w.signal(syscall.SIGHUP)
@@ -169,8 +174,8 @@
 	w.signal(syscall.SIGHUP)
 }
 
-// FreezeWorker stops a worker's process for a time. It does not even read then, so that nobody knows when what it reads
-// next has arrived.
+// FreezeWorker stops a worker's process for a time (SIGSTOP). The process reads nothing meanwhile, so the arrival times of the
+// data that it reads afterwards are unknown.
 func (f *Fleet) FreezeWorker(number int, length time.Duration) {
 	w := f.workers[number]
 	begin := Now()
@@ -184,7 +189,7 @@
 	}
 }
 
-// FlushWorkers unloads all functions of all workers, as when all are released anew.
+// FlushWorkers unloads all functions at all workers, as a new release of every function does.
 func (f *Fleet) FlushWorkers() {
 	for _, w := range f.workers {
 		w.signal(syscall.SIGUSR1)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -16,50 +16,51 @@
 const (
 	dispatcherPort     = 4100
 	discoveryPort      = 2379
-	discoveryAddresses = 8 // a reload moves a dispatcher to the next one
+	discoveryAddrCount = 8 // for each dispatcher; a reload moves it to the next one
 	readyTimeout       = 15 * time.Second
-	// acceptAfterTerm is how long clients make new connections after SIGTERM. They use those that are open until the end.
+	// acceptAfterTerm is how long clients open new connections to a dispatcher after its SIGTERM.
 	acceptAfterTerm = 400 * time.Millisecond
 )
 
-// Fleet is the processes of a run.
+// Fleet holds the processes of a run, its clients and its endpoint list.
 type Fleet struct {
 	config    Config
-	net       int // the second number of all addresses
+	net       int // second octet of all addresses of the fleet, in 127.0.0.0/8
 	endpoints *endpointList
 
-	mu          sync.Mutex
-	dispatchers []*dispatcherHandle
-	workers     []*workerHandle
-	clients     []*client
-	faults      map[string]int
-	freezes     []Freeze
-	evacuations []Evacuation
-	outages     []Outage
-	discovery   map[int][]func() // stop the servers of the endpoint list, by dispatcher
+	mu                   sync.Mutex
+	dispatchers          []*dispatcherHandle
+	workers              []*workerHandle
+	clients              []*client
+	faults               map[string]int // injected faults, by kind
+	freezes              []Freeze
+	evacuations          []Evacuation
+	outages              []Outage
+	stopDiscoveryServers map[int][]func() // functions that stop the endpoint list's servers, by dispatcher
 
 	stopClients chan struct{}
-	background  sync.WaitGroup
+	clientTasks sync.WaitGroup // the clients, and their requests on new connections
 }
 
-// fleetCount numbers the fleets of this process: each has addresses of its own.
-var fleetCount atomic.Int64
+// fleetsStarted counts the fleets that this process has started, so that each gets addresses of its own.
+var fleetsStarted atomic.Int64
 
+// Range of the second octet of a fleet's addresses.
 const (
-	firstNet = 60
-	netCount = 150
+	minSecondOctet   = 60
+	secondOctetCount = 150
 )
 
-// Start starts the processes of a fleet and waits until the dispatchers are ready. The caller must call Close, unless Start
-// fails.
+// Start starts the processes of a fleet and waits until the dispatchers are ready. Unless Start returns an error, the caller must
+// call Close.
 func Start(config Config) (*Fleet, error) {
 	config.applyDefaults()
 	f := &Fleet{
-		config:      config,
-		net:         firstNet + (os.Getpid()+int(fleetCount.Add(1))*37)%netCount,
-		faults:      map[string]int{},
-		discovery:   map[int][]func(){},
-		stopClients: make(chan struct{}),
+		config:               config,
+		net:                  minSecondOctet + (os.Getpid()+int(fleetsStarted.Add(1))*37)%secondOctetCount,
+		faults:               map[string]int{},
+		stopDiscoveryServers: map[int][]func(){},
+		stopClients:          make(chan struct{}),
 	}
 	f.endpoints = newEndpointList(f)
 	for i := range config.Workers + config.Spares {
@@ -75,7 +76,7 @@
 	return f, nil
 }
 
-// startWorkers starts the workers of the first list.
+// startWorkers starts the first workers and puts them on the first endpoint list.
 func (f *Fleet) startWorkers() error {
 	for i := range f.config.Workers {
 		if err := f.workers[i].start(); err != nil {
@@ -88,31 +89,31 @@
 	return nil
 }
 
-// serveDiscovery has the endpoint list answer the dispatchers at all their addresses.
+// serveDiscovery starts the servers of the endpoint list for dispatchers, at all discovery addresses of each.
 func (f *Fleet) serveDiscovery(dispatchers []int) error {
 	for _, dispatcher := range dispatchers {
-		for address := range discoveryAddresses {
+		for address := range discoveryAddrCount {
 			stop, err := f.endpoints.serve(dispatcher, f.discoveryAddr(dispatcher, address))
 			if err != nil {
 				return err
 			}
 			f.mu.Lock()
-			f.discovery[dispatcher] = append(f.discovery[dispatcher], stop)
+			f.stopDiscoveryServers[dispatcher] = append(f.stopDiscoveryServers[dispatcher], stop)
 			f.mu.Unlock()
 		}
 	}
 	return nil
 }
 
-// stopDiscovery has nothing listen at the dispatchers' addresses of the endpoint list.
+// stopDiscovery stops the servers of the endpoint list for dispatchers, so that nothing listens at their discovery addresses.
 func (f *Fleet) stopDiscovery(dispatchers []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, dispatcher := range dispatchers {
-		for _, stop := range f.discovery[dispatcher] {
+		for _, stop := range f.stopDiscoveryServers[dispatcher] {
 			stop()
 		}
-		f.discovery[dispatcher] = nil
+		f.stopDiscoveryServers[dispatcher] = nil
 	}
 }
 
@@ -139,7 +140,7 @@
 	return fmt.Sprintf("127.%d.0.%d:%d", f.net, dispatcher+1, dispatcherPort)
 }
 
-// adminAddr returns the address for the operators of a dispatcher.
+// adminAddr returns the address at which a dispatcher answers operators.
 func (f *Fleet) adminAddr(dispatcher int) string {
 	return fmt.Sprintf("127.%d.2.%d:%d", f.net, dispatcher+1, dispatcherPort)
 }
@@ -148,30 +149,30 @@
 	return fmt.Sprintf("127.%d.1.%d:%d", f.net, dispatcher+1, discoveryPort+address)
 }
 
-// StartClients starts a client of each dispatcher.
+// StartClients starts one client for each dispatcher.
 func (f *Fleet) StartClients(load Load) {
 	for i := range f.dispatchers {
 		c := &client{fleet: f, dispatcher: i, load: load, random: rand.New(rand.NewPCG(f.config.Seed, uint64(i+1)))}
 		f.mu.Lock()
 		f.clients = append(f.clients, c)
 		f.mu.Unlock()
-		f.background.Go(func() { c.run(f.stopClients) })
+		f.clientTasks.Go(func() { c.run(f.stopClients) })
 	}
 }
 
-// SetLoad changes what clients send from now on.
+// SetLoad sets the load of all clients from now on.
 func (f *Fleet) SetLoad(load Load) {
 	for _, c := range f.clients {
 		c.setLoad(load)
 	}
 }
 
-// Finish stops the clients, waits until what they have sent can be answered, ends all processes and returns what was
-// recorded.
+// Finish stops the clients, waits until the sent requests are answered or count as lost, ends all processes, and returns the
+// recorded history.
 func (f *Fleet) Finish() (*History, error) {
 	close(f.stopClients)
-	f.background.Wait()
-	time.Sleep(f.config.Deadline + answerSlack) // the longest wait of a client, and the time until a request counts as lost
+	f.clientTasks.Wait()
+	time.Sleep(f.config.Deadline + answerSlack) // a client's longest wait, and the further time after which an answer counts as lost
 	for i := range f.dispatchers {
 		f.terminateDispatcher(i)
 	}
@@ -179,7 +180,7 @@
 		f.awaitExit(i)
 	}
 	f.Close()
-	return f.history()
+	return f.collectHistory()
 }
 
 // Close ends all processes. It may be called more than once.
@@ -202,8 +203,8 @@
 	f.stopDiscovery(f.allDispatchers())
 }
 
-// history gathers what was recorded.
-func (f *Fleet) history() (*History, error) {
+// collectHistory returns the records of the workers, the clients, the dispatchers and the endpoint list.
+func (f *Fleet) collectHistory() (*History, error) {
 	h := &History{Rules: f.config.Rules, KillDelay: f.config.killDelay(), Limits: f.config.Limits, Faults: f.faults,
 		Freezes: f.freezes, Evacuations: f.evacuations, Outages: f.outages}
 	for _, w := range f.workers {
@@ -214,7 +215,7 @@
 		h.Workers = append(h.Workers, events...)
 	}
 	for _, c := range f.clients {
-		h.Requests = append(h.Requests, c.recorded()...)
+		h.Requests = append(h.Requests, c.awaitRequests()...)
 	}
 	for _, d := range f.dispatchers {
 		h.Dispatchers = append(h.Dispatchers, d.runs...)
--- a/internal/soak/measure.go
+++ b/internal/soak/measure.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// measureInterval is the time between two looks at what a process uses.
-const measureInterval = 20 * time.Millisecond
+// sampleInterval is the time between two samples of a process's descriptors and memory.
+const sampleInterval = 20 * time.Millisecond
 
-// shortageText is in a line of the log that tells of a want of descriptors.
-const shortageText = "too many open files"
+// descriptorShortageText is part of each log line that reports a lack of file descriptors.
+const descriptorShortageText = "too many open files"
 
-// stoppedText is in a line of the log that tells of a choice which the check at run time has stopped.
-const stoppedText = "would have broken a rule"
+// stoppedChoiceText is part of each log line that reports a choice which the dispatcher's own check has stopped.
+const stoppedChoiceText = "would have broken a rule"
 
-// measure notes the most descriptors and memory that a process of a dispatcher uses, until it has ended.
-func (f *Fleet) measure(d *dispatcherHandle, pid, run int, exited <-chan struct{}) {
-	for !waitOr(exited, measureInterval) {
+// sampleUsage records the maximum of the descriptors and of the memory that a dispatcher's process uses, until it has ended.
+func (f *Fleet) sampleUsage(d *dispatcherHandle, pid, run int, exited <-chan struct{}) {
+	for !waitOrDone(exited, sampleInterval) {
 		descriptors, memoryMB := countDescriptors(pid), peakMemoryMB(pid)
 		f.mu.Lock()
 		r := &d.runs[run]
@@ -30,7 +30,7 @@
 	}
 }
 
-// countDescriptors returns how many descriptors a process has open; 0 if it has ended.
+// countDescriptors returns how many file descriptors a process has open; 0 if the process has ended.
 func countDescriptors(pid int) int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -39,7 +39,7 @@
 	return len(entries)
 }
 
-// peakMemoryMB returns the largest resident set of a process so far; 0 if it has ended.
+// peakMemoryMB returns the largest resident set size of a process so far, in MB; 0 if the process has ended.
 func peakMemoryMB(pid int) int {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -54,8 +54,8 @@
 	return 0
 }
 
-// linesWith counts how often a log has a text.
-func linesWith(path, text string) int {
+// countOccurrences returns how often a text occurs in a file; 0 if the file cannot be read.
+func countOccurrences(path, text string) int {
 	log, err := os.ReadFile(path)
 	if err != nil {
 		return 0
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The operators' calls (source: operation page).
+// Paths of the operators' calls (source: operation page).
 const (
 	pathReady    = "/api/ready"
 	pathEvacuate = "/api/evacuate"
@@ -15,17 +15,17 @@
 
 // Times of an evacuation (source: operation page).
 const (
-	operatorTimeout   = time.Second            // every call is answered within this
-	readyAskInterval  = 100 * time.Millisecond // between two questions whether a dispatcher is ready
-	acceptAfterNo     = 200 * time.Millisecond // new connections still come for so long after the first no
-	evacuateWithin    = 4 * time.Second        // after this no client is held
-	recentRequest     = 2 * time.Second        // a connection with a request of this time must not be held
-	rejoinWithin      = 2 * time.Second        // after the call to rejoin the dispatcher is ready
-	evacuateTimeSlack = timeSlack + schedulingSlack
+	operatorTimeout     = time.Second            // each operators' call must be answered within this
+	readyAskInterval    = 100 * time.Millisecond // time between two CHECK requests for readiness
+	acceptAfterNo       = 200 * time.Millisecond // clients still open connections for this long after the first "not ready"
+	evacuationTimeLimit = 4 * time.Second        // from the evacuate call until idle and recently used connections must be closed
+	recentRequestWindow = 2 * time.Second        // a connection counts as recently used this long after its last request
+	rejoinTimeLimit     = 2 * time.Second        // from the rejoin call until the dispatcher is ready
+	evacuationTimeSlack = timeSlack + schedulingSlack
 )
 
-// callOperators makes an operators' call, with a connection of its own, and reports whether the answer was a yes.
-func (f *Fleet) callOperators(number int, method, path string) (yes bool, err error) {
+// callOperators makes an operators' call on a connection of its own and reports whether the status was a success (2xx).
+func (f *Fleet) callOperators(number int, method, path string) (ok bool, err error) {
 	client := &http.Client{Timeout: operatorTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	request, err := http.NewRequest(method, "http://"+f.adminAddr(number)+path, nil)
 	if err != nil {
@@ -39,21 +39,21 @@
 	return response.StatusCode >= 200 && response.StatusCode < 300, nil
 }
 
-// evacuation is one call to send the clients of a dispatcher away, while it is watched.
-type evacuation struct {
+// evacuationCheck carries out one evacuation of a dispatcher and records the problems that it finds.
+type evacuationCheck struct {
 	fleet  *Fleet
 	number int
 	record Evacuation
 }
 
-// EvacuateDispatcher has a dispatcher send its clients away, looks after the time for it whether it has, and has it take
-// clients again after another while.
+// EvacuateDispatcher makes a dispatcher send its clients away, checks after evacuationTimeLimit that it has done so, and makes it
+// take clients again after length.
 func (f *Fleet) EvacuateDispatcher(number int, length time.Duration) {
-	e := &evacuation{fleet: f, number: number, record: Evacuation{Dispatcher: number, Run: f.currentRun(number), Called: Now()}}
-	e.call(pathEvacuate)
-	e.awaitNo()
-	time.Sleep(e.record.Called + evacuateWithin + evacuateTimeSlack - Now())
-	e.checkEmpty()
+	e := &evacuationCheck{fleet: f, number: number, record: Evacuation{Dispatcher: number, Run: f.currentRun(number), Called: Now()}}
+	e.callAPI(pathEvacuate)
+	e.awaitNotReady()
+	time.Sleep(e.record.Called + evacuationTimeLimit + evacuationTimeSlack - Now())
+	e.checkClientsGone()
 	time.Sleep(length)
 	e.rejoin()
 	f.mu.Lock()
@@ -61,62 +61,62 @@
 	f.evacuations = append(f.evacuations, e.record)
 }
 
-func (e *evacuation) note(format string, arguments ...any) {
+func (e *evacuationCheck) addProblem(format string, arguments ...any) {
 	e.record.Problems = append(e.record.Problems, fmt.Sprintf(format, arguments...))
 }
 
-// call makes an operators' call that has to be answered with yes.
-func (e *evacuation) call(path string) {
-	if yes, err := e.fleet.callOperators(e.number, http.MethodPut, path); !yes || err != nil {
-		e.note("call %s: yes is %t, error %v", path, yes, err)
+// callAPI makes an operators' call that must succeed.
+func (e *evacuationCheck) callAPI(path string) {
+	if ok, err := e.fleet.callOperators(e.number, http.MethodPut, path); !ok || err != nil {
+		e.addProblem("call %s: success %t, error %v", path, ok, err)
 	}
 }
 
-// awaitNo asks whether the dispatcher is ready until it says no. Clients make no new connections a little later.
-func (e *evacuation) awaitNo() {
+// awaitNotReady waits until the dispatcher answers that it is not ready. Clients stop opening connections acceptAfterNo later.
+func (e *evacuationCheck) awaitNotReady() {
 	addr := e.fleet.dispatcherAddr(e.number)
-	for Now() < e.record.Called+evacuateWithin {
+	for Now() < e.record.Called+evacuationTimeLimit {
 		if !askReady(addr) {
 			e.fleet.setAcceptUntil(e.number, Now()+acceptAfterNo)
 			return
 		}
 		time.Sleep(readyAskInterval)
 	}
-	e.note("it still says that it takes work")
+	e.addProblem("the dispatcher still answers CHECK that it is ready")
 }
 
-// checkEmpty looks whether the dispatcher still says that it is ready, or holds clients that it should not.
-func (e *evacuation) checkEmpty() {
-	if yes, err := e.fleet.callOperators(e.number, http.MethodGet, pathReady); yes || err != nil {
-		e.note("call %s: yes is %t, error %v", pathReady, yes, err)
+// checkClientsGone records a problem if the dispatcher still answers that it is ready, and one for each wrongly held connection.
+func (e *evacuationCheck) checkClientsGone() {
+	if ok, err := e.fleet.callOperators(e.number, http.MethodGet, pathReady); ok || err != nil {
+		e.addProblem("call %s: success %t, want false, error %v", pathReady, ok, err)
 	}
 	for _, c := range e.fleet.clientsOf(e.number) {
-		for _, problem := range c.heldConns() {
-			e.note("%s", problem)
+		for _, problem := range c.wronglyHeldConns() {
+			e.addProblem("%s", problem)
 		}
 	}
 }
 
-// rejoin has the dispatcher take clients again.
-func (e *evacuation) rejoin() {
-	e.call(pathRejoin)
-	for begin := Now(); Now() < begin+rejoinWithin+evacuateTimeSlack; time.Sleep(readyAskInterval) {
+// rejoin makes the dispatcher take clients again and waits until it is ready.
+func (e *evacuationCheck) rejoin() {
+	e.callAPI(pathRejoin)
+	for begin := Now(); Now() < begin+rejoinTimeLimit+evacuationTimeSlack; time.Sleep(readyAskInterval) {
 		if askReady(e.fleet.dispatcherAddr(e.number)) {
 			e.fleet.setAcceptUntil(e.number, 0)
 			return
 		}
 	}
-	e.note("it does not take clients again")
+	e.addProblem("the dispatcher is not ready in time after the call to rejoin")
 }
 
-// setAcceptUntil sets until when clients make new connections to a dispatcher; 0: for ever.
+// setAcceptUntil sets until when clients open new connections to a dispatcher; 0: without an end.
 func (f *Fleet) setAcceptUntil(number int, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.dispatchers[number].acceptUntil = until
 }
 
-// clientsOf returns the clients of a dispatcher.
+// clientsOf returns the clients that send to a dispatcher.
 func (f *Fleet) clientsOf(number int) []*client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,8 +129,9 @@
 	return clients
 }
 
-// heldConns returns in words the open connections that are idle, or had a request lately.
-func (c *client) heldConns() []string {
+// wronglyHeldConns describes the connections that an evacuated dispatcher should have closed: those that are idle, and those whose
+// last request was sent within recentRequestWindow.
+func (c *client) wronglyHeldConns() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var held []string
@@ -138,10 +139,10 @@
 		if conn == nil || conn.closed {
 			continue
 		}
-		unused := Now() - conn.lastSent
-		if len(conn.open) == 0 || unused < recentRequest {
-			held = append(held, fmt.Sprintf("connection %d is held with %d requests open, the last sent %.3f s ago", i,
-				len(conn.open), unused.Seconds()))
+		sinceLastRequest := Now() - conn.lastSent
+		if len(conn.pending) == 0 || sinceLastRequest < recentRequestWindow {
+			held = append(held, fmt.Sprintf("connection %d is still open with %d pending requests, the last request sent %.3f s ago", i,
+				len(conn.pending), sinceLastRequest.Seconds()))
 		}
 	}
 	return held
--- a/internal/soak/operators_test.go
+++ b/internal/soak/operators_test.go
@@ -12,13 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// operatorsLengthEnv sets for how long TestOperatorsUnderLoad asks, as a duration.
+// operatorsLengthEnv sets how long TestOperatorsUnderLoad makes operators' calls, as a duration.
 const operatorsLengthEnv = "KITEFALL_OPERATORS_LENGTH"
 
-// silentCallers is how many callers of the operators' address send nothing and stay.
-const silentCallers = 200
+// silentConnCount is how many connections to the operators' address stay open and send nothing.
+const silentConnCount = 200
 
-// Operators are answered within a second under full load, while many callers send nothing and stay.
+// Guards against operators' calls that take a second or more under full load while many connections to their address stay open and
+// send nothing.
 func TestOperatorsUnderLoad(t *testing.T) {
 	length := 3 * time.Second
 	if text := os.Getenv(operatorsLengthEnv); text != "" {
@@ -33,41 +34,42 @@
 	f.StartClients(Load{Rate: 800, Functions: 40, MinWait: time.Second, MaxWait: 2 * time.Second, FreshShare: 0.2})
 	stop := make(chan struct{})
 	done := make(chan struct{})
-	go func() { // ended by stop
+	go func() { // ends when stop is closed
 		defer close(done)
-		holdOperators(f.adminAddr(0), stop)
+		holdSilentConns(f.adminAddr(0), stop)
 	}()
-	var worst time.Duration
-	asked := 0
+	var slowest time.Duration
+	calls := 0
 	for begin := Now(); Now()-begin < length; time.Sleep(50 * time.Millisecond) {
-		asking := Now()
-		yes, err := f.callOperators(0, http.MethodGet, pathReady)
+		callStart := Now()
+		ok, err := f.callOperators(0, http.MethodGet, pathReady)
 		assert.NoError(t, err)
-		assert.True(t, yes)
-		worst = max(worst, Now()-asking)
-		asked++
+		assert.True(t, ok)
+		slowest = max(slowest, Now()-callStart)
+		calls++
 	}
 	close(stop)
 	<-done
-	assert.Less(t, worst, operatorTimeout)
+	assert.Less(t, slowest, operatorTimeout)
 	history, err := f.Finish()
 	require.NoError(t, err)
-	t.Log(fmt.Sprintf("%d calls, worst %s;", asked, worst), Counts(history), history.Dispatchers)
+	t.Log(fmt.Sprintf("%d calls, slowest %s;", calls, slowest), Counts(history), history.Dispatchers)
 	assert.Empty(t, Check(history))
 }
 
-// holdOperators keeps silent callers connected, and makes new ones in the place of those that are closed.
-func holdOperators(addr string, stop <-chan struct{}) {
-	callers := make([]net.Conn, silentCallers)
-	for i := 0; !waitOr(stop, time.Millisecond); i = (i + 1) % silentCallers {
-		if callers[i] != nil {
-			callers[i].Close()
+// holdSilentConns keeps connections open that send nothing. It replaces them one after the other, every millisecond, until stop is
+// closed.
+func holdSilentConns(addr string, stop <-chan struct{}) {
+	conns := make([]net.Conn, silentConnCount)
+	for i := 0; !waitOrDone(stop, time.Millisecond); i = (i + 1) % silentConnCount {
+		if conns[i] != nil {
+			conns[i].Close()
 		}
-		callers[i], _ = net.DialTimeout("tcp", addr, dialTimeout)
+		conns[i], _ = net.DialTimeout("tcp", addr, dialTimeout)
 	}
-	for _, caller := range callers {
-		if caller != nil {
-			caller.Close()
+	for _, conn := range conns {
+		if conn != nil {
+			conn.Close()
 		}
 	}
 }
--- a/internal/soak/outage.go
+++ b/internal/soak/outage.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// OutageKind says how discovery cannot be reached, or tells nothing true.
+// OutageKind names a way in which discovery is out of reach or gives no current events.
 type OutageKind string
 
 // The kinds of outages.
 const (
-	OutageRefused OutageKind = "refused" // nothing listens
+	OutageRefused OutageKind = "refused" // nothing listens at the discovery addresses
 	OutageSilent  OutageKind = "silent"  // polls are accepted and never answered
-	OutageEmpty   OutageKind = "empty"   // polls are answered with nothing new
-	OutageCutOff  OutageKind = "cut-off" // answers end in the middle
-	OutageError   OutageKind = "error"   // status 503
-	OutageOldList OutageKind = "old"     // the whole list of the first revision, under that revision
+	OutageEmpty   OutageKind = "empty"   // polls are answered without events, after the linger time
+	OutageCutOff  OutageKind = "cut-off" // answers end before their declared length
+	OutageError   OutageKind = "error"   // polls are answered with status 503
+	OutageOldList OutageKind = "old"     // polls are answered with the whole list of revision 1
 )
 
-// outageKinds are all kinds.
+// outageKinds holds all kinds.
 var outageKinds = []OutageKind{OutageRefused, OutageSilent, OutageEmpty, OutageCutOff, OutageError, OutageOldList}
 
-// Outage is a time in which discovery told a dispatcher nothing.
+// Outage is a period in which discovery gave a dispatcher no current events.
 type Outage struct {
 	Dispatcher int
 	Kind       OutageKind
@@ -31,23 +31,23 @@
 	End        time.Duration
 }
 
-// BreakDiscovery has discovery tell the dispatchers nothing for a time, and returns after it. Dispatchers whose discovery is
-// broken already stay as they are.
+// BreakDiscovery causes an outage of discovery for dispatchers and returns when it has ended. It has no effect on dispatchers that
+// already have an outage.
 func (f *Fleet) BreakDiscovery(kind OutageKind, dispatchers []int, length time.Duration) error {
 	begin := Now()
-	broken := f.endpoints.begin(kind, dispatchers)
+	affected := f.endpoints.beginOutage(kind, dispatchers)
 	if kind == OutageRefused {
-		f.stopDiscovery(broken)
+		f.stopDiscovery(affected)
 	}
 	time.Sleep(length)
 	var err error
 	if kind == OutageRefused {
-		err = f.serveDiscovery(broken)
+		err = f.serveDiscovery(affected)
 	}
-	f.endpoints.end(broken)
+	f.endpoints.endOutage(affected)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, dispatcher := range broken {
+	for _, dispatcher := range affected {
 		f.outages = append(f.outages, Outage{Dispatcher: dispatcher, Kind: kind, Begin: begin, End: Now()})
 	}
 	return err
@@ -62,50 +62,51 @@
 	return numbers
 }
 
-// begin notes that outages begin, and returns the dispatchers that had none.
-func (b *endpointList) begin(kind OutageKind, dispatchers []int) (broken []int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// beginOutage begins an outage for the dispatchers that have none, and returns them.
+func (l *endpointList) beginOutage(kind OutageKind, dispatchers []int) (affected []int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, dispatcher := range dispatchers {
-		if b.outages[dispatcher] == "" {
-			b.outages[dispatcher] = kind
-			broken = append(broken, dispatcher)
+		if l.outages[dispatcher] == "" {
+			l.outages[dispatcher] = kind
+			affected = append(affected, dispatcher)
 		}
 	}
-	b.wakeLocked()
-	return broken
+	l.wakePollsLocked()
+	return affected
 }
 
-// end notes that outages have ended.
-func (b *endpointList) end(dispatchers []int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// endOutage ends the outages of dispatchers.
+func (l *endpointList) endOutage(dispatchers []int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, dispatcher := range dispatchers {
-		delete(b.outages, dispatcher)
+		delete(l.outages, dispatcher)
 	}
-	b.wakeLocked()
+	l.wakePollsLocked()
 }
 
-// wakeLocked has all polls that wait look again.
-func (b *endpointList) wakeLocked() {
-	close(b.changed)
-	b.changed = make(chan struct{})
+// wakePollsLocked makes all waiting polls check the list and the outages again.
+func (l *endpointList) wakePollsLocked() {
+	close(l.updated)
+	l.updated = make(chan struct{})
 }
 
-// answerBroken answers a poll during an outage, after the time that the dispatcher lets it wait.
-func (b *endpointList) answerBroken(w http.ResponseWriter, kind OutageKind, dispatcher, watched int) {
+// respondDuringOutage answers a poll as the kind of outage requires. A poll that waits while OutageRefused begins may get an empty
+// body.
+func (l *endpointList) respondDuringOutage(w http.ResponseWriter, kind OutageKind, dispatcher, knownRevision int) {
 	switch kind {
 	case OutageEmpty:
-		json.NewEncoder(w).Encode(listAnswer{Revision: watched, Notifications: []listEvent{}})
+		json.NewEncoder(w).Encode(pollResponse{Revision: knownRevision, Notifications: []listEvent{}})
 	case OutageCutOff:
 		w.Header().Set("Content-Length", strconv.Itoa(1<<10))
 		w.Write([]byte(`{"rev":`))
 	case OutageError:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case OutageOldList:
-		b.mu.Lock()
-		first := b.eventLocked(dispatcher, 1)
-		b.mu.Unlock()
-		json.NewEncoder(w).Encode(listAnswer{Revision: 1, Notifications: []listEvent{first}})
+		l.mu.Lock()
+		first := l.eventLocked(dispatcher, 1)
+		l.mu.Unlock()
+		json.NewEncoder(w).Encode(pollResponse{Revision: 1, Notifications: []listEvent{first}})
 	}
 }
--- a/internal/soak/outagerun_test.go
+++ b/internal/soak/outagerun_test.go
@@ -9,39 +9,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The course of an outage of discovery in which workers drain.
+// Times of an outage of discovery in which workers drain.
 const (
-	outageAfter  = 2 * time.Second        // since the start of the load
-	drainAfter   = 500 * time.Millisecond // since the start of the outage
+	outageAfter  = 2 * time.Second        // from the start of the load until the first outage
+	drainAfter   = 500 * time.Millisecond // from the start of the outage until workers drain
 	outageLength = 12 * time.Second
-	outageGrace  = 500 * time.Millisecond
-	returnWithin = 2 * time.Second // after the list's return a worker that is back is used again
-	// quietFrom and quietUntil bound the time without a request, since the start of the outage, in a run with quiet clients: no
-	// rejection can tell of a drain before it counts as told.
+	outageGrace  = 500 * time.Millisecond // drain grace
+	returnWithin = 2 * time.Second        // from the end of the outage until a worker that is back must be used again
+	// quietFrom and quietUntil bound the time without requests, from the start of the outage, in a run with quiet clients. No worker
+	// can reveal its drain by a rejection before the drain counts as told.
 	quietFrom  = 200 * time.Millisecond
 	quietUntil = drainAfter + notifiedAfter + outageGrace + 300*time.Millisecond
 )
 
-// outageRun is a run with an outage of discovery.
+// outageRun describes a run with outages of discovery.
 type outageRun struct {
 	dispatchers int
-	workers     int // processes
-	members     int // workers of each process; 0: one
-	functions   int // that are called; 0: a dozen
+	workers     int // worker processes
+	members     int // workers in each process; 0: one
+	functions   int // number of functions called; 0: 12
 	limits      Limits
-	draining    int
-	rate        float64 // requests a second of each dispatcher
-	warmUp      float64 // the same before the outage; 0: rate
+	draining    int     // worker processes that drain in each outage
+	rate        float64 // requests per second to each dispatcher
+	warmUp      float64 // requests per second to each dispatcher before the first outage; 0: rate
 	kind        OutageKind
-	length      time.Duration // of an outage; 0: outageLength
-	quiet       bool
-	outages     int // one after the other; 0: one
-	restarts    int // dispatchers that are restarted in each of them, every other one without a warning
-	// oldListAfter is when the dispatchers are restarted with the list of their first start, since the outage's begin. 0: never.
+	length      time.Duration // of each outage; 0: outageLength
+	quiet       bool          // clients send nothing from quietFrom to quietUntil
+	outages     int           // number of outages, one after the other; 0: one
+	restarts    int           // dispatchers restarted in each outage, alternately by SIGTERM and SIGKILL
+	// oldListAfter is the time from the start of an outage until all dispatchers are restarted with the first list; 0: never.
 	oldListAfter time.Duration
 }
 
-// play plays the run and returns what was recorded, and when the last outage began and ended.
+// play carries out the run and returns its history and when the last outage began and ended.
 func (r outageRun) play(t *testing.T) (h *History, begin, end time.Duration) {
 	t.Helper()
 	rules := DefaultRules()
@@ -71,7 +71,7 @@
 	return h, begin, end
 }
 
-// playOutage plays one of the outages, in which the next workers drain, and returns when it began and ended.
+// playOutage carries out one outage and returns when it began and ended. Successive outages drain successive workers.
 func (r outageRun) playOutage(t *testing.T, f *Fleet, load Load, number int) (begin, end time.Duration) {
 	t.Helper()
 	begin = Now()
@@ -108,12 +108,12 @@
 		f.RemoveWorker(worker)
 		require.NoError(t, f.ReturnWorker(worker))
 	}
-	assert.True(t, askReady(f.dispatcherAddr(0)), "all dispatchers miss discovery at once: none stands aside for it")
+	assert.True(t, askReady(f.dispatcherAddr(0)), "a dispatcher stays ready while all dispatchers have lost discovery")
 	require.NoError(t, <-ended)
 	return begin, Now()
 }
 
-// servedShare returns the share of the requests of a time that were served.
+// servedShare returns the share of the requests sent from begin to end that were served.
 func (h *History) servedShare(begin, end time.Duration) float64 {
 	served, sent := 0, 0
 	for _, r := range h.Requests {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -22,85 +22,85 @@
 	FaultReplaceWorker FaultKind = "replace-worker"
 	FaultHangWorker    FaultKind = "hang-worker"
 	FaultFreezeWorker  FaultKind = "freeze-worker"
-	FaultFlush         FaultKind = "flush"
-	FaultReset         FaultKind = "reset"
-	FaultOutage        FaultKind = "outage"        // discovery tells some dispatchers nothing
-	FaultDrainWorker   FaultKind = "drain-worker"  // a worker drains, is gone, and returns cold
-	FaultReuseAddress  FaultKind = "reuse-address" // a worker drains, is gone, and another one listens at its address
+	FaultFlush         FaultKind = "flush"         // all workers unload all functions
+	FaultReset         FaultKind = "reset"         // all connections to a worker are reset
+	FaultOutage        FaultKind = "outage"        // some dispatchers have an outage of discovery
+	FaultDrainWorker   FaultKind = "drain-worker"  // a worker drains, ends, and starts again cold
+	FaultReuseAddress  FaultKind = "reuse-address" // a worker drains and ends, and another one starts at its address
 	FaultQuiet         FaultKind = "quiet"         // clients send nothing
-	FaultNewFunctions  FaultKind = "new-functions"
-	FaultBurst         FaultKind = "burst"
-	FaultEvacuate      FaultKind = "evacuate" // operators send the clients away, and have them taken again
-	FaultSeries        FaultKind = "series"   // signals and operators' calls close together, which end with SIGTERM
-	FaultCrowd         FaultKind = "crowd"    // connections that never finish a request
+	FaultNewFunctions  FaultKind = "new-functions" // clients call another range of functions
+	FaultBurst         FaultKind = "burst"         // clients send burstFactor times as much
+	FaultEvacuate      FaultKind = "evacuate"      // operators make a dispatcher send its clients away and take them again
+	FaultSeries        FaultKind = "series"        // signals and operators' calls in quick succession, with SIGTERM as the last
+	FaultCrowd         FaultKind = "crowd"         // connections that never complete a request
 )
 
 // Fault is one fault of a plan.
 type Fault struct {
-	At     time.Duration // since the start of the load
+	At     time.Duration // from the start of the load
 	Kind   FaultKind
-	Target int             // the dispatcher or worker
-	Share  float64         // of the dispatchers that a FaultOutage hits
-	Length time.Duration   // how long it lasts
-	Series []Step          // of a FaultSeries
-	Outage OutageKind      // of a FaultOutage
-	Steps  []wallstep.Step // of the wall clock of a restarted dispatcher
+	Target int             // number of the dispatcher or worker
+	Share  float64         // share of the dispatchers that a FaultOutage affects
+	Length time.Duration   // how long the fault lasts
+	Series []Step          // steps of a FaultSeries
+	Outage OutageKind      // kind of a FaultOutage
+	Steps  []wallstep.Step // steps of the wall clock of a restarted dispatcher
 }
 
 func (f Fault) String() string {
 	return fmt.Sprintf("%.1f %s %d %s", f.At.Seconds(), f.Kind, f.Target, f.Length)
 }
 
-// Plan is the faults of a run, by time.
+// Plan holds the fleet, the load and the faults of a run.
 type Plan struct {
 	Seed        uint64
 	Dispatchers int
-	Workers     int // processes
-	Members     int // workers that each of them stands for
+	Workers     int // worker processes
+	Members     int // workers in each process
 	Limits      Limits
 	Deadline    time.Duration
-	Grace       time.Duration // that a worker takes calls for once it drains
-	WarmAfter   time.Duration
-	Length      time.Duration
+	Grace       time.Duration // drain grace, see Rules
+	WarmAfter   time.Duration // from a worker's start until it is warm
+	Length      time.Duration // from the start of the load until the end of the plan
 	Load        Load
-	Steps       [][]wallstep.Step // of the dispatchers' wall clocks
-	Faults      []Fault
+	Steps       [][]wallstep.Step // steps of the dispatchers' wall clocks
+	Faults      []Fault           // by time
 }
 
-// The sizes of a random fleet, and its load.
+// Sizes of a random fleet, and its load.
 const (
 	minDispatchers = 3
 	maxDispatchers = 12
 	minWorkers     = 7
 	maxWorkers     = 20
 	maxSpares      = 4
-	loadOfCapacity = 0.5   // requests, as a part of what the workers can do
-	maxTotalRate   = 400.0 // ... and so many a second at most, over all dispatchers
-	largeRate      = 40.0  // requests a second of a dispatcher in a large fleet
-	burstFactor    = 3
-	// replacementDrain is how long a worker that is replaced drains.
+	capacityShare  = 0.5   // request rate as a share of the workers' capacity
+	maxTotalRate   = 400.0 // upper bound of the request rate, per second over all dispatchers
+	largeFleetRate = 40.0  // requests per second to each dispatcher in a large fleet
+	burstFactor    = 3     // load during a FaultBurst, as a multiple of the plan's load
+	// replacementDrain is how long a worker drains in a FaultReplaceWorker.
 	replacementDrain = 2 * time.Second
 )
 
-// Two of five seeds have a large fleet: few dispatchers with tight limits, and thousands of workers.
+// Two of five seeds have a large fleet: few dispatchers with tight limits, and hundreds or thousands of workers.
 const (
 	largeSeedPeriod = 5
 	largeSeeds      = 2
 )
 
-// One of three seeds has an outage of discovery that is longer than its news counts as told.
+// One of three seeds has a long outage of discovery, one that lasts longer than notifiedAfter.
 const (
-	longSeedPeriod  = 3
-	afterLongOutage = 3 * time.Second // the plan goes on for so long after it
+	longSeedPeriod      = 3
+	timeAfterLongOutage = 3 * time.Second // time that the plan continues after a long outage
 )
 
-// RandomPlan draws a plan from a seed. Faults overlap: each lasts up to seconds, and there are several in each second.
+// RandomPlan draws a plan from a seed. Faults overlap: 1.5 to 3.5 of them begin per second, and most last 0.2 to 3 s.
 func RandomPlan(seed uint64, length time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, 1))
 	deadlines := []time.Duration{250 * time.Millisecond, 600 * time.Millisecond, time.Second, 2 * time.Second,
 		2500 * time.Millisecond, 5 * time.Second}
-	graces := []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}
-	warmths := []time.Duration{4 * time.Second, 16 * time.Second}
+	drainGraces := []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}
+	warmUpTimes := []time.Duration{4 * time.Second, 16 * time.Second}
 	plan := Plan{
 		Seed:        seed,
 		Dispatchers: minDispatchers + random.IntN(maxDispatchers-minDispatchers+1),
@@ -108,14 +108,14 @@
 		Members:     1,
 		Limits:      DefaultLimits(),
 		Deadline:    deadlines[random.IntN(len(deadlines))],
-		Grace:       graces[random.IntN(len(graces))],
-		WarmAfter:   warmths[random.IntN(len(warmths))],
+		Grace:       drainGraces[random.IntN(len(drainGraces))],
+		WarmAfter:   warmUpTimes[random.IntN(len(warmUpTimes))],
 		Length:      length,
 	}
-	totalRate := min(loadOfCapacity*float64(plan.Workers)*DefaultRules().WorkerRate, maxTotalRate)
+	totalRate := min(capacityShare*float64(plan.Workers)*DefaultRules().WorkerRate, maxTotalRate)
 	if seed%largeSeedPeriod < largeSeeds {
-		plan.enlarge(random)
-		totalRate = largeRate * float64(plan.Dispatchers)
+		plan.makeLarge(random)
+		totalRate = largeFleetRate * float64(plan.Dispatchers)
 	}
 	if seed%longSeedPeriod == 0 {
 		plan.addLongOutage(random)
@@ -128,7 +128,7 @@
 		CancelShare: 0.05,
 		CloseShare:  0.02,
 		FreshShare:  []float64{0, 0.1, 1}[random.IntN(3)],
-		PieceShare:  0.3,
+		SplitShare:  0.3,
 	}
 	for range plan.Dispatchers {
 		plan.Steps = append(plan.Steps, randomSteps(random, plan.Length))
@@ -145,17 +145,17 @@
 	return plan
 }
 
-// addLongOutage lengthens the plan and has discovery tell nothing for longer than its news counts as told. Workers drain just
-// after the outage has begun.
+// addLongOutage adds an outage of discovery that lasts longer than notifiedAfter, and sets the plan's length to fit it. Some
+// workers begin to drain within 1.5 s of its start.
 func (p *Plan) addLongOutage(random *rand.Rand) {
 	outage := Fault{
 		At:     time.Duration((1 + 2*random.Float64()) * float64(time.Second)),
 		Kind:   FaultOutage,
 		Outage: outageKinds[random.IntN(len(outageKinds))],
 		Share:  outageShares[random.IntN(len(outageShares))],
-		Length: drawLength(random, longestSpans[len(longestSpans)-1]),
+		Length: randomLength(random, outageLengths[len(outageLengths)-1]),
 	}
-	p.Length = outage.At + outage.Length + afterLongOutage
+	p.Length = outage.At + outage.Length + timeAfterLongOutage
 	p.Faults = append(p.Faults, outage)
 	for range 1 + random.IntN(max(1, p.Workers/4)) {
 		p.Faults = append(p.Faults, Fault{
@@ -167,56 +167,57 @@
 	}
 }
 
-// quietSpan is how long clients are quiet within a long outage.
-var quietSpan = span{200 * time.Millisecond, 12 * time.Second}
+// quietLengths bounds how long clients are quiet in a long outage.
+var quietLengths = durationRange{200 * time.Millisecond, 12 * time.Second}
 
-// AddQuietTimes has clients be quiet for a time in each long outage of discovery. The times are drawn apart from the rest of the
-// plan, which stays as its seed has it.
+// AddQuietTimes adds a time to each long outage of discovery in which clients send nothing. It draws the times from a separate
+// random stream, so that the rest of the plan does not change.
 func (p *Plan) AddQuietTimes() {
 	random := rand.New(rand.NewPCG(p.Seed, 2))
 	for _, fault := range slices.Clone(p.Faults) {
-		if fault.Kind != FaultOutage || fault.Length < longestSpans[len(longestSpans)-1].least {
+		if fault.Kind != FaultOutage || fault.Length < outageLengths[len(outageLengths)-1].shortest {
 			continue
 		}
 		begin := time.Duration(random.Float64() * float64(fault.Length) / 2)
-		p.Faults = append(p.Faults, Fault{At: fault.At + begin, Kind: FaultQuiet, Length: drawLength(random, quietSpan)})
+		p.Faults = append(p.Faults, Fault{At: fault.At + begin, Kind: FaultQuiet, Length: randomLength(random, quietLengths)})
 	}
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
-// span bounds a time that is drawn.
-type span struct{ least, most time.Duration }
+// durationRange bounds a random duration.
+type durationRange struct{ shortest, longest time.Duration }
 
-// longestSpans are how long outages last: shorter than what the pages count by (a poll, a grace, the 7 s after which a change
-// counts as told), about as long, and longer.
-var longestSpans = []span{
+// outageLengths bounds how long outages last: shorter than the times that the protocol pages set (a poll, a grace, the 7 s after
+// which a change counts as told), about as long as these times, and longer.
+var outageLengths = []durationRange{
 	{200 * time.Millisecond, 3 * time.Second},
 	{3 * time.Second, 8 * time.Second},
 	{9 * time.Second, 25 * time.Second},
 }
 
-// outageShares are the parts of the dispatchers that an outage hits; with 0 it is one.
+// outageShares holds the shares of the dispatchers that an outage affects; a share of 0 affects one dispatcher.
 var outageShares = []float64{0, 0.5, 1, 1}
 
-func drawLength(random *rand.Rand, s span) time.Duration {
-	return s.least + time.Duration(random.Float64()*float64(s.most-s.least))
+func randomLength(random *rand.Rand, r durationRange) time.Duration {
+	return r.shortest + time.Duration(random.Float64()*float64(r.longest-r.shortest))
 }
 
-// enlarge makes the fleet a large one.
-func (p *Plan) enlarge(random *rand.Rand) {
-	totals := []int{300, 1000, 1000, 2000, 3200}
+// makeLarge replaces the sizes and limits of the plan's fleet by those of a large one.
+func (p *Plan) makeLarge(random *rand.Rand) {
+	workerTotals := []int{300, 1000, 1000, 2000, 3200}
 	p.Dispatchers = 2 + random.IntN(3)
 	p.Workers = 4 + random.IntN(4)
-	p.Members = totals[random.IntN(len(totals))] / p.Workers
+	p.Members = workerTotals[random.IntN(len(workerTotals))] / p.Workers
 	p.Limits = Limits{Cores: 0.4, MemoryMB: 64, Sockets: []int{192, 384}[random.IntN(2)]}
 }
 
-// randomSteps draws steps of a wall clock, from a second to some hours, some of them at the start of the process.
+// randomSteps draws up to four steps of a wall clock, of 1 s to 5 h back or forward. About one in five is at the
+// start of the process.
 func randomSteps(random *rand.Rand, length time.Duration) []wallstep.Step {
-	sizes := []time.Duration{time.Second, 3 * time.Second, 20 * time.Second, 400 * time.Second, time.Hour, 5 * time.Hour}
+	stepSizes := []time.Duration{time.Second, 3 * time.Second, 20 * time.Second, 400 * time.Second, time.Hour, 5 * time.Hour}
 	var steps []wallstep.Step
 	for range random.IntN(5) {
-		step := wallstep.Step{At: time.Duration(random.Float64() * float64(length)), By: sizes[random.IntN(len(sizes))]}
+		step := wallstep.Step{At: time.Duration(random.Float64() * float64(length)), By: stepSizes[random.IntN(len(stepSizes))]}
 		if random.IntN(2) == 0 {
 			step.By = -step.By
 		}
@@ -238,10 +239,10 @@
 	case FaultOutage:
 		fault.Outage = outageKinds[random.IntN(len(outageKinds))]
 		fault.Share = outageShares[random.IntN(len(outageShares))]
-		fault.Length = drawLength(random, longestSpans[random.IntN(2)])
+		fault.Length = randomLength(random, outageLengths[random.IntN(2)])
 	case FaultDrainWorker, FaultReuseAddress:
 		fault.Target = random.IntN(plan.Workers)
-		fault.Length = drawLength(random, span{500 * time.Millisecond, 6 * time.Second})
+		fault.Length = randomLength(random, durationRange{500 * time.Millisecond, 6 * time.Second})
 	case FaultReload, FaultTerminate, FaultKill, FaultEvacuate, FaultSeries, FaultCrowd:
 		fault.Target = random.IntN(plan.Dispatchers)
 		fault.Steps = randomSteps(random, plan.Length)
