--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -9,9 +9,9 @@
 	"kitefall/internal/gatedconn"
 )
 
-// boundedListener accepts connections without end, but holds only as many as there are descriptors in its share: the newest
-// takes the place of the oldest on which nothing is under way. Callers that send nothing and stay so keep nobody out, and
-// have no call reset that another has made.
+// boundedListener accepts every incoming connection, but keeps at most as many open as its share has descriptors. When none is
+// free, it closes the oldest of the connections with the lowest activity. HTTP clients that send nothing, or only part of a
+// request, and stay connected therefore cannot block new clients, nor cause the request of another client to be reset.
 type boundedListener struct {
 	net.Listener
 	share *descriptors.Share
@@ -24,37 +24,37 @@
 	return &boundedListener{Listener: ln, share: share, conns: list.New()}
 }
 
-// Accept returns the next connection, in the place of another if need be.
+// Accept returns the next connection. While no descriptor of the share is free, it closes open connections.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	for !l.share.TryAcquire() {
-		l.closeOne()
+		l.evictOne()
 	}
 	bounded := &boundedConn{listener: l}
-	bounded.Conn = gatedconn.New(conn, bounded.call.observe)
+	bounded.Conn = gatedconn.New(conn, bounded.request.observe)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bounded.element = l.conns.PushBack(bounded)
 	return bounded, nil
 }
 
-// closeOne closes the oldest connection of those that matter least, if there is one.
-func (l *boundedListener) closeOne() {
-	conns := l.open()
-	for use := useNone; use <= useAnswered; use++ {
+// evictOne closes the oldest of the connections with the lowest activity. It does nothing if no connection is open.
+func (l *boundedListener) evictOne() {
+	conns := l.openConns()
+	for activity := activityNone; activity <= activityRequestRead; activity++ {
 		for _, conn := range conns {
-			if conn.closeIfAtMost(use) {
+			if conn.closeIfAtMost(activity) {
 				return
 			}
 		}
 	}
 }
 
-// open returns the connections that are open, oldest first.
-func (l *boundedListener) open() []*boundedConn {
+// openConns returns the open connections, oldest first.
+func (l *boundedListener) openConns() []*boundedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	conns := make([]*boundedConn, 0, l.conns.Len())
@@ -64,50 +64,50 @@
 	return conns
 }
 
-// connUse is what a connection is in use for: lower ones make room first.
-type connUse int
+// connActivity ranks the open connections for eviction: connections with a lower value are closed first.
+type connActivity int
 
 const (
-	useNone     connUse = iota // it has sent nothing, or half a call, and all was read
-	useUnread                  // bytes have come that were not read yet
-	useAnswered                // its call was read whole, and its answer comes by itself
+	activityNone        connActivity = iota // all received data was read, and it holds no complete request
+	activityUnread                          // received data was not read yet
+	activityRequestRead                     // a complete request was read; its answer needs nothing more from the client
 )
 
-// boundedConn is a connection that has a place with its listener until it is closed.
+// boundedConn is a connection that holds a descriptor of its listener's share until it is closed.
 type boundedConn struct {
 	*gatedconn.Conn
 	listener *boundedListener
-	call     callReader
+	request  requestEndDetector
 	element  *list.Element
 	closing  sync.Once
 }
 
-// closeIfAtMost closes the connection unless it is in use for more, and reports whether it did.
-func (c *boundedConn) closeIfAtMost(most connUse) bool {
-	closing := c.StopReadingIf(func(unread bool) bool { return c.use(unread) <= most })
+// closeIfAtMost closes the connection unless its activity is above the limit, and reports whether it closed the connection.
+func (c *boundedConn) closeIfAtMost(limit connActivity) bool {
+	closing := c.StopReadingIf(func(unread bool) bool { return c.activity(unread) <= limit })
 	if closing {
 		c.Close()
 	}
 	return closing
 }
 
-// use returns what the connection is in use for. It is called while nothing is read.
-func (c *boundedConn) use(unread bool) connUse {
+// activity returns the activity of the connection. It must not be called while data is being read; StopReadingIf ensures that.
+func (c *boundedConn) activity(unread bool) connActivity {
 	switch {
-	case c.call.complete:
-		return useAnswered
+	case c.request.complete:
+		return activityRequestRead
 	case unread:
-		return useUnread
+		return activityUnread
 	default:
-		return useNone
+		return activityNone
 	}
 }
 
-// Close closes the connection and gives its place back. It may be called more than once.
+// Close closes the connection and releases its descriptor. It may be called more than once.
 func (c *boundedConn) Close() error {
 	var err error
 	c.closing.Do(func() {
-		err = c.Conn.Close() // which waits until the descriptor is closed
+		err = c.Conn.Close() // returns only after the descriptor is closed
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
 		c.listener.conns.Remove(c.element)
@@ -116,23 +116,24 @@
 	return err
 }
 
-// headerEnd ends the header of a call, which has no body (source: RFC 9112).
+// headerEnd ends the header of a request. The requests have no body (source: RFC 9112).
 const headerEnd = "\r\n\r\n"
 
-// callReader finds the end of a connection's call. It is told of the bytes as they are read.
-type callReader struct {
-	matched  int // how much of headerEnd the last bytes were
-	complete bool
+// requestEndDetector finds the end of the request on a connection. Its method observe gets all bytes in the order in which they
+// are read.
+type requestEndDetector struct {
+	matched  int  // how many bytes of headerEnd the data ends with
+	complete bool // the data holds a complete request
 }
 
-func (r *callReader) observe(data []byte) error {
+func (r *requestEndDetector) observe(data []byte) error {
 	for _, b := range data {
 		r.match(b)
 	}
 	return nil
 }
 
-func (r *callReader) match(b byte) {
+func (r *requestEndDetector) match(b byte) {
 	switch {
 	case b == headerEnd[r.matched]:
 		r.matched++
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' address: HTTP/1.1 calls that ask whether the process is ready, and that send its clients
-// away or take them again. Every answer is made of what is in memory already, so that it comes in time whatever the load is.
+// Package admin serves the operators' address over HTTP/1.1. Requests ask whether the process is ready, and start or end its
+// evacuation. Every answer is made from data that is already in memory, so that it arrives in time under any load.
 //
 // Source: operation page (where operators call, sending clients away).
 package admin
@@ -14,39 +14,43 @@
 	"kitefall/internal/descriptors"
 )
 
-// The operators' calls.
+// Methods and paths of the operators' requests.
 const (
-	callReady     = "GET /api/ready"
-	callTelemetry = "GET /api/telemetry"
-	callEvacuate  = "PUT /api/evacuate"
-	callRejoin    = "PUT /api/rejoin"
+	routeReady     = "GET /api/ready"
+	routeTelemetry = "GET /api/telemetry"
+	routeEvacuate  = "PUT /api/evacuate"
+	routeRejoin    = "PUT /api/rejoin"
 )
 
-// How long a caller may take. Some send nothing, or half a call, and stay.
+// Limits for HTTP clients. Some connect, send nothing or only part of a request, and stay connected.
 const (
-	readTimeout  = 2 * time.Second
-	writeTimeout = 2 * time.Second
-	// maxHeaderBytes bounds what is read of a call, beside what net/http adds to it.
+	readTimeout  = 2 * time.Second // from accepting a connection until its request is received
+	writeTimeout = 2 * time.Second // from the end of a request's header until the response is sent
+	// maxHeaderBytes limits the size of a request's header; net/http adds a fixed allowance to it.
 	maxHeaderBytes = 1 << 10
 )
 
-// Operations is what operators can ask of the process. Its methods are called from many goroutines and must not wait.
+// Operations are the operations that operators can request from the process. They are called from many goroutines and must
+// not block.
 type Operations interface {
-	// Ready reports whether the process takes work.
+	// Ready reports whether the process accepts calls.
 	Ready() bool
-	// Evacuate has the process send its clients away. That it does already is no error.
+	// Evacuate starts an evacuation: the process closes its clients' connections by the schedule of package drain. It is no
+	// error if an evacuation is in progress.
 	Evacuate() error
-	// Rejoin has it take clients again. That it does already is no error.
+	// Rejoin ends an evacuation: the process accepts clients again. It is no error if no evacuation is in
+	// progress.
 	Rejoin() error
 }
 
-// Server answers the operators' calls. Serve may be called once; Close may be called at any time.
+// Server answers the operators' requests. Serve may be called once; Close may be called at any time.
 type Server struct {
 	http        http.Server
 	descriptors *descriptors.Share
 }
 
-// New returns a server that takes the descriptors of its connections from a share; the newest callers are served.
+// New returns a server that takes the descriptors of its connections from a share. When none is free, a new connection
+// replaces an open one.
 func New(operations Operations, share *descriptors.Share) *Server {
 	s := &Server{descriptors: share}
 	s.http = http.Server{
@@ -56,11 +60,12 @@
 		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
 	}
-	s.http.SetKeepAlivesEnabled(false) // one call a connection
+	s.http.SetKeepAlivesEnabled(false) // one request per connection
 	return s
 }
 
-// Serve answers the calls on a listener until Close. Its error is never nil, and http.ErrServerClosed after Close.
+// Serve answers the requests that arrive on a listener until Close. Its error is never nil; after Close it is
+// http.ErrServerClosed.
 func (s *Server) Serve(ln net.Listener) error {
 	return s.http.Serve(newBoundedListener(ln, s.descriptors))
 }
@@ -68,32 +73,32 @@
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// routes returns the handler of all calls. Unknown paths are answered with 404 and wrong methods with 405, as http.ServeMux
-// does.
+// routes returns the handler of all requests. http.ServeMux answers unknown paths with 404 and wrong methods with 405.
 func routes(operations Operations) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(callReady, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(routeReady, func(w http.ResponseWriter, _ *http.Request) {
 		if !operations.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ready")
 	})
-	mux.HandleFunc(callTelemetry, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(routeTelemetry, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "this version has no figures to tell", http.StatusServiceUnavailable)
 	})
-	mux.HandleFunc(callEvacuate, change(operations.Evacuate, "evacuating"))
-	mux.HandleFunc(callRejoin, change(operations.Rejoin, "serving"))
+	mux.HandleFunc(routeEvacuate, changeHandler(operations.Evacuate, "evacuating"))
+	mux.HandleFunc(routeRejoin, changeHandler(operations.Rejoin, "serving"))
 	return mux
 }
 
-// change returns the handler of a call that changes something. An error means that it cannot be done in the present state.
-func change(apply func() error, done string) http.HandlerFunc {
+// changeHandler returns a handler that calls apply and answers with successText. An error of apply means that the current state
+// of the process does not permit the change; the answer is then 409 with the error.
+func changeHandler(apply func() error, successText string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := apply(); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
-		fmt.Fprintln(w, done)
+		fmt.Fprintln(w, successText)
 	}
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -16,7 +16,7 @@
 	"kitefall/internal/descriptors"
 )
 
-// fakeOperations is a process that does as it is told, unless rejoinErr is set.
+// fakeOperations implements Operations. Rejoin fails with rejoinErr if that is set.
 type fakeOperations struct {
 	mu        sync.Mutex
 	evacuated bool
@@ -45,8 +45,8 @@
 	return o.rejoinErr
 }
 
-// start starts a server and returns its address.
-func start(t *testing.T, operations Operations, maxConns int) string {
+// startServer starts a server, which is closed at the end of the test, and returns its address.
+func startServer(t *testing.T, operations Operations, maxConns int) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -60,8 +60,8 @@
 	return ln.Addr().String()
 }
 
-// callAt makes a call and returns the answer's status and header.
-func callAt(t *testing.T, addr, method, path string) (int, http.Header) {
+// sendRequest sends a request and returns the status and the header of the response.
+func sendRequest(t *testing.T, addr, method, path string) (int, http.Header) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+addr+path, nil)
 	require.NoError(t, err)
@@ -69,16 +69,16 @@
 	response, err := client.Do(request)
 	require.NoError(t, err)
 	defer response.Body.Close()
-	assert.True(t, response.Close, "one call a connection")
+	assert.True(t, response.Close, "one request per connection")
 	text, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	assert.NotEmpty(t, strings.TrimSpace(string(text)), "a plain message")
+	assert.NotEmpty(t, strings.TrimSpace(string(text)), "the body holds a message")
 	return response.StatusCode, response.Header
 }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	operations := &fakeOperations{}
-	addr := start(t, operations, 4)
+	addr := startServer(t, operations, 4)
 	for _, step := range []struct {
 		method, path string
 		want         int
@@ -94,28 +94,29 @@
 		{"GET", "/api/none", 404},
 		{"GET", "/", 404},
 	} {
-		status, _ := callAt(t, addr, step.method, step.path)
+		status, _ := sendRequest(t, addr, step.method, step.path)
 		assert.Equal(t, step.want, status, "%s %s", step.method, step.path)
 	}
 	operations.rejoinErr = errors.New("told to end")
-	status, _ := callAt(t, addr, "PUT", "/api/rejoin")
+	status, _ := sendRequest(t, addr, "PUT", "/api/rejoin")
 	assert.Equal(t, 409, status)
 }
 
-func TestWrongMethodNamesTheRightOne(t *testing.T) {
-	addr := start(t, &fakeOperations{}, 4)
-	status, header := callAt(t, addr, "GET", "/api/evacuate")
+func TestWrongMethodIsAnsweredWithTheAllowedOne(t *testing.T) {
+	addr := startServer(t, &fakeOperations{}, 4)
+	status, header := sendRequest(t, addr, "GET", "/api/evacuate")
 	assert.Equal(t, 405, status)
 	assert.Equal(t, "PUT", header.Get("Allow"))
-	status, header = callAt(t, addr, "DELETE", "/api/ready")
+	status, header = sendRequest(t, addr, "DELETE", "/api/ready")
 	assert.Equal(t, 405, status)
 	assert.Contains(t, header.Get("Allow"), "GET")
 }
 
-// Callers that send nothing, or half a call, and stay keep nobody out: the newest is served.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
+// Clients that send nothing, or only part of a request, and stay connected must not block a new client: the server closes the
+// oldest connection.
+func TestSilentClientsDoNotBlockNewClients(t *testing.T) {
 	const maxConns = 4
-	addr := start(t, &fakeOperations{}, maxConns)
+	addr := startServer(t, &fakeOperations{}, maxConns)
 	var silent []net.Conn
 	for i := range 200 {
 		conn, err := net.Dial("tcp", addr)
@@ -127,17 +128,17 @@
 		}
 		silent = append(silent, conn)
 	}
-	begun := time.Now()
-	status, _ := callAt(t, addr, "GET", "/api/ready")
+	startedAt := time.Now()
+	status, _ := sendRequest(t, addr, "GET", "/api/ready")
 	assert.Equal(t, 200, status)
-	assert.Less(t, time.Since(begun), time.Second)
+	assert.Less(t, time.Since(startedAt), time.Second)
 	require.NoError(t, silent[0].SetReadDeadline(time.Now().Add(time.Second)))
 	_, err := io.ReadAll(silent[0])
-	assert.False(t, errors.Is(err, errTimeout(err)), "the oldest was closed")
+	assert.False(t, errors.Is(err, timeoutOrOther(err)), "the oldest connection was closed")
 }
 
-// errTimeout returns err if it is a timeout, else an error that is nothing else.
-func errTimeout(err error) error {
+// timeoutOrOther returns err if it is a timeout, else an unrelated error that errors.Is does not find in err.
+func timeoutOrOther(err error) error {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
 		return err
@@ -145,40 +146,42 @@
 	return errors.New("no timeout")
 }
 
-// slowOperations tells of each question whether it is ready, and answers when it is let.
-type slowOperations struct {
+// blockingOperations reports each call of Ready on readyCalled. The call returns once release is closed.
+type blockingOperations struct {
 	fakeOperations
-	asked  chan struct{}
-	answer chan struct{}
+	readyCalled chan struct{}
+	release     chan struct{}
 }
 
-func (o *slowOperations) Ready() bool {
-	o.asked <- struct{}{}
-	<-o.answer
+func (o *blockingOperations) Ready() bool {
+	o.readyCalled <- struct{}{}
+	<-o.release
 	return true
 }
 
-// A caller whose call was read is answered, however many others connect meanwhile and whatever the machine is busy with.
-func TestCallThatWasReadIsAnswered(t *testing.T) {
+// A request that was read completely must be answered, however many other clients connect before the answer and however busy the
+// machine is.
+func TestCompleteRequestIsAnswered(t *testing.T) {
 	const maxConns = 4
-	operations := &slowOperations{asked: make(chan struct{}), answer: make(chan struct{})}
-	addr := start(t, operations, maxConns)
-	caller, err := net.Dial("tcp", addr)
+	operations := &blockingOperations{readyCalled: make(chan struct{}), release: make(chan struct{})}
+	addr := startServer(t, operations, maxConns)
+	client, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer caller.Close()
-	_, err = io.WriteString(caller, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	defer client.Close()
+	_, err = io.WriteString(client, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
-	<-operations.asked
-	connectSilently(t, addr, 20*maxConns)
-	close(operations.answer)
-	require.NoError(t, caller.SetReadDeadline(time.Now().Add(10*time.Second)))
-	answer, err := io.ReadAll(caller)
+	<-operations.readyCalled
+	openSilentConns(t, addr, 20*maxConns)
+	close(operations.release)
+	require.NoError(t, client.SetReadDeadline(time.Now().Add(10*time.Second)))
+	answer, err := io.ReadAll(client)
 	require.NoError(t, err)
 	assert.Contains(t, string(answer), "HTTP/1.1 200 ")
 }
 
-// connectSilently makes connections on which nothing is sent, and waits until each was accepted: only the newest are open.
-func connectSilently(t *testing.T, addr string, count int) {
+// openSilentConns opens count connections, sends nothing on them, and waits until the server has accepted all of them. Only the
+// newest of them stay open.
+func openSilentConns(t *testing.T, addr string, count int) {
 	t.Helper()
 	for range count {
 		conn, err := net.Dial("tcp", addr)
@@ -188,31 +191,31 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// A call that has come and was not read yet, since the machine is busy, is spared as well.
-func TestCallThatIsNotReadYetKeepsItsConnection(t *testing.T) {
+// A request that was received, but not read yet because the machine is busy, must not have its connection evicted either.
+func TestUnreadRequestKeepsItsConnection(t *testing.T) {
 	const maxConns = 4
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	bounded := newBoundedListener(ln, descriptors.NewShare(maxConns))
 	defer bounded.Close()
-	connect := func() (caller, accepted net.Conn) {
-		caller, err := net.Dial("tcp", ln.Addr().String())
+	connect := func() (client, accepted net.Conn) {
+		client, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
-		t.Cleanup(func() { caller.Close() })
+		t.Cleanup(func() { client.Close() })
 		accepted, err = bounded.Accept()
 		require.NoError(t, err)
 		t.Cleanup(func() { accepted.Close() })
-		return caller, accepted
+		return client, accepted
 	}
-	caller, accepted := connect()
-	const call = "GET /api/ready HTTP/1.1\r\n\r\n"
-	_, err = io.WriteString(caller, call)
+	client, accepted := connect()
+	const request = "GET /api/ready HTTP/1.1\r\n\r\n"
+	_, err = io.WriteString(client, request)
 	require.NoError(t, err)
 	for range 5 * maxConns {
 		connect()
 	}
-	received := make([]byte, len(call))
+	received := make([]byte, len(request))
 	_, err = io.ReadFull(accepted, received)
 	require.NoError(t, err)
-	assert.Equal(t, call, string(received))
+	assert.Equal(t, request, string(received))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the configuration file with which the platform starts a dispatcher, and divides the limits that it
-// sets among the dispatcher's parts.
+// Package config reads the configuration file with which the platform starts a dispatcher, and divides the resource limits of
+// this file among the parts of the dispatcher.
 package config
 
 import (
@@ -17,42 +17,42 @@
 	"kitefall/internal/settings"
 )
 
-// adminEnv is the environment variable that names the operators' address where the file does not.
+// adminEnv is the environment variable with the operators' address. It is used if the file sets no address.
 const adminEnv = "RELAY_ADMIN"
 
-// Values for what the configuration leaves out.
+// Defaults for keys that the configuration file leaves out.
 const (
 	defaultSockets     = 1024
 	defaultMemoryMB    = 192
-	defaultIdleTimeout = time.Hour // of connections to workers
+	defaultIdleTimeout = time.Hour // after which workers are assumed to close idle connections
 )
 
-// Config is the configuration of a dispatcher. The tagged fields are as in the file; Read fills in the others from them.
+// Config is the configuration of a dispatcher. Fields with a JSON key hold the values of the file; Read sets the others.
 type Config struct {
 	Name             string                  `json:"name"`
 	Listen           string                  `json:"listen"` // address for clients
-	Admin            string                  `json:"admin"`  // address for operators; empty: there is none
+	Admin            string                  `json:"admin"`  // address for operators; empty: operators are not served
 	Limits           Limits                  `json:"limits"`
-	DiscoveryAddr    string                  `json:"board"`
-	InitialEndpoints discovery.WatchResponse `json:"known"` // used until the first answer of discovery
-	SeedHex          string                  `json:"seed"`
+	DiscoveryAddr    string                  `json:"board"` // address of the discovery service
+	InitialEndpoints discovery.WatchResponse `json:"known"` // used until the first answer from discovery
+	SeedHex          string                  `json:"seed"`  // 64 bits in hexadecimal
 	RawSettings      json.RawMessage         `json:"settings"`
 
 	Seed        uint64            `json:"-"`
 	Settings    balancer.Settings `json:"-"`
 	Connections settings.Conns    `json:"-"`
-	UnknownKeys []string          `json:"-"` // of the file, without those within the settings
+	UnknownKeys []string          `json:"-"` // keys of the file that are neither known nor within the settings
 }
 
-// Limits are the resources that a dispatcher may use.
+// Limits are the limits of the resources that a dispatcher may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// Read reads a configuration file. Limits that it does not set get defaults. Errors name the file and, where one is at
-// fault, the key.
+// Read reads the configuration file at path. Limits that the file does not set get defaults. Errors name the file and, if a
+// single key is invalid, that key.
 func Read(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// applyDefaults replaces missing limits by safe values: a dispatcher that refuses to start would serve its clients worse.
+// applyDefaults replaces missing limits by safe values, because a dispatcher with default limits serves its clients better than
+// one that refuses to start.
 func (c *Config) applyDefaults() {
 	c.Connections.Streams = max(1, c.Connections.Streams)
 	if c.Connections.IdleClose <= 0 {
@@ -105,8 +106,8 @@
 	}
 }
 
-// EqualExceptReloadable reports whether c differs from other at most in what a reload takes up, the discovery address, or
-// in what every start sets anew, the seed and the initial endpoints.
+// EqualExceptReloadable reports whether c and other differ at most in the discovery address, which a reload applies, and in the
+// seed and the initial endpoints, which are new at every start.
 func (c *Config) EqualExceptReloadable(other *Config) bool {
 	return c.Name == other.Name &&
 		c.Listen == other.Listen &&
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readConfig reads a configuration file with the given members of its limits and of its settings' caps.
+// readConfig writes a configuration file whose objects limits and settings.caps have the given members, and reads it.
 func readConfig(t *testing.T, limits, caps string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestReadTakesTheOperatorsAddress(t *testing.T) {
+func TestReadTakesTheAdminAddressFromTheEnvironment(t *testing.T) {
 	c, err := readConfig(t, "", "")
 	require.NoError(t, err)
 	assert.Empty(t, c.Admin)
--- a/internal/config/unknown.go
+++ b/internal/config/unknown.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// environmentPrefix begins the names of the environment variables with which the platform tells the program something.
+// environmentPrefix starts the names of the environment variables with which the platform configures the program.
 const environmentPrefix = "RELAY_"
 
-// knownVariables are the environment variables that the program reads, or whose values the configuration file repeats.
+// knownVariables are the environment variables that the program reads or whose values are also in the configuration file.
 var knownVariables = []string{"RELAY_NAME", "RELAY_LISTEN", "RELAY_CONFIG", adminEnv}
 
-// WarnUnknown writes one line to the log that names the keys of the configuration file and the platform's environment
-// variables which the program does not know, if there are any: what is asked for by them is not done. The keys within the
-// settings are not looked at, since settings describe more than this program needs.
+// WarnUnknown logs one warning with the keys of the configuration file and the environment variables of the platform that the
+// program does not know, if there are any. They have no effect. Keys within the settings are not checked, because the settings
+// describe more than this program needs.
 func (c *Config) WarnUnknown(environment []string) {
 	variables := unknownVariables(environment)
 	if len(c.UnknownKeys)+len(variables) > 0 {
@@ -26,22 +26,22 @@
 	}
 }
 
-// unknownKeys returns the keys of a configuration file, sorted, that Config and Limits do not have.
+// unknownKeys returns the keys of a configuration file, sorted, that are not the JSON key of a field of Config or Limits.
 func unknownKeys(file []byte) []string {
-	var present struct {
+	var sections struct {
 		Limits map[string]json.RawMessage `json:"limits"`
 	}
-	var all map[string]json.RawMessage
-	if json.Unmarshal(file, &present) != nil || json.Unmarshal(file, &all) != nil {
-		return nil // config.Read tells what is wrong with the file
+	var topLevel map[string]json.RawMessage
+	if json.Unmarshal(file, &sections) != nil || json.Unmarshal(file, &topLevel) != nil {
+		return nil // Read reports the error in the file
 	}
-	unknown := keysNotIn(all, reflect.TypeFor[Config](), "")
-	unknown = append(unknown, keysNotIn(present.Limits, reflect.TypeFor[Limits](), "limits.")...)
+	unknown := keysNotIn(topLevel, reflect.TypeFor[Config](), "")
+	unknown = append(unknown, keysNotIn(sections.Limits, reflect.TypeFor[Limits](), "limits.")...)
 	slices.Sort(unknown)
 	return unknown
 }
 
-// keysNotIn returns the keys that no field of a struct is tagged with.
+// keysNotIn returns the keys of object that are not the JSON key of a field of structType, each with prefix before it.
 func keysNotIn(object map[string]json.RawMessage, structType reflect.Type, prefix string) []string {
 	known := map[string]bool{}
 	for i := range structType.NumField() {
@@ -56,7 +56,7 @@
 	return unknown
 }
 
-// unknownVariables returns the names of the platform's variables, sorted, that are not among knownVariables.
+// unknownVariables returns the names of the platform's environment variables, sorted, that are not in knownVariables.
 func unknownVariables(environment []string) []string {
 	var unknown []string
 	for _, variable := range environment {
