--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,16 +14,16 @@
 	"kitefall/internal/invocation/store"
 )
 
-// maxErrorText limits, in bytes, how much is quoted of a response that is not the protocol's.
+// maxErrorText limits how many bytes of a response with an unexpected status an error quotes.
 const maxErrorText = 200
 
-// errNoInvocation says that the dispatcher's response lacks the invocation that it should hold.
-var errNoInvocation = errors.New("control socket: the response holds no invocation")
+// errNoInvocation means that the dispatcher's response does not hold exactly one invocation, as the operation requires.
+var errNoInvocation = errors.New("control socket: the response does not hold exactly one invocation")
 
-// client calls the operations of a running dispatcher.
+// client implements Operations with requests to a running dispatcher.
 type client struct{ http *http.Client }
 
-// Dial returns the operations of the dispatcher that listens on the control socket, and whether there is one.
+// Dial returns the operations of the dispatcher that listens on the control socket at path. It returns false if none listens.
 func Dial(path string) (Operations, bool) {
 	conn, err := net.DialTimeout("unix", path, dialTimeout)
 	if err != nil {
@@ -36,13 +36,13 @@
 	return &client{&http.Client{Transport: transport}}, true
 }
 
-// call sends a request for the named operation. An error of the operation itself is a *remoteError.
+// call sends a request for the named operation. If the operation itself fails, the error is a *remoteError.
 func (c *client) call(operation string, req request) (response, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return response{}, err
 	}
-	// The host is not used: the transport dials the socket.
+	// The host has no effect: the transport dials the socket.
 	httpResp, err := c.http.Post("http://dispatcher"+pathPrefix+operation, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return response{}, err
@@ -55,7 +55,7 @@
 	failed := httpResp.StatusCode == http.StatusConflict
 	if httpResp.StatusCode != http.StatusOK && !failed {
 		text, _ := io.ReadAll(io.LimitReader(httpResp.Body, maxErrorText))
-		return response{}, fmt.Errorf("control socket: status %d: %s", httpResp.StatusCode, text)
+		return response{}, fmt.Errorf("control socket: unexpected status %d: %s", httpResp.StatusCode, text)
 	}
 	var resp response
 	if err := json.NewDecoder(httpResp.Body).Decode(&resp); err != nil {
@@ -67,8 +67,8 @@
 	return resp, nil
 }
 
-// callForOne calls an operation whose response holds one invocation.
-func (c *client) callForOne(operation string, req request) (Invocation, error) {
+// callForInvocation calls an operation whose response holds exactly one invocation.
+func (c *client) callForInvocation(operation string, req request) (Invocation, error) {
 	resp, err := c.call(operation, req)
 	if err != nil {
 		return Invocation{}, err
@@ -85,11 +85,11 @@
 }
 
 func (c *client) Show(id string) (Invocation, error) {
-	return c.callForOne(operationShow, request{ID: id})
+	return c.callForInvocation(operationShow, request{ID: id})
 }
 
 func (c *client) Redrive(id string, confirmed bool, reason string) (Invocation, error) {
-	return c.callForOne(operationRedrive, request{ID: id, Confirmed: confirmed, Reason: reason})
+	return c.callForInvocation(operationRedrive, request{ID: id, Confirmed: confirmed, Reason: reason})
 }
 
 func (c *client) Purge(ids []string, minAge time.Duration) (int, error) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -15,52 +15,52 @@
 	"kitefall/internal/invocation/store"
 )
 
-// recordedOperations record their parameters and return fixed results.
-type recordedOperations struct {
+// recordingOperations implements Operations. It records the parameters of the last call and returns fixed results and err.
+type recordingOperations struct {
 	err    error
 	params []any
 }
 
 var listed = []Invocation{{ID: "one", Outcome: "served"}, {ID: "two", DeadLetter: true}}
 
-func (o *recordedOperations) record(params ...any) { o.params = params }
+func (o *recordingOperations) record(params ...any) { o.params = params }
 
-func (o *recordedOperations) List(filter store.Filter) ([]Invocation, error) {
+func (o *recordingOperations) List(filter store.Filter) ([]Invocation, error) {
 	o.record(filter)
 	return listed, o.err
 }
 
-func (o *recordedOperations) Show(id string) (Invocation, error) {
+func (o *recordingOperations) Show(id string) (Invocation, error) {
 	o.record(id)
 	return listed[0], o.err
 }
 
-func (o *recordedOperations) Redrive(id string, confirmed bool, reason string) (Invocation, error) {
+func (o *recordingOperations) Redrive(id string, confirmed bool, reason string) (Invocation, error) {
 	o.record(id, confirmed, reason)
 	return listed[1], o.err
 }
 
-func (o *recordedOperations) Purge(ids []string, minAge time.Duration) (int, error) {
+func (o *recordingOperations) Purge(ids []string, minAge time.Duration) (int, error) {
 	o.record(ids, minAge)
 	return 3, o.err
 }
 
-func (o *recordedOperations) Snapshot(path string) error {
+func (o *recordingOperations) Snapshot(path string) error {
 	o.record(path)
 	return o.err
 }
 
-func (o *recordedOperations) Verify() (int, error) {
+func (o *recordingOperations) Verify() (int, error) {
 	o.record()
 	return 4, o.err
 }
 
-func (o *recordedOperations) Compact() (before, after int64, err error) {
+func (o *recordingOperations) Compact() (before, after int64, err error) {
 	o.record()
 	return 6, 5, o.err
 }
 
-// serve opens a control socket for the operations, until the end of the test, and dials it.
+// serve serves the operations on a control socket until the end of the test, and returns a client of this socket.
 func serve(t *testing.T, operations Operations) Operations {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "control.sock")
@@ -73,7 +73,7 @@
 }
 
 func TestOperationsOverTheSocket(t *testing.T) {
-	local := &recordedOperations{}
+	local := &recordingOperations{}
 	remote := serve(t, local)
 
 	filter := store.Filter{Tenant: "a", DeadLetters: true, Limit: 7}
@@ -100,7 +100,7 @@
 
 	require.NoError(t, remote.Snapshot("/copy.db"))
 	assert.Equal(t, []any{"/copy.db"}, local.params)
-	assert.Error(t, remote.Snapshot("copy.db"), "not absolute")
+	assert.Error(t, remote.Snapshot("copy.db"), "the path is not absolute")
 
 	count, err := remote.Verify()
 	require.NoError(t, err)
@@ -111,8 +111,8 @@
 	assert.Equal(t, []int64{6, 5}, []int64{before, after})
 }
 
-func TestErrorsKeepTheirMeaningOverTheSocket(t *testing.T) {
-	local := &recordedOperations{}
+func TestErrorsAreRestoredOverTheSocket(t *testing.T) {
+	local := &recordingOperations{}
 	remote := serve(t, local)
 	for code, known := range errorCodes {
 		local.err = fmt.Errorf("%w: with details", known)
@@ -125,23 +125,23 @@
 	assert.EqualError(t, err, "any other")
 }
 
-func TestListenReplacesOnlyAStaleSocket(t *testing.T) {
+func TestListenReplacesOnlyStaleSockets(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control.sock")
 	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
 	stale.SetUnlinkOnClose(false)
 	stale.Close()
 	_, ok := Dial(path)
-	require.False(t, ok, "nobody listens")
-	server, err := Listen(path, &recordedOperations{})
+	require.False(t, ok, "no process listens on the socket")
+	server, err := Listen(path, &recordingOperations{})
 	require.NoError(t, err)
-	_, err = Listen(path, &recordedOperations{})
+	_, err = Listen(path, &recordingOperations{})
 	assert.ErrorContains(t, err, "another dispatcher has this control socket")
 	require.NoError(t, server.Close())
 	assert.NoFileExists(t, path)
 
 	require.NoError(t, os.WriteFile(path, []byte("kept"), 0o600))
-	_, err = Listen(path, &recordedOperations{})
+	_, err = Listen(path, &recordingOperations{})
 	assert.ErrorContains(t, err, "is no socket")
 	assert.FileExists(t, path)
 }
--- a/internal/control/operations.go
+++ b/internal/control/operations.go
@@ -12,14 +12,14 @@
 	"kitefall/internal/monotonic"
 )
 
-// RedriveFunc submits a dead letter's request again, as Operations.Redrive does.
+// RedriveFunc submits the request of a dead letter again, as Operations.Redrive does.
 type RedriveFunc func(id string, confirmed bool, reason string) (*invocation.Invocation, error)
 
-// OpenFile opens a store that no dispatcher has open. The caller must call the returned function to close it. With
-// readOnly set nothing is written, and operations that write fail. The file has to exist; errors of opening it wrap
+// OpenFile opens the store in an existing file, which no dispatcher may have open. The caller must call the returned function
+// to close the store. If readOnly is set, nothing is written, and operations that write fail. Errors of opening the file wrap
 // invocation.ErrStorage.
 func OpenFile(path string, options store.Options, readOnly bool) (Operations, func() error, error) {
-	if _, err := os.Stat(path); err != nil { // store.Open would create it
+	if _, err := os.Stat(path); err != nil { // store.Open would create a missing file
 		return nil, nil, fmt.Errorf("%w: %w", invocation.ErrStorage, err)
 	}
 	options.Durable.ReadOnly = readOnly
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var clock *monotonic.Clock // operations that only read need none
+	var clock *monotonic.Clock // operations that only read need no clock
 	if !readOnly {
 		if clock, err = s.StartClock(time.Now(), monotonic.ReadUptime()); err != nil {
 			return nil, nil, errors.Join(err, s.Close())
@@ -36,9 +36,9 @@
 	return ForStore(s, clock, nil), s.Close, nil
 }
 
-// ForStore returns the operations on an open store, which stays the caller's to close; clock is that of the store's times.
-// A running dispatcher passes its executor's clock and redrive, as the executor has to learn of the new invocation; nil
-// redrives in the store alone.
+// ForStore returns the operations on an open store, which the caller has to close; clock is the clock of the store's times. A
+// running dispatcher passes the clock and the redrive function of its executor, because the executor has to learn of the new
+// invocation. If redrive is nil, a redrive changes only the store.
 func ForStore(s *store.Store, clock *monotonic.Clock, redrive RedriveFunc) Operations {
 	if redrive == nil {
 		redrive = func(id string, confirmed bool, reason string) (*invocation.Invocation, error) {
@@ -48,7 +48,7 @@
 	return &storeOperations{store: s, clock: clock, redrive: redrive}
 }
 
-// storeOperations are the operations on an open store.
+// storeOperations implements Operations on an open store.
 type storeOperations struct {
 	store   *store.Store
 	clock   *monotonic.Clock
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxRequestBytes limits the size of a request.
+	// maxRequestBytes limits the size of a request's body.
 	maxRequestBytes = 1 << 20
 	// readHeaderTimeout limits how long the header of a request may take to arrive.
 	readHeaderTimeout = 5 * time.Second
-	// dialTimeout limits how long it may take to find out whether a dispatcher answers on a socket.
+	// dialTimeout limits how long connecting to a socket may take. If that succeeds, a dispatcher listens on the socket.
 	dialTimeout = time.Second
 	// socketMode lets only the owner open the socket.
 	socketMode = 0o600
 )
 
-// Server is an open control socket.
+// Server serves operations on a control socket.
 type Server struct {
 	http *http.Server
 	path string
 }
 
-// Listen opens the control socket at path and serves the operations on it until Close. It replaces a socket that nobody
-// listens on, as a dispatcher that was killed leaves one behind. It fails if somebody listens on the socket or if the path
-// is another kind of file.
+// Listen opens the control socket at path and serves the operations on it until Close. It replaces a socket on which no
+// process listens, because a dispatcher that was killed leaves its socket behind. It fails if a process listens on the socket
+// or if the file at path is not a socket.
 func Listen(path string, operations Operations) (*Server, error) {
 	if err := removeStaleSocket(path); err != nil {
 		return nil, err
@@ -44,13 +44,14 @@
 		mux.Handle("POST "+pathPrefix+name, serveOperation(operations, handle))
 	}
 	s := &Server{http: &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}, path: path}
-	go s.http.Serve(listener) // ended by Close
+	go s.http.Serve(listener) // returns after Close
 	return s, nil
 }
 
-// Close closes the socket, with the connections on it, and removes it.
+// Close closes the socket and the connections on it, and removes its file.
 func (s *Server) Close() error { return errors.Join(s.http.Close(), os.Remove(s.path)) }
 
+// removeStaleSocket removes the socket at path if no process listens on it.
 func removeStaleSocket(path string) error {
 	if conn, err := net.DialTimeout("unix", path, dialTimeout); err == nil {
 		conn.Close()
@@ -58,7 +59,7 @@
 	}
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // nothing is there, else listening says what is wrong
+		return nil // either there is no file, or listening fails and returns the cause
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("%s is there and is no socket", path)
@@ -66,7 +67,8 @@
 	return os.Remove(path)
 }
 
-// listenPrivate listens on a unix socket. It gets its path only after others have lost the right to open it.
+// listenPrivate listens on a unix socket that only its owner may open. The socket is renamed to its path only after its mode was
+// set, so that other users can never open it.
 func listenPrivate(path string) (net.Listener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
@@ -82,7 +84,7 @@
 	return listener, nil
 }
 
-// serveOperation answers requests for one operation.
+// serveOperation returns the HTTP handler of one operation.
 func serveOperation(operations Operations, handle operationHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var req request
@@ -101,7 +103,7 @@
 	}
 }
 
-// operationHandler calls one operation with the parameters of a request.
+// operationHandler calls one operation with the parameters of a request and returns its result as a response.
 type operationHandler func(Operations, request) (response, error)
 
 var operationHandlers = map[string]operationHandler{
@@ -122,8 +124,8 @@
 		return response{Count: count}, err
 	},
 	operationSnapshot: func(operations Operations, req request) (response, error) {
-		if !filepath.IsAbs(req.SnapshotPath) { // the dispatcher's working directory is not the client's
-			return response{}, errors.New("the snapshot's path is not absolute")
+		if !filepath.IsAbs(req.SnapshotPath) { // the client may have another working directory than the dispatcher
+			return response{}, errors.New("the path of the snapshot must be absolute")
 		}
 		return response{}, operations.Snapshot(req.SnapshotPath)
 	},
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,8 @@
-// Package metrics counts what the program decides and what it meets. The counters are published with package expvar, under
-// one name, in the form in which an operators' HTTP address can serve them; until there is one, the log shows them.
+// Package metrics counts decisions, outcomes and failures, and keeps the longest of some durations. All of them are published
+// with package expvar under one name, so that an HTTP server can serve them. No address does so yet; they are only logged.
 //
-// A counter has a name and a label, such as the status of a load order. All functions are safe for concurrent use.
+// A counter has a name and one count for each label, such as the status of a load order. All functions are safe for concurrent
+// use.
 package metrics
 
 import (
@@ -10,67 +11,72 @@
 	"strings"
 )
 
-// publishedName is the name of the counters among the variables of package expvar.
+// publishedName is the name of the variable of package expvar that holds all counters and maxima.
 const publishedName = "kitefall"
 
-// published holds the counters by name. It comes first, since each counter is published as it is made.
+// published holds the counters and maxima by name. It is declared first, because each of them is published on creation.
 var published = expvar.NewMap(publishedName)
 
-// Counter is a family of counts, one for each label.
+// Counter holds one count for each label.
 type Counter struct{ labels *expvar.Map }
 
 // The counters.
 var (
-	// Answers counts final answers, by outcome.
+	// Answers counts final answers to calls, by outcome.
 	Answers = newCounter("answers")
 	// Attempts counts attempts that have ended, by status.
 	Attempts = newCounter("attempts")
-	// ClientConnsClosed counts connections of clients that have ended, by reason.
+	// ClientConnsClosed counts closed connections of clients, by reason.
 	ClientConnsClosed = newCounter("client_conns_closed")
 	// ClockSteps counts steps of the wall clock, by direction.
 	ClockSteps = newCounter("clock_steps")
-	// Discovery counts how often discovery fell silent, and how often it was heard again.
+	// Discovery counts how often the last sync with discovery became too old (silent), and how often a sync succeeded after
+	// that (heard_again).
 	Discovery = newCounter("discovery")
-	// Leases counts leases of workers that have ended, for want of a sync or since a rejection contests them, or are live again.
+	// Leases counts leases of workers that ended because no sync or accepted call renewed them (ended), that ended because the
+	// worker rejects calls (contested), and that are valid again (renewed).
 	Leases = newCounter("leases")
 	// LoadOrders counts load orders that have ended, by status.
 	LoadOrders = newCounter("load_orders")
-	// Keepalives counts the asks and the load orders of keepalives that have ended, as asked and by status.
+	// Keepalives counts messages of keepalives to workers that have ended: queries for the number of loaded copies under the
+	// label asked, and load orders by status.
 	Keepalives = newCounter("keepalives")
 	// Polls counts polls of discovery that have ended, by outcome.
 	Polls = newCounter("polls")
-	// Refusals counts what was refused at the last moment before it would have begun, by reason.
+	// Refusals counts calls, attempts and load orders that were refused by the last check before their start, by reason.
 	Refusals = newCounter("refusals")
-	// Shortages counts what failed for want of a descriptor or port of this process, by who asked for it.
+	// Shortages counts operations that failed because this process had no descriptor or port left, by operation: accepting a
+	// client (accept), connecting to a worker (dial), and connecting to discovery (discovery).
 	Shortages = newCounter("shortages")
-	// Violations counts decisions that would have broken a rule and were stopped, by rule. Anything but zero is a fault of
-	// the program.
+	// Violations counts, by rule, decisions that were stopped because they would have broken the rule, and breaches of the
+	// rule that were found afterwards. A count above zero is a bug in the program.
 	Violations = newCounter("violations")
-	// WorkerConnsClosed counts connections to workers that have ended, by reason.
+	// WorkerConnsClosed counts closed connections to workers, by reason.
 	WorkerConnsClosed = newCounter("worker_conns_closed")
 )
 
 // The maxima.
 var (
-	// EventLag is how long an event waited for the event loop.
+	// EventLag is the longest time that an event waited for the event loop, in its queue or since its timer was due.
 	EventLag = newMaximum("event_lag")
-	// EventTime is how long the event loop was busy with one event.
+	// EventTime is the longest time that the event loop spent on one event.
 	EventTime = newMaximum("event_time")
-	// SyncAge is how old the last sync with discovery was when a poll ended.
+	// SyncAge is the highest age of the last sync with discovery at the end of a poll. The age runs from when the poll of that
+	// sync was sent.
 	SyncAge = newMaximum("sync_age")
 )
 
-// newCounter returns a counter, which is published under its name.
+// newCounter returns a new counter and publishes it under the given name.
 func newCounter(name string) *Counter {
 	c := &Counter{labels: new(expvar.Map).Init()}
 	published.Set(name, c.labels)
 	return c
 }
 
-// Add counts one more for the label.
+// Add adds one to the count of the label.
 func (c *Counter) Add(label string) { c.labels.Add(label, 1) }
 
-// AddMany counts so many more for the label.
+// AddMany adds count to the count of the label. It does nothing if count is not positive.
 func (c *Counter) AddMany(label string, count int) {
 	if count > 0 {
 		c.labels.Add(label, int64(count))
@@ -86,7 +92,7 @@
 	return count.Value()
 }
 
-// Log writes all counts and maxima that are not zero in one line, sorted by name.
+// Log writes all counts and maxima that are not zero to the log in one line, sorted by name.
 func Log() {
 	var attributes []any
 	published.Do(func(variable expvar.KeyValue) {
@@ -97,7 +103,7 @@
 	slog.Info("metrics", attributes...)
 }
 
-// valueText returns the value of a published variable for the log; empty: there is nothing to tell.
+// valueText returns the value of a published variable for the log. It is empty if nothing was counted or observed.
 func valueText(variable expvar.Var) string {
 	switch v := variable.(type) {
 	case *expvar.Map:
@@ -112,7 +118,7 @@
 	}
 }
 
-// countsText returns the counts of a counter as "label=count label=count".
+// countsText returns the counts of a counter as "label=count label=count", sorted by label.
 func countsText(labels *expvar.Map) string {
 	var parts []string
 	labels.Do(func(label expvar.KeyValue) { parts = append(parts, label.Key+"="+label.Value.String()) })
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -2,85 +2,86 @@
 
 import "kitefall/internal/balancer"
 
-// Values of settings that are words.
+// Words that are values of settings, with the key of the setting.
 const (
-	worthByWork    = "work" // worth_by
-	discoveryPoll  = "ask"  // discovery
-	weightsLive    = "live" // weights
-	whenAbsentLoad = "load" // when_absent
+	weightByWork  = "work" // worth_by
+	discoveryPoll = "ask"  // discovery
+	weightsLive   = "live" // weights
+	onMissLoad    = "load" // when_absent
 )
 
-// document is the settings object. The part that only real sockets need is connsDocument.
+// document is the settings object, without the settings that only a dispatcher on real sockets needs (see connsDocument).
 type document struct {
-	// This dispatcher among its peers.
-	Peers    int          `json:"peers_total"` // dispatchers in all, this one included
-	Position int          `json:"position"`
-	Zone     string       `json:"zone"`
-	Zones    []string     `json:"failure_domains"`
-	Step     Microseconds `json:"step_us"` // shortest time between two deliveries of events
+	// The dispatchers of the fleet, and the position of this one.
+	Dispatchers      int          `json:"peers_total"`     // number of dispatchers, including this one
+	Position         int          `json:"position"`        // of this dispatcher among them, from 0
+	Zone             string       `json:"zone"`            // of this dispatcher
+	Zones            []string     `json:"failure_domains"` // all zones
+	MinEventInterval Microseconds `json:"step_us"`         // shortest time between two deliveries of events
 
-	// What requests are worth.
-	Grades    []grade        `json:"grades"`
-	Parties   []party        `json:"parties"`
-	OverShare float64        `json:"over_share_worth"` // weight of requests beyond a tenant's quota, as a part of their class's
-	Clients   clientsSection `json:"clients"`
-	WorthBy   string         `json:"worth_by"` // worthByWork: weights count per unit of work, else per request
+	// Classes and tenants of requests, and the weights of requests.
+	Classes         []classSection  `json:"grades"`
+	Tenants         []tenantSection `json:"parties"`
+	OverQuotaWeight float64         `json:"over_share_worth"` // weight beyond a tenant's quota, as a fraction of the class's
+	Clients         clientsSection  `json:"clients"`
+	WeightBy        string          `json:"worth_by"` // weightByWork: weights count per unit of work; otherwise per request
 
 	Caps capsSection `json:"caps"`
 
-	// How endpoints are learned.
-	Discovery string `json:"discovery"` // discoveryPoll: the list is sent only on request
-	Weights   string `json:"weights"`   // weightsLive: a worker's weight falls with its load
+	// How the endpoint list is received, and its weights.
+	Discovery string `json:"discovery"` // discoveryPoll: the endpoint list is sent only on request
+	Weights   string `json:"weights"`   // weightsLive: a worker's weight falls as its load rises
 
 	Guarantees guaranteesSection `json:"guarantees"`
 	Kinds      []string          `json:"kinds"` // kinds of workers
-	Domain     domainSection     `json:"domain"`
+	Loading    loadingSection    `json:"domain"`
 }
 
-func (d *document) applyPlacement(s *balancer.Settings) {
-	s.Dispatchers = d.Peers
+func (d *document) applyPeers(s *balancer.Settings) {
+	s.Dispatchers = d.Dispatchers
 	s.Position = d.Position
 	s.Zone = d.Zone
 	s.Zones = d.Zones
-	s.MinEventInterval = d.Step.Duration()
+	s.MinEventInterval = d.MinEventInterval.Duration()
 }
 
-func (d *document) applyValue(s *balancer.Settings) {
-	for _, g := range d.Grades {
-		s.Classes = append(s.Classes, g.class())
+func (d *document) applyClassesAndTenants(s *balancer.Settings) {
+	for _, c := range d.Classes {
+		s.Classes = append(s.Classes, c.class())
 	}
-	for _, p := range d.Parties {
-		s.Tenants = append(s.Tenants, p.tenant())
+	for _, t := range d.Tenants {
+		s.Tenants = append(s.Tenants, t.tenant())
 	}
-	s.OverQuotaWeight = d.OverShare
-	s.ClientsMarkRetries = d.Clients.MarksRetry
-	s.WeightByWork = d.WorthBy == worthByWork
+	s.OverQuotaWeight = d.OverQuotaWeight
+	s.ClientsMarkRetries = d.Clients.MarkRetries
+	s.WeightByWork = d.WeightBy == weightByWork
 }
 
-func (d *document) applyEndpoints(s *balancer.Settings) {
+func (d *document) applyDiscovery(s *balancer.Settings) {
 	s.PollEndpoints = d.Discovery == discoveryPoll
 	s.LiveWeights = d.Weights == weightsLive
 }
 
-// memoryByKind joins the list of kinds with the list of their memory, in MB. Kinds without a value are left out.
+// memoryByKind returns the memory of each kind of worker, in MB. The settings hold the kinds and their memory as two lists in the
+// same order. Kinds without a value are left out.
 func (d *document) memoryByKind() map[string]float64 {
 	memory := map[string]float64{}
 	for i, kind := range d.Kinds {
-		if i < len(d.Domain.MemoryMB) {
-			memory[kind] = d.Domain.MemoryMB[i]
+		if i < len(d.Loading.MemoryMB) {
+			memory[kind] = d.Loading.MemoryMB[i]
 		}
 	}
 	return memory
 }
 
-// connsDocument is the part of the settings object that only a dispatcher on real sockets needs. It is decoded apart, so
-// that no error in it can stop the simulator.
+// connsDocument is the part of the settings object that only a dispatcher on real sockets needs. It is decoded separately, so
+// that errors in this part do not make the settings of the simulator invalid.
 type connsDocument struct {
 	Caps struct {
-		IdleClose  Microseconds `json:"idle_close_us"` // workers close idle connections after this
+		IdleClose  Microseconds `json:"idle_close_us"` // workers close a connection that was idle for this long
 		MaxStreams int          `json:"max_streams"`   // concurrent calls on one connection
 	} `json:"caps"`
 	Prices struct {
-		Handshake float64 `json:"handshake"` // cost of a new connection, as a part of the weight of a call
+		HandshakeCost float64 `json:"handshake"` // cost of a new connection, as a fraction of the weight of a call
 	} `json:"prices"`
 }
--- a/internal/settings/requests.go
+++ b/internal/settings/requests.go
@@ -2,50 +2,52 @@
 
 import "kitefall/internal/balancer"
 
-// Words for the effect of repeating a request. Any other, such as side_effect, means that it must not run twice.
+// Values of the key effect, which says whether a request may be repeated. Any other value, such as side_effect, means that the
+// request must not run twice.
 const (
 	effectPure  = "pure"  // idempotent
-	effectToken = "token" // idempotent with a key
+	effectToken = "token" // idempotent with an idempotency key
 )
 
-// Words for the workers that share the keys which they have seen. Any other means all workers.
+// Values of the key group, which says which workers share the idempotency keys that they have seen. Any other value means all
+// workers.
 const (
-	groupZone = "zone"
-	groupCell = "cell"
+	dedupScopeZone = "zone"
+	dedupScopeCell = "cell"
 )
 
-// grade is an entry of the section grades: one class of requests.
-type grade struct {
+// classSection is an entry of the settings' list "grades": one class of requests.
+type classSection struct {
 	Name             string       `json:"name"`
-	Weight           float64      `json:"credit"`     // of an answer within the latency objective
-	LateWeight       float64      `json:"late_value"` // part of the weight of an answer between objective and deadline
+	Weight           float64      `json:"credit"`     // weight of an answer within LatencyObjective
+	LateWeight       float64      `json:"late_value"` // fraction of Weight for an answer between LatencyObjective and Deadline
 	LatencyObjective Microseconds `json:"goal_time_us"`
-	ObjectiveStretch float64      `json:"aim_stretch"` // the objective grows by this multiple of the request's work
-	Deadline         Microseconds `json:"deadline_us"` // over all attempts of a request
+	ObjectiveStretch float64      `json:"aim_stretch"` // LatencyObjective grows by this multiple of the request's work estimate
+	Deadline         Microseconds `json:"deadline_us"` // for all attempts of a request together
 	Effect           string       `json:"effect"`      // effectPure, effectToken
-	Group            string       `json:"group"`       // groupZone, groupCell; with effectToken only
-	DedupWindow      Microseconds `json:"window_us"`   // how long repeats are dropped; with effectToken only
-	Streaming        bool         `json:"stream"`
+	DedupScope       string       `json:"group"`       // dedupScopeZone, dedupScopeCell; only with effectToken
+	DedupWindow      Microseconds `json:"window_us"`   // how long repeats are dropped; only with effectToken
+	Streaming        bool         `json:"stream"`      // answers are streamed
 }
 
-func (g grade) class() balancer.Class {
+func (c classSection) class() balancer.Class {
 	return balancer.Class{
-		Name:             g.Name,
-		Weight:           g.Weight,
-		LateWeight:       g.LateWeight,
-		LatencyObjective: g.LatencyObjective.Duration(),
-		ObjectiveStretch: g.ObjectiveStretch,
-		Deadline:         g.Deadline.Duration(),
-		Idempotency:      g.idempotency(),
-		DedupScope:       g.dedupScope(),
-		DedupWindow:      g.DedupWindow.Duration(),
-		Streaming:        g.Streaming,
+		Name:             c.Name,
+		Weight:           c.Weight,
+		LateWeight:       c.LateWeight,
+		LatencyObjective: c.LatencyObjective.Duration(),
+		ObjectiveStretch: c.ObjectiveStretch,
+		Deadline:         c.Deadline.Duration(),
+		Idempotency:      c.idempotency(),
+		DedupScope:       c.dedupScope(),
+		DedupWindow:      c.DedupWindow.Duration(),
+		Streaming:        c.Streaming,
 	}
 }
 
-// idempotency takes unknown effects for not idempotent, which is the safe choice.
-func (g grade) idempotency() balancer.Idempotency {
-	switch g.Effect {
+// idempotency returns NotIdempotent for an unknown effect, which is the safe choice.
+func (c classSection) idempotency() balancer.Idempotency {
+	switch c.Effect {
 	case effectPure:
 		return balancer.Idempotent
 	case effectToken:
@@ -55,29 +57,29 @@
 	}
 }
 
-func (g grade) dedupScope() balancer.DedupScope {
-	switch g.Group {
-	case groupZone:
+func (c classSection) dedupScope() balancer.DedupScope {
+	switch c.DedupScope {
+	case dedupScopeZone:
 		return balancer.DedupZone
-	case groupCell:
+	case dedupScopeCell:
 		return balancer.DedupCell
 	default:
 		return balancer.DedupFleet
 	}
 }
 
-// party is an entry of the section parties: one tenant.
-type party struct {
+// tenantSection is an entry of the settings' list "parties": one tenant.
+type tenantSection struct {
 	Name      string  `json:"name"`
-	Quota     float64 `json:"share"`           // share of the fleet's capacity
-	RateQuota float64 `json:"allowance_per_s"` // requests per second within the quota, over all dispatchers
+	Quota     float64 `json:"share"`           // fraction of the fleet's capacity
+	RateQuota float64 `json:"allowance_per_s"` // requests per second within the quota, at all dispatchers together
 }
 
-func (p party) tenant() balancer.Tenant {
-	return balancer.Tenant{Name: p.Name, Quota: p.Quota, RateQuota: p.RateQuota}
+func (t tenantSection) tenant() balancer.Tenant {
+	return balancer.Tenant{Name: t.Name, Quota: t.Quota, RateQuota: t.RateQuota}
 }
 
-// clientsSection says how clients behave.
+// clientsSection describes the behavior of clients.
 type clientsSection struct {
-	MarksRetry bool `json:"marks_retry"` // clients mark their retries
+	MarkRetries bool `json:"marks_retry"` // clients mark their retries
 }
--- a/internal/settings/sections.go
+++ b/internal/settings/sections.go
@@ -2,36 +2,38 @@
 
 import "kitefall/internal/balancer"
 
-// capsSection says what the dispatcher may do, and how much of it.
+// capsSection holds what the dispatcher may do, and limits on it.
 type capsSection struct {
-	Cancel        bool         `json:"cancel"`
-	Hedging       bool         `json:"second_copies"` // two attempts of one request may be in flight
-	MaxAttempts   int          `json:"try_limit"`
-	MaxInFlight   int          `json:"open_cap"`
-	RetryAfter    bool         `json:"retry_after"` // rejections may carry a time to retry after
-	MaxRetryAfter Microseconds `json:"max_retry_after_us"`
-	DialTimeout   Microseconds `json:"dial_timeout_us"`
+	CanCancel      bool         `json:"cancel"`             // attempts may be cancelled
+	Hedging        bool         `json:"second_copies"`      // two attempts of one request may be in flight at a time
+	MaxAttempts    int          `json:"try_limit"`          // attempts of one request
+	MaxInFlight    int          `json:"open_cap"`           // requests in flight
+	SendRetryAfter bool         `json:"retry_after"`        // rejections may tell the client after which time to retry
+	MaxRetryAfter  Microseconds `json:"max_retry_after_us"` // longest time to retry after
+	DialTimeout    Microseconds `json:"dial_timeout_us"`    // for a connection to a worker
 }
 
 func (c *capsSection) apply(s *balancer.Settings) {
-	s.CanCancel = c.Cancel
+	s.CanCancel = c.CanCancel
 	s.Hedging = c.Hedging
 	s.MaxAttempts = c.MaxAttempts
 	s.MaxInFlight = c.MaxInFlight
-	s.SendRetryAfter = c.RetryAfter
+	s.SendRetryAfter = c.SendRetryAfter
 	s.MaxRetryAfter = c.MaxRetryAfter.Duration()
 	s.DialTimeout = c.DialTimeout.Duration()
 }
 
-// guaranteesSection says what the dispatcher may rely on.
+// guaranteesSection holds limits of the platform that the dispatcher may rely on.
 type guaranteesSection struct {
-	PollTimeout       Microseconds `json:"ask_within_us"`      // longest silence of the endpoint list before it counts as known
-	SlowStartFloor    float64      `json:"cold_from"`          // share of its capacity that a worker starts with, at least
-	SlowStartDuration Microseconds `json:"ramp_time_us"`       // a worker has its full capacity after this
-	DrainGrace        Microseconds `json:"drain_grace_us"`     // time that a draining worker has for its requests
-	OverloadMultiple  float64      `json:"fall_multiple"`      // more than this multiple of its capacity ...
-	OverloadWindow    Microseconds `json:"fall_us"`            // ... for this long makes a worker that is warming up fail
-	AnswerGrace       Microseconds `json:"grace_to_answer_us"` // an answer counts as in time this long past the deadline
+	// PollTimeout applies with discoveryPoll: after this time without an update, at the latest, the endpoint list counts as known.
+	PollTimeout       Microseconds `json:"ask_within_us"`
+	SlowStartFloor    float64      `json:"cold_from"`      // least fraction of its capacity that a starting worker has
+	SlowStartDuration Microseconds `json:"ramp_time_us"`   // a worker has its full capacity this long after its start
+	DrainGrace        Microseconds `json:"drain_grace_us"` // time that a draining worker has to answer its requests
+	// A worker that is warming up fails if its load exceeds OverloadMultiple times its capacity for OverloadWindow.
+	OverloadMultiple float64      `json:"fall_multiple"`
+	OverloadWindow   Microseconds `json:"fall_us"`
+	AnswerGrace      Microseconds `json:"grace_to_answer_us"` // a final answer is in time until this long after the deadline
 }
 
 func (g *guaranteesSection) apply(s *balancer.Settings) {
@@ -44,28 +46,28 @@
 	s.AnswerGrace = g.AnswerGrace.Duration()
 }
 
-// domainSection describes how functions are loaded by workers.
-type domainSection struct {
+// loadingSection describes how workers load functions.
+type loadingSection struct {
 	LoadOrders        bool         `json:"placement_calls"`     // the dispatcher may order loads and unloads
-	WhenAbsent        string       `json:"when_absent"`         // whenAbsentLoad: a worker loads a function that it lacks
-	IdleTTL           Microseconds `json:"keep_alive_us"`       // how long an idle copy stays loaded
-	LoadTimeout       Microseconds `json:"answer_within_us"`    // a load order is answered within this
-	LoadBurst         float64      `json:"load_floor"`          // load orders allowed within a period, at least ...
-	LoadRatio         float64      `json:"loads_per_request"`   // ... plus this many for each request of the period
-	LoadWindow        Microseconds `json:"load_period_us"`      // 0: load orders are not limited
-	ReportsWarmth     bool         `json:"tells_warm"`          // outcomes say whether the function was loaded
-	ReportsQueueDepth bool         `json:"notes_peers_in_hand"` // outcomes say how many requests the function had
-	MemoryMB          []float64    `json:"ram_mb_by_kind"`      // in the order of the list of kinds
+	OnMiss            string       `json:"when_absent"`         // onMissLoad: a worker that lacks a function loads it by itself
+	IdleTTL           Microseconds `json:"keep_alive_us"`       // an idle copy is unloaded after this time
+	LoadTimeout       Microseconds `json:"answer_within_us"`    // a load order is answered within this time
+	LoadBurst         float64      `json:"load_floor"`          // load budget: orders allowed within LoadWindow ...
+	LoadRatio         float64      `json:"loads_per_request"`   // ... plus this many for each request in this window
+	LoadWindow        Microseconds `json:"load_period_us"`      // 0: load orders are not budgeted
+	ReportsWarmth     bool         `json:"tells_warm"`          // outcomes say whether the function was loaded at the worker
+	ReportsQueueDepth bool         `json:"notes_peers_in_hand"` // outcomes say how many requests the function had at the worker
+	MemoryMB          []float64    `json:"ram_mb_by_kind"`      // memory of each kind of worker, in the order of document.Kinds
 }
 
-func (d *domainSection) apply(s *balancer.Settings) {
-	s.LoadOrders = d.LoadOrders
-	s.LoadOnMiss = d.WhenAbsent == whenAbsentLoad
-	s.IdleTTL = d.IdleTTL.Duration()
-	s.LoadTimeout = d.LoadTimeout.Duration()
-	s.LoadBurst = d.LoadBurst
-	s.LoadRatio = d.LoadRatio
-	s.LoadWindow = d.LoadWindow.Duration()
-	s.ReportsWarmth = d.ReportsWarmth
-	s.ReportsQueueDepth = d.ReportsQueueDepth
+func (l *loadingSection) apply(s *balancer.Settings) {
+	s.LoadOrders = l.LoadOrders
+	s.LoadOnMiss = l.OnMiss == onMissLoad
+	s.IdleTTL = l.IdleTTL.Duration()
+	s.LoadTimeout = l.LoadTimeout.Duration()
+	s.LoadBurst = l.LoadBurst
+	s.LoadRatio = l.LoadRatio
+	s.LoadWindow = l.LoadWindow.Duration()
+	s.ReportsWarmth = l.ReportsWarmth
+	s.ReportsQueueDepth = l.ReportsQueueDepth
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"kitefall/internal/balancer"
 )
 
-// fullDocument sets every key that the package knows, each to a value of its own.
+// fullDocument sets every key that the package decodes, each to a different value.
 const fullDocument = `{
 	"peers_total": 3, "position": 2, "zone": "z2", "failure_domains": ["z1", "z2"], "step_us": 11,
 	"grades": [
@@ -73,9 +73,9 @@
 		_, err := Parse([]byte(text))
 		assert.Error(t, err, "%q", text)
 	}
-	onlySockets := []byte(`{"caps":{"max_streams":"many"}}`)
-	_, err := Parse(onlySockets)
-	assert.NoError(t, err, "the simulator has no sockets")
-	_, err = ParseConns(onlySockets)
+	invalidConns := []byte(`{"caps":{"max_streams":"many"}}`)
+	_, err := Parse(invalidConns)
+	assert.NoError(t, err, "Parse does not decode the settings of connections")
+	_, err = ParseConns(invalidConns)
 	assert.Error(t, err)
 }
