--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -38,8 +38,7 @@
 	// Evacuate starts an evacuation: the process closes its clients' connections by the schedule of package drain. It is no
 	// error if an evacuation is in progress.
 	Evacuate() error
-	// Rejoin ends an evacuation: the process accepts clients again. It is no error if no evacuation is in
-	// progress.
+	// Rejoin ends an evacuation: the process accepts clients again. It is no error if no evacuation is in progress.
 	Rejoin() error
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,8 @@
 	defaultIdleTimeout = time.Hour // after which workers are assumed to close idle connections
 )
 
-// Config is the configuration of a dispatcher. Fields with a JSON key hold the values of the file; Read sets the others.
+// Config is the configuration of a dispatcher. Fields with a JSON key hold the values of the file; Read derives the
+// others from them and from the keys of the file.
 type Config struct {
 	Name             string                  `json:"name"`
 	Listen           string                  `json:"listen"` // address for clients
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,7 +14,7 @@
 	"kitefall/internal/invocation/store"
 )
 
-// maxErrorText limits how many bytes of a response with an unexpected status an error quotes.
+// maxErrorText limits how many bytes of a response's body are quoted in the error for an unexpected status.
 const maxErrorText = 200
 
 // errNoInvocation means that the dispatcher's response does not hold exactly one invocation, as the operation requires.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -67,8 +67,8 @@
 	return os.Remove(path)
 }
 
-// listenPrivate listens on a unix socket that only its owner may open. The socket is renamed to its path only after its mode was
-// set, so that other users can never open it.
+// listenPrivate listens on a unix socket that only its owner may open. The socket is created under a
+// temporary name and gets its path after its mode is set, so that other users can never open it at this path.
 func listenPrivate(path string) (net.Listener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -51,7 +51,7 @@
 	// Violations counts, by rule, decisions that were stopped because they would have broken the rule, and breaches of the
 	// rule that were found afterwards. A count above zero is a bug in the program.
 	Violations = newCounter("violations")
-	// WorkerConnsClosed counts closed connections to workers, by reason.
+	// WorkerConnsClosed counts connections to workers that were closed or could not be opened, by reason.
 	WorkerConnsClosed = newCounter("worker_conns_closed")
 )
 
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -22,7 +22,7 @@
 	// Classes and tenants of requests, and the weights of requests.
 	Classes         []classSection  `json:"grades"`
 	Tenants         []tenantSection `json:"parties"`
-	OverQuotaWeight float64         `json:"over_share_worth"` // weight beyond a tenant's quota, as a fraction of the class's
+	OverQuotaWeight float64         `json:"over_share_worth"` // weight beyond a tenant's quota, as a fraction of the class's weight
 	Clients         clientsSection  `json:"clients"`
 	WeightBy        string          `json:"worth_by"` // weightByWork: weights count per unit of work; otherwise per request
 
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -11,32 +11,32 @@
 	"kitefall/internal/settings"
 )
 
-// Decoder decodes batches. It keeps the numbered worker lists that events refer to. It is not safe for concurrent use.
+// Decoder decodes batches. It stores the numbered worker lists to which events refer. It is not safe for concurrent use.
 type Decoder struct {
 	lists map[int][]balancer.Worker
 }
 
-// NewDecoder returns a Decoder that knows no lists.
+// NewDecoder returns a Decoder without worker lists.
 func NewDecoder() *Decoder { return &Decoder{lists: map[int][]balancer.Worker{}} }
 
-// Decode decodes one line. A line that is no batch, or starts a dispatcher with invalid settings, is an error; unknown
-// fields are ignored.
+// Decode decodes one line. It fails if the line is not a batch or starts a dispatcher with invalid settings. Unknown fields are
+// ignored.
 func (d *Decoder) Decode(line []byte) (Batch, error) {
 	var raw struct {
 		Clock  *settings.Microseconds `json:"clock_us"`
-		Events *[]message             `json:"events"`
+		Events *[]inputMessage        `json:"events"`
 	}
 	if err := json.Unmarshal(line, &raw); err != nil {
-		return Batch{}, fmt.Errorf("not a batch: %w", err)
+		return Batch{}, fmt.Errorf("the line is not a batch: %w", err)
 	}
 	if raw.Clock == nil || raw.Events == nil {
-		return Batch{}, errors.New("not a batch: clock_us or events is missing")
+		return Batch{}, errors.New("the line is not a batch: clock_us or events is missing")
 	}
 	batch := Batch{Clock: raw.Clock.Duration()}
 	for i := range *raw.Events {
 		m := &(*raw.Events)[i]
 		if m.Name == messageCatalog {
-			d.lists[m.ListNumber] = decodeWorkers(m.Members)
+			d.lists[m.ListNumber] = decodeWorkers(m.Entries)
 			continue
 		}
 		event, err := d.decodeEvent(m)
@@ -48,13 +48,13 @@
 	return batch, nil
 }
 
-func (d *Decoder) decodeEvent(m *message) (Event, error) {
+func (d *Decoder) decodeEvent(m *inputMessage) (Event, error) {
 	event := Event{Dispatcher: m.Dispatcher}
 	switch m.Name {
 	case messageUp:
 		s, err := settings.Parse(m.Settings)
 		if err != nil {
-			return Event{}, fmt.Errorf("settings of dispatcher %d: %w", m.Dispatcher, err)
+			return Event{}, fmt.Errorf("invalid settings of dispatcher %d: %w", m.Dispatcher, err)
 		}
 		event.Up = &Up{Seed: decodeSeed(m.Seed), Settings: s}
 	case messageHalt:
@@ -66,7 +66,7 @@
 }
 
 // decodeBalancerEvent returns nil for an unknown message.
-func (d *Decoder) decodeBalancerEvent(m *message) balancer.Event {
+func (d *Decoder) decodeBalancerEvent(m *inputMessage) balancer.Event {
 	switch m.Name {
 	case messageBackendsChanged:
 		return d.decodeEndpoints(m)
@@ -87,8 +87,8 @@
 	}
 }
 
-// decodeEndpoints returns nil where the scope is unknown.
-func (d *Decoder) decodeEndpoints(m *message) balancer.Event {
+// decodeEndpoints returns nil for an unknown scope.
+func (d *Decoder) decodeEndpoints(m *inputMessage) balancer.Event {
 	scope, known := updateScopes[m.Scope]
 	switch {
 	case !known:
@@ -100,7 +100,7 @@
 	}
 }
 
-func (m *message) requestEvent() balancer.RequestEvent {
+func (m *inputMessage) requestEvent() balancer.RequestEvent {
 	tenant, _ := m.Tenant.(string)
 	return balancer.RequestEvent{
 		ID:           m.RequestID,
@@ -116,7 +116,7 @@
 	}
 }
 
-func (m *message) outcomeEvent() balancer.OutcomeEvent {
+func (m *inputMessage) outcomeEvent() balancer.OutcomeEvent {
 	return balancer.OutcomeEvent{
 		ID:         m.RequestID,
 		Attempt:    m.Attempt,
@@ -129,7 +129,7 @@
 	}
 }
 
-func (m *message) loadEndedEvent() balancer.LoadEndedEvent {
+func (m *inputMessage) loadEndedEvent() balancer.LoadEndedEvent {
 	return balancer.LoadEndedEvent{
 		Worker:   m.Worker,
 		Function: m.Function,
@@ -139,7 +139,7 @@
 	}
 }
 
-// decodeSeed accepts signed and unsigned integers of 64 bits. Anything else counts as 0.
+// decodeSeed decodes a signed or unsigned integer of 64 bits. For any other value it returns 0.
 func decodeSeed(n json.Number) uint64 {
 	if unsigned, err := strconv.ParseUint(n.String(), 10, 64); err == nil {
 		return unsigned
@@ -148,29 +148,30 @@
 	return uint64(signed)
 }
 
-func decodeWorkers(members []member) []balancer.Worker {
-	workers := make([]balancer.Worker, 0, len(members))
-	for _, m := range members {
+func decodeWorkers(entries []listEntry) []balancer.Worker {
+	workers := make([]balancer.Worker, 0, len(entries))
+	for _, entry := range entries {
 		worker := balancer.Worker{
-			ID:      m.ID,
-			State:   m.state(),
-			Kind:    m.Kind,
-			Zone:    m.Zone,
-			Cell:    m.Cell,
+			ID:      entry.ID,
+			State:   entry.state(),
+			Kind:    entry.Kind,
+			Zone:    entry.Zone,
+			Cell:    entry.Cell,
 			Weight:  1,
-			Started: m.StartedAt.Duration(),
+			Started: entry.StartedAt.Duration(),
 		}
-		if m.Weight != nil {
-			worker.Weight = *m.Weight
+		if entry.Weight != nil {
+			worker.Weight = *entry.Weight
 		}
 		workers = append(workers, worker)
 	}
 	return workers
 }
 
-// state takes an unknown condition for draining: no new requests, but those in flight go on.
-func (m *member) state() balancer.WorkerState {
-	switch m.Condition {
+// state returns the state for the condition. An unknown condition counts as draining: the worker gets no new requests, but those
+// in flight continue.
+func (e *listEntry) state() balancer.WorkerState {
+	switch e.Condition {
 	case "healthy":
 		return balancer.Ready
 	case "deregistered":
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -8,7 +8,7 @@
 	"kitefall/internal/balancer"
 )
 
-// decodeEvents decodes a batch with the given events, which are joined by commas.
+// decodeEvents decodes a batch with the given events, which are separated by commas.
 func decodeEvents(t *testing.T, decoder *Decoder, events string) []Event {
 	t.Helper()
 	batch, err := decoder.Decode([]byte(`{"clock_us":8412250,"more":1,"events":[` + events + `]}`))
@@ -57,7 +57,7 @@
 		}
 	}
 	if got := decodeEvents(t, decoder, `{"msg":"halt","dispatcher":3}`); !got[0].Halt {
-		t.Error("halt not seen")
+		t.Error("message halt did not set Halt")
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestDecodeRejectsOtherLines(t *testing.T) {
+func TestDecodeRejectsInvalidLines(t *testing.T) {
 	for _, line := range []string{"", "{", "[]", "{}", `{"clock_us":1}`, `{"events":[]}`,
 		`{"clock_us":"x","events":[]}`} {
 		if _, err := NewDecoder().Decode([]byte(line)); err == nil {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -9,7 +9,7 @@
 	"kitefall/internal/settings"
 )
 
-// The messages that the simulator understands.
+// Names of the messages to the simulator.
 const (
 	messageCallOut       = "call_out"       // forwards a request to a worker
 	messageRevoke        = "revoke"         // cancels an attempt
@@ -18,14 +18,14 @@
 	messageStartCopy     = "start_copy"     // orders a worker to load a function
 	messageUnmount       = "unmount"        // orders a worker to unload a function
 	messageSleep         = "sleep"          // sets a timer
-	messageStreamChanges = "stream_changes" // asks for changes of the endpoint list, or no more of them
-	messagePull          = "pull"           // asks for the whole endpoint list
+	messageStreamChanges = "stream_changes" // subscribes to changes of the endpoint list, or ends the subscription
+	messagePull          = "pull"           // asks for the whole endpoint list once
 	messageWriteLog      = "write_log"      // writes a line to the log
 )
 
-// step is the union of all messages to the simulator. Each kind of action sets its own fields; pointers tell a zero, which
-// is written, from an absent field.
-type step struct {
+// outputMessage holds any message to the simulator. Each message sets only its own fields. Fields whose zero value must be
+// written are pointers: nil leaves the field out.
+type outputMessage struct {
 	Name       string                 `json:"msg"`
 	Dispatcher int64                  `json:"dispatcher"`
 	RequestID  *balancer.RequestID    `json:"msg_id,omitempty"`
@@ -41,53 +41,53 @@
 	Text       *string                `json:"text,omitempty"`
 }
 
-// reply is one line of output.
+// reply is one line to the simulator.
 type reply struct {
-	Steps []step `json:"steps"`
+	Messages []outputMessage `json:"steps"`
 }
 
-// Encoder collects the actions that answer one batch. Its zero value is ready to use. It is not safe for concurrent use.
-type Encoder struct{ steps []step }
+// Encoder collects the actions for one batch and encodes them. Its zero value is ready to use. It is not safe for concurrent use.
+type Encoder struct{ messages []outputMessage }
 
-// Add appends the actions of one dispatcher. Actions without a meaning in the simulator are left out.
+// Add adds the actions of one dispatcher. Actions for which the simulator has no message are left out.
 func (e *Encoder) Add(dispatcher int64, actions []balancer.Action) {
 	for _, action := range actions {
-		if s, ok := encodeAction(action); ok {
-			s.Dispatcher = dispatcher
-			e.steps = append(e.steps, s)
+		if message, ok := encodeAction(action); ok {
+			message.Dispatcher = dispatcher
+			e.messages = append(e.messages, message)
 		}
 	}
 }
 
-// encodeAction returns the message for an action, without its dispatcher, and whether there is one.
-func encodeAction(action balancer.Action) (step, bool) {
+// encodeAction returns the message for an action, without its dispatcher. It returns false if there is none.
+func encodeAction(action balancer.Action) (outputMessage, bool) {
 	switch a := action.(type) {
 	case balancer.Send:
-		return step{Name: messageCallOut, RequestID: &a.ID, Worker: a.Worker, Timeout: microseconds(a.Timeout)}, true
+		return outputMessage{Name: messageCallOut, RequestID: &a.ID, Worker: a.Worker, Timeout: microseconds(a.Timeout)}, true
 	case balancer.Cancel:
-		return step{Name: messageRevoke, RequestID: &a.ID, Attempt: &a.Attempt}, true
+		return outputMessage{Name: messageRevoke, RequestID: &a.ID, Attempt: &a.Attempt}, true
 	case balancer.Reject:
-		s := step{Name: messagePushBack, RequestID: &a.ID}
+		message := outputMessage{Name: messagePushBack, RequestID: &a.ID}
 		if a.RetryAfter > 0 {
-			s.RetryAfter = microseconds(a.RetryAfter)
+			message.RetryAfter = microseconds(a.RetryAfter)
 		}
-		return s, true
+		return message, true
 	case balancer.Fail:
-		return step{Name: messageSurrender, RequestID: &a.ID}, true
+		return outputMessage{Name: messageSurrender, RequestID: &a.ID}, true
 	case balancer.Load:
-		return step{Name: messageStartCopy, Worker: a.Worker, Function: &a.Function, Copies: &a.Copies}, true
+		return outputMessage{Name: messageStartCopy, Worker: a.Worker, Function: &a.Function, Copies: &a.Copies}, true
 	case balancer.Unload:
-		return step{Name: messageUnmount, Worker: a.Worker, Function: &a.Function}, true
+		return outputMessage{Name: messageUnmount, Worker: a.Worker, Function: &a.Function}, true
 	case balancer.SetTimer:
-		return step{Name: messageSleep, TimerAfter: microseconds(a.After), TimerID: &a.TimerID}, true
+		return outputMessage{Name: messageSleep, TimerAfter: microseconds(a.After), TimerID: &a.TimerID}, true
 	case balancer.Watch:
-		return step{Name: messageStreamChanges, WatchOn: &a.On}, true
+		return outputMessage{Name: messageStreamChanges, WatchOn: &a.On}, true
 	case balancer.Fetch:
-		return step{Name: messagePull}, true
+		return outputMessage{Name: messagePull}, true
 	case balancer.Log:
-		return step{Name: messageWriteLog, Text: &a.Text}, true
+		return outputMessage{Name: messageWriteLog, Text: &a.Text}, true
 	default:
-		return step{}, false
+		return outputMessage{}, false
 	}
 }
 
@@ -96,15 +96,15 @@
 	return &m
 }
 
-// Reply returns the line for all actions added since the last call, with its newline.
+// Reply returns the line with all actions that were added since the last call of Reply, including its newline.
 func (e *Encoder) Reply() ([]byte, error) {
-	if e.steps == nil {
-		e.steps = []step{} // encoded as an empty array, not as null
+	if e.messages == nil {
+		e.messages = []outputMessage{} // encoded as an empty array, not as null
 	}
 	var line bytes.Buffer
 	encoder := json.NewEncoder(&line)
 	encoder.SetEscapeHTML(false)
-	err := encoder.Encode(reply{e.steps})
-	e.steps = e.steps[:0]
+	err := encoder.Encode(reply{e.messages})
+	e.messages = e.messages[:0]
 	return line.Bytes(), err
 }
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -49,6 +49,6 @@
 func TestEncodeReplyWithoutActions(t *testing.T) {
 	var encoder Encoder
 	if got, _ := encoder.Reply(); string(got) != "{\"steps\":[]}\n" {
-		t.Errorf("empty reply %q", got)
+		t.Errorf("reply without actions: %q", got)
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire implements the wire protocol of the simulator. The simulator sends one JSON line for each batch of
-// events, for many dispatchers at one moment, and reads one JSON line with all actions that answer it. Decoder and Encoder
-// translate these lines to and from the types of package balancer (source: simulator protocol).
+// Package simwire implements the wire protocol of the simulator. For each batch, which holds the events of many dispatchers at
+// one time, the simulator sends one JSON line and reads one JSON line with all actions in response. Decoder and Encoder translate
+// these lines to and from the types of package balancer (source: simulator protocol).
 package simwire
 
 import (
@@ -9,21 +9,21 @@
 	"kitefall/internal/balancer"
 )
 
-// Batch is one line of input: the events of many dispatchers at one moment.
+// Batch is one line from the simulator: the events of many dispatchers at one time.
 type Batch struct {
-	Clock  time.Duration // the simulator's time
+	Clock  time.Duration // the simulator's time of the events
 	Events []Event
 }
 
-// Event is one event of a batch. At most one of Up, Halt and Event is set; an unknown message sets none.
+// Event is one event of a batch. At most one of Up, Halt and Event is set; none is set for an unknown message.
 type Event struct {
 	Dispatcher int64
-	Up         *Up
+	Up         *Up  // the dispatcher starts
 	Halt       bool // the dispatcher ends
 	Event      balancer.Event
 }
 
-// Up starts a dispatcher.
+// Up holds the parameters with which a dispatcher starts.
 type Up struct {
 	Seed     uint64
 	Settings balancer.Settings
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -7,10 +7,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// findKeyLines returns the line at which each key is set first and each table begins first. The TOML package does not tell
-// these. It is enough to understand the usual forms: what is missed only leaves an error without its line.
+// findKeyLines returns the number of the first line that sets each key or begins each table, by full name. The TOML package does
+// not report these lines. Only the usual forms are recognized; an error about a key in any other form does not name its line.
 func findKeyLines(text string) map[string]int {
-	found := map[string]int{}
+	lines := map[string]int{}
 	var table []string
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -25,21 +25,22 @@
 			}
 			name = slices.Concat(table, key)
 		}
-		if joined := toml.Key(name).String(); found[joined] == 0 {
-			found[joined] = i + 1
+		if fullName := toml.Key(name).String(); lines[fullName] == 0 {
+			lines[fullName] = i + 1
 		}
 	}
-	return found
+	return lines
 }
 
-// parseTableHeader parses the name in a table's header, or in the header of an array's element, after its first bracket.
+// parseTableHeader parses the name in the header of a table or of an element of an array of tables. header begins after the first
+// bracket.
 func parseTableHeader(header string) []string {
 	return parseKey(strings.Trim(strings.TrimLeft(header, "["), " "), ']')
 }
 
-// parseKey splits a key at the dots outside of quotes. The key ends before the first mark outside of quotes; without a
-// mark the result is nil.
-func parseKey(text string, mark byte) []string {
+// parseKey splits a key at the dots outside of quotes. The key ends before the first terminator outside of quotes; without a
+// terminator the result is nil.
+func parseKey(text string, terminator byte) []string {
 	var parts []string
 	var part strings.Builder
 	var quote byte // 0 outside of quotes
@@ -51,7 +52,7 @@
 			part.WriteByte(c)
 		case c == '"' || c == '\'':
 			quote = c
-		case c == mark:
+		case c == terminator:
 			return append(parts, strings.TrimSpace(part.String()))
 		case c == '.':
 			parts = append(parts, strings.TrimSpace(part.String()))
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads operators' files in TOML, with every error at its line. A key that the program does not know is
-// an error: a misspelt limit would silently be none.
+// Package tomlfile reads operators' files in TOML. Errors name the line in the file, where it is known. An unknown key is an
+// error, because a misspelled limit would otherwise silently have no effect.
 package tomlfile
 
 import (
@@ -10,15 +10,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// File is a file that was read.
+// File is a decoded file, with the line of each of its keys.
 type File struct {
 	path     string
 	keyLines map[string]int // line of each key and table, by its full name as toml.Key writes it
 	meta     toml.MetaData
 }
 
-// Read decodes the file at path into v, which has to be a pointer. The error joins one error for each unknown key, each
-// with its line; File is not nil then. All other errors stop the decoding.
+// Read decodes the file at path into v, which must be a pointer. Unknown keys do not stop the decoding: Read then returns the
+// File and an error that joins one error for each unknown key, with its line. After any other error the File is nil.
 func Read(path string, v any) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return f, err
 }
 
-// decodeError adds the path to an error of the decoder, and the line and the key where they are known.
+// decodeError adds the path to an error of the decoder, and the line and the key if they are known.
 func decodeError(path string, err error) error {
 	var parseError toml.ParseError
 	if !errors.As(err, &parseError) {
@@ -51,7 +51,8 @@
 // Has reports whether the file sets a key.
 func (f *File) Has(key ...string) bool { return f.meta.IsDefined(key...) }
 
-// Errorf returns an error about a key, with the line that sets it, or else that of the innermost table it is missing from.
+// Errorf returns an error about a key. It names the line that sets the key, or, if the key is missing, the line of the innermost
+// enclosing table that the file has.
 func (f *File) Errorf(message string, key ...string) error {
 	for length := len(key); length > 0; length-- {
 		if line := f.keyLines[toml.Key(key[:length]).String()]; line > 0 {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// readText reads a file with the given text, and returns the error's text after the path.
+// readText writes the text to a file and reads it. It returns the text of the error without the path, which precedes it.
 func readText(t *testing.T, text string) (file *File, errorText string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "a.toml")
--- a/internal/wallstep/suite_test.go
+++ b/internal/wallstep/suite_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// jitter is how far from the truth each reading of the wall clock may be.
-const jitter = 10 * time.Minute
+// maxJitter is the largest error of a single reading of the wall clock.
+const maxJitter = 10 * time.Minute
 
-// clockDependentPackages are those in which time passes: their tests must not notice the wall clock.
+// clockDependentPackages are the packages that measure time. Errors of the wall clock must not make their tests fail.
 var clockDependentPackages = []string{
 	"kitefall/cmd/dispatcher",
 	"kitefall/internal/control",
@@ -25,14 +25,14 @@
 	"kitefall/internal/worker",
 }
 
-// The whole program in which each reading of the wall clock is off by up to ten minutes, forward or back: whatever measures
-// a span with it, or compares its times with those of the monotonic clock, fails.
+// The tests of clockDependentPackages must pass while each reading of the wall clock is off by up to ten minutes, forward or
+// back. They fail if code measures a duration with the wall clock, or compares its times with those of the monotonic clock.
 func TestPackagesHoldWithAJitteringWallClock(t *testing.T) {
 	overlay, err := WriteOverlay(t.TempDir())
 	require.NoError(t, err)
 	arguments := append([]string{"test", "-overlay", overlay, "-count=1"}, clockDependentPackages...)
 	command := exec.Command("go", arguments...)
-	command.Env = append(os.Environ(), JitterEnvironment(jitter))
+	command.Env = append(os.Environ(), JitterEnvironment(maxJitter))
 	output, err := command.CombinedOutput()
 	assert.NoError(t, err, string(output))
 }
--- a/internal/wallstep/wallstep.go
+++ b/internal/wallstep/wallstep.go
@@ -1,6 +1,6 @@
-// Package wallstep builds programs whose wall clock can be stepped, for tests. Go reads the clocks without the C library, so
-// that no preloaded library reaches it; instead the program is built with a changed copy of the standard package time
-// (go build -overlay). Only what time.Now says of the wall clock changes: the monotonic clock and all timers run true.
+// Package wallstep builds programs whose wall clock can be stepped, for tests. Go reads the clocks without the C library, so a
+// preloaded library cannot change them. Instead, the program is built with a changed copy of the standard package time (go build
+// -overlay). Only the wall clock reading in the result of time.Now changes; the monotonic clock and all timers stay correct.
 //
 // Source: the flag -overlay of the go command (go help build).
 package wallstep
@@ -16,33 +16,33 @@
 	"time"
 )
 
-// Environment variables that a program built with the overlay reads at its start.
+// Environment variables that a program built with the overlay reads when it starts.
 const (
-	// stepsEnv lists steps, see Step: "1.5s=-400s,3s=3600s".
+	// stepsEnv lists steps as pairs of Step.At and Step.By: "1.5s=-400s,3s=3600s".
 	stepsEnv = "KITEFALL_TEST_WALL_STEPS"
-	// jitterEnv is how far from the truth each single reading may be, in seconds.
+	// jitterEnv is the largest error of a single reading of the wall clock, in seconds.
 	jitterEnv = "KITEFALL_TEST_WALL_JITTER"
 )
 
-// The line of the function time.Now that is changed, and what it becomes.
+// The original text in the function time.Now, its line that reads the clocks, and the replacement of this line.
 const (
-	originalLine = "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {\n\t\treturn Time{uint64(nsec), sec + unixToInternal, Local}"
-	readClock    = "\tsec, nsec, mono := runtimeNow()\n"
-	changedLine  = readClock + "\tsec += wallOffset(mono)\n"
+	originalText  = "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {\n\t\treturn Time{uint64(nsec), sec + unixToInternal, Local}"
+	clockReadLine = "\tsec, nsec, mono := runtimeNow()\n"
+	newReadLine   = clockReadLine + "\tsec += wallOffset(mono)\n"
 )
 
-// wallOffsetSource is the file that is added to package time.
+// wallOffsetSource is the source of the file that is added to package time. It defines wallOffset.
 //
 //go:embed walloffset.go.txt
 var wallOffsetSource string
 
-// Step sets the wall clock of a process.
+// Step is a change of the wall clock of a process at one time.
 type Step struct {
-	At time.Duration // since the start of the process; 0: it starts with the wrong clock
-	By time.Duration // whole seconds; negative: back
+	At time.Duration // since the start of the process; 0: the wall clock is wrong from the start
+	By time.Duration // in whole seconds; negative: backward
 }
 
-// Environment returns the environment variable that makes a process take the steps.
+// Environment returns the environment entry ("NAME=value") that makes a process apply the steps to its wall clock.
 func Environment(steps []Step) string {
 	var parts []string
 	for _, step := range steps {
@@ -51,13 +51,13 @@
 	return stepsEnv + "=" + strings.Join(parts, ",")
 }
 
-// JitterEnvironment returns the environment variable that puts each reading of the wall clock off by up to limit.
+// JitterEnvironment returns the environment entry ("NAME=value") that makes each reading of the wall clock wrong by up to limit.
 func JitterEnvironment(limit time.Duration) string {
 	return fmt.Sprintf("%s=%d", jitterEnv, int(limit.Seconds()))
 }
 
-// WriteOverlay writes the changed copy of package time into a folder and returns the path of the file for -overlay. It
-// fails if the copy in use does not have the expected text.
+// WriteOverlay writes the changed files of package time into a folder and returns the path of the file for the flag -overlay. It
+// fails if time.Now of the Go version in use does not have the expected text.
 func WriteOverlay(folder string) (string, error) {
 	root, err := exec.Command("go", "env", "GOROOT").Output()
 	if err != nil {
@@ -68,10 +68,10 @@
 	if err != nil {
 		return "", err
 	}
-	if strings.Count(string(original), originalLine) != 1 {
-		return "", fmt.Errorf("wallstep: time.Now of %s is not as expected", timeFolder)
+	if strings.Count(string(original), originalText) != 1 {
+		return "", fmt.Errorf("wallstep: time.Now in %s does not have the expected text", timeFolder)
 	}
-	changed := strings.Replace(string(original), originalLine, strings.Replace(originalLine, readClock, changedLine, 1), 1)
+	changed := strings.Replace(string(original), originalText, strings.Replace(originalText, clockReadLine, newReadLine, 1), 1)
 	replacements := map[string]string{}
 	for name, text := range map[string]string{"time.go": changed, "walloffset.go": wallOffsetSource} {
 		path := filepath.Join(folder, name+".overlay")
@@ -88,7 +88,7 @@
 	return path, os.WriteFile(path, overlay, 0o600)
 }
 
-// Build builds the program of a package into a folder, with the overlay, and returns its path.
+// Build builds the program of a package with the overlay into a folder and returns the path of the program.
 func Build(folder, pkg string) (string, error) {
 	overlay, err := WriteOverlay(folder)
 	if err != nil {
@@ -97,7 +97,7 @@
 	program := filepath.Join(folder, "program")
 	output, err := exec.Command("go", "build", "-overlay", overlay, "-o", program, pkg).CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("wallstep: %w: %s", err, output)
+		return "", fmt.Errorf("wallstep: the build failed: %w: %s", err, output)
 	}
 	return program, nil
 }
--- a/internal/wallstep/wallstep_test.go
+++ b/internal/wallstep/wallstep_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clockProgram prints by how many seconds the wall clock and the monotonic clock move over a short wait.
+// clockProgram prints by how much the wall clock and the monotonic clock advance during a wait of 200 ms, rounded to seconds.
 const clockProgram = `package main
 
 import (
@@ -28,7 +28,7 @@
 }
 `
 
-func TestBuiltProgramTakesStepsOfTheWallClockAlone(t *testing.T) {
+func TestBuiltProgramStepsOnlyTheWallClock(t *testing.T) {
 	folder := t.TempDir()
 	source := filepath.Join(folder, "clock.go")
 	require.NoError(t, os.WriteFile(source, []byte(clockProgram), 0o600))
