--- a/internal/soak/incident2_test.go
+++ b/internal/soak/incident2_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// busyLoad keeps the connection of a client in use: some twelve requests are open on it at a time.
+// busyLoad returns a load that keeps the one connection of each client in use, with about twelve requests open at a time.
 func busyLoad(deadline time.Duration) Load {
 	return Load{Conns: 1, Rate: 120, Functions: 8, MinWait: deadline / 2, MaxWait: deadline}
 }
 
-// startSmallFleet starts a fleet with one dispatcher and a few workers.
+// startSmallFleet starts a fleet of one dispatcher and four workers, and closes it at the end of the test.
 func startSmallFleet(t *testing.T, deadline time.Duration) *Fleet {
 	t.Helper()
 	worker := DefaultWorker()
@@ -28,8 +28,9 @@
 	return f
 }
 
-// A process that operators tell to send its clients away says no at once and holds no client after 4 s, though they go on
-// using their open connections; told to, it takes clients again (incident 2, hypothesis A1).
+// Guards against an evacuated dispatcher that keeps clients because they go on using their open connections (incident 2,
+// hypothesis A1). It must answer readiness checks with no at once and hold no client after 4 s. After a rejoin it must accept
+// clients again.
 func TestEvacuatedProcessSendsItsClientsAway(t *testing.T) {
 	f := startSmallFleet(t, time.Second)
 	f.StartClients(busyLoad(time.Second))
@@ -42,8 +43,8 @@
 	assert.Empty(t, Check(history))
 }
 
-// A process that is told to end answers all that it takes before the earliest SIGKILL, though its clients go on using their
-// open connections until then and a worker hangs through the whole of it (incident 2, hypothesis A3).
+// Guards against a dispatcher that gets SIGTERM and is killed with accepted requests unanswered (incident 2, hypothesis A3). Its
+// clients use their open connections until the earliest SIGKILL, and a worker hangs during the whole of that time.
 func TestTerminatedProcessAnswersAllBeforeTheKill(t *testing.T) {
 	for _, deadline := range []time.Duration{600 * time.Millisecond, 5 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -61,7 +62,8 @@
 	}
 }
 
-// With a thousand workers and more a process keeps to its descriptors, and still serves (incident 2, hypothesis B1).
+// Guards against a dispatcher that exceeds its limit of descriptors, or serves nothing, with over a thousand workers (incident 2,
+// hypothesis B1).
 func TestDescriptorsHoldWithManyWorkers(t *testing.T) {
 	worker := DefaultWorker()
 	worker.Work = 20 * time.Millisecond
@@ -79,7 +81,7 @@
 	assert.Positive(t, Counts(history)["answer:ok"])
 }
 
-// logMetrics writes the last counters of each dispatcher's process to the test's log.
+// logMetrics writes the last line of metrics in the log of each dispatcher process to the test's log.
 func logMetrics(t *testing.T, f *Fleet) {
 	t.Helper()
 	for _, d := range f.dispatchers {
--- a/internal/soak/incident3_test.go
+++ b/internal/soak/incident3_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Discovery tells nothing for longer than its news counts as told, and workers drain meanwhile: nothing new goes there once
-// the drain counts as told, whatever way discovery fails, and everybody else is still served (incident 3).
+// Guards against new work for workers that drain during an outage of discovery (incident 3). The outage, of any kind, lasts longer
+// than the 7 s after which the drain counts as known to the dispatcher. Requests must still be served by the other workers.
 func TestNothingNewToDrainingWorkersWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, kind := range outageKinds {
@@ -24,8 +24,9 @@
 	}
 }
 
-// The same with clients that are quiet from before the drain until it counts as told, so that no rejection tells of it. The old
-// list is of the very revision that the dispatcher knows: its replica answers at once where it should wait.
+// Guards against new work for workers that drain during an outage of discovery while clients send nothing, from before the drain
+// until it counts as known: no rejected call reveals the drain then. With OutageOldList, discovery answers at once with the
+// revision that the dispatcher already has, where it should wait for a newer one.
 func TestNothingNewToDrainingWorkersAfterAQuietTime(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []OutageKind{OutageRefused, OutageSilent, OutageOldList} {
@@ -34,7 +35,7 @@
 			h, _, _ := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, quiet: true}.play(t)
 			var violations []Violation
 			for _, v := range Check(h) {
-				if v.Rule != RuleServe { // nobody is known to be ready after so long, and requests are rejected
+				if v.Rule != RuleServe { // after that time no worker is known to be ready, and requests are rejected
 					violations = append(violations, v)
 				}
 			}
@@ -43,14 +44,16 @@
 	}
 }
 
-// The same where discovery answers each poll with nothing new, so that its silence cannot be told from a calm day. A dispatcher
-// that has not called a worker for 7 s has no sign that it drains, and calls it. Known to be red: see incident 3.
+// Guards against new work for workers that drain while discovery answers each poll with nothing new, which looks like a time
+// without changes. A dispatcher that has not called a worker for 7 s has no sign that the worker drains, and calls it. This test
+// is known to fail: see incident 3.
 func TestFleetOfLittleTrafficWithEmptyAnswers(t *testing.T) {
 	h, _, _ := outageRun{dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageEmpty}.play(t)
 	assert.Empty(t, Check(h))
 }
 
-// assertUsedAgain asserts that each of the first workers, which have returned, is called soon after the list's return.
+// assertUsedAgain asserts that each of the first workers, which have been started again, gets a call within returnWithin after the
+// endpoint list is available again.
 func assertUsedAgain(t *testing.T, h *History, workers int, listReturned time.Duration) {
 	t.Helper()
 	used := map[string]bool{}
@@ -65,8 +68,9 @@
 	}
 }
 
-// A fleet of many dispatchers with little traffic each, as in the operators' report, and one in which a third of the workers
-// drain: calls of each dispatcher to each worker are rare, so that few of them tell which workers are still ready.
+// Guards against a fleet that serves too little during an outage of discovery because its many dispatchers have little traffic
+// each: a dispatcher calls each worker rarely, and so learns late which workers are still ready. One fleet is that of the
+// operators' report; in the other a third of the workers drain.
 func TestFleetOfLittleTrafficServesOnWithoutDiscovery(t *testing.T) {
 	for name, run := range map[string]outageRun{
 		"two drain, twice": {dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageRefused, outages: 2, restarts: 4},
@@ -82,8 +86,9 @@
 	}
 }
 
-// A fleet with many more workers than each dispatcher has connections serves on as well: at least half of the share that it
-// serves while discovery works. Calls prove that a worker is ready only on a connection that outlasts the silence.
+// Guards against a fleet that stops serving during an outage of discovery because each dispatcher has many more workers than
+// connections: a call proves that a worker is ready only on a connection that lasts through the outage. The fleet must serve at
+// least half of the share that it serves while discovery works.
 func TestLargeFleetServesOnWithoutDiscovery(t *testing.T) {
 	h, _, _ := outageRun{dispatchers: 3, workers: 4, members: 250, functions: 2000, rate: 40, kind: OutageRefused,
 		limits: Limits{Cores: 0.4, MemoryMB: 64, Sockets: 192}}.play(t)
@@ -91,8 +96,9 @@
 	assert.Empty(t, Check(h))
 }
 
-// A worker that drains, ends and is started again while discovery tells nothing counts as told of its drain 7 s after that, and as
-// told of its return 7 s after that: what it serves in between is no proof that it may be used (found by the soak).
+// Guards against calls to a worker that drains, ends and is started again during an outage of discovery. Its drain counts as known
+// to dispatchers 7 s after the drain, and its return 7 s after the return. A call that it serves in between is no proof that it
+// may be used. TestSoak found this failure.
 func TestNothingNewToAWorkerWhoseReturnWasNotTold(t *testing.T) {
 	t.Parallel()
 	rules := DefaultRules()
@@ -111,7 +117,7 @@
 	go func() { ended <- f.BreakDiscovery(OutageRefused, f.allDispatchers(), outageLength) }()
 	time.Sleep(drainAfter)
 	require.NoError(t, f.CycleWorker(0, 3*time.Second))
-	load.Functions, load.FirstFunction = 100, 1000 // loaded nowhere: the worker that is back is as good as the others
+	load.Functions, load.FirstFunction = 100, 1000 // no worker has these loaded, so that the restarted one is as eligible as the others
 	f.SetLoad(load)
 	require.NoError(t, <-ended)
 	h, err := f.Finish()
--- a/internal/soak/oldlist_test.go
+++ b/internal/soak/oldlist_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against calls to workers that drained before the start of a dispatcher, where its configuration holds an old list and
-// discovery is out of reach.
+// Guards against calls to workers that drained before a dispatcher was started, where the endpoint list in its configuration is
+// older than the drain and discovery is in an outage.
 func TestNothingNewToDrainingWorkersAfterARestartWithAnOldList(t *testing.T) {
 	t.Parallel()
 	for _, kind := range outageKinds {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -9,43 +9,43 @@
 	"time"
 )
 
-// Rule names a rule that dispatchers keep.
+// Rule names a rule that dispatchers must keep.
 type Rule string
 
-// The rules (source: client protocol and standing test).
+// The rules that the oracle checks (source: client protocol and standing test).
 const (
-	RuleLoads     Rule = "loads"     // load orders within the budget
-	RuleDuplicate Rule = "duplicate" // what must not run twice does not
-	RuleDrain     Rule = "drain"     // nothing new to a worker that drains or is gone
-	RuleLost      Rule = "lost"      // one final answer for each request
-	RuleGone      Rule = "gone"      // no attempt begins after the client has left
-	RuleDeadline  Rule = "deadline"  // workers are told no more time than the client has left
-	RuleSlowStart Rule = "slowstart" // a cold worker is not sent more than it can do
-	RuleCrash     Rule = "crash"     // dispatchers do not end by themselves
-	RuleFrame     Rule = "frame"     // workers can read what they are sent
-	RuleEvacuate  Rule = "evacuate"  // clients are sent away in time, and taken again
-	RuleLimits    Rule = "limits"    // no more descriptors and memory than allowed
-	RuleServe     Rule = "serve"     // the fleet serves on while discovery tells nothing
-	RuleChoice    Rule = "choice"    // no choice of a dispatcher would have broken a rule
+	RuleLoads     Rule = "loads"     // load orders stay within the load budget
+	RuleDuplicate Rule = "duplicate" // a call that is not idempotent runs at most once
+	RuleDrain     Rule = "drain"     // no new call or load order goes to a worker that drains or has ended
+	RuleLost      Rule = "lost"      // each request gets exactly one answer, in time
+	RuleGone      Rule = "gone"      // no attempt begins after its client has cancelled or closed
+	RuleDeadline  Rule = "deadline"  // an attempt's time limit is no longer than the time its client still waits
+	RuleSlowStart Rule = "slowstart" // a worker that has just started is not sent more calls than it can run
+	RuleCrash     Rule = "crash"     // dispatchers end only by SIGKILL, or without an error after SIGTERM
+	RuleFrame     Rule = "frame"     // workers can read every frame that they are sent
+	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher closes its client connections in time, and accepts clients after a rejoin
+	RuleLimits    Rule = "limits"    // no more descriptors and memory are used than the limits allow
+	RuleServe     Rule = "serve"     // the fleet goes on serving during an outage of discovery
+	RuleChoice    Rule = "choice"    // no dispatcher's own check had to stop a choice of its balancer
 )
 
-// Slack of the rules.
+// Tolerances of the checks.
 const (
-	timeSlack     = 50 * time.Millisecond  // of every time limit
-	budgetSlack   = 0.15                   // the load budget is widened by this part ...
-	budgetExtra   = 1                      // ... and by so many orders
-	answerSlack   = 500 * time.Millisecond // a later answer counts as lost
-	goneSlack     = 100 * time.Millisecond // an attempt may begin so long after its client has left
-	deadlineSlack = 150 * time.Millisecond
-	crossingTime  = 50 * time.Millisecond // a request may cross the close of an idle connection
-	// schedulingSlack is allowed on top where the recorder and the recorded compete for the machine's processors.
+	timeSlack     = 50 * time.Millisecond  // on every time limit
+	budgetSlack   = 0.15                   // the load budget is raised by this fraction ...
+	budgetExtra   = 1                      // ... and by this number of orders
+	answerSlack   = 500 * time.Millisecond // an answer counts as lost this long after the client's time limit
+	goneSlack     = 100 * time.Millisecond // an attempt may begin this long after its client has cancelled or closed
+	deadlineSlack = 150 * time.Millisecond // the time limit of an attempt may exceed the client's by this
+	crossingTime  = 50 * time.Millisecond  // a request sent this shortly before the dispatcher closes an idle connection may stay unread
+	// schedulingSlack is added to time limits, as the recording processes and those they observe compete for the same processors.
 	schedulingSlack = 100 * time.Millisecond
-	// thawTime is how long a worker takes to read what has arrived while it was frozen.
+	// thawTime is how long a worker takes, after it resumes, to read what arrived while its process was stopped.
 	thawTime      = 500 * time.Millisecond
-	notifiedShare = 2.0 / 3 // a cold worker's overload counts if more of it came from dispatchers that were told
+	notifiedShare = 2.0 / 3 // an overload counts if more than this share of its calls came from dispatchers that knew of the worker's start
 )
 
-// Violation is a broken rule.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule Rule
 	At   time.Duration
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("%s at %.3f: %s", v.Rule, v.At.Seconds(), v.Text)
 }
 
-// Check returns the rules that were broken, by time.
+// Check returns all violations in a history, in order of time.
 func Check(h *History) []Violation {
 	var violations []Violation
 	for _, check := range []func(*History) []Violation{
@@ -69,7 +69,7 @@
 	return violations
 }
 
-// runAt returns the process of the dispatcher that was there at a time.
+// runAt returns the number of the last process of a dispatcher that had been started by a time.
 func (h *History) runAt(dispatcher int, at time.Duration) int {
 	last := 0
 	for _, run := range h.Dispatchers {
@@ -80,7 +80,7 @@
 	return last
 }
 
-// begin is when the first dispatcher was started.
+// begin returns when the first dispatcher process was started.
 func (h *History) begin() time.Duration {
 	begin := time.Duration(math.MaxInt64)
 	for _, run := range h.Dispatchers {
@@ -89,7 +89,7 @@
 	return begin
 }
 
-// run returns the record of a dispatcher's process.
+// run returns the record of one process of a dispatcher.
 func (h *History) run(dispatcher, number int) DispatcherRun {
 	for _, run := range h.Dispatchers {
 		if run.Dispatcher == dispatcher && run.Run == number {
@@ -99,10 +99,11 @@
 	return DispatcherRun{}
 }
 
-// process identifies a process of a dispatcher.
+// process identifies one process of a dispatcher.
 type process struct{ dispatcher, run int }
 
-// checkLoads counts the orders in the window before each order, as they arrived.
+// checkLoads checks, for each load order that asks for copies, that the orders of its dispatcher process in the window up to
+// its arrival stay within the budget: a burst, and a number of orders for each request in the window.
 func checkLoads(h *History) []Violation {
 	orders := map[process][]time.Duration{}
 	for _, e := range h.Workers {
@@ -130,20 +131,21 @@
 			allowed := h.Rules.LoadBurst + h.Rules.LoadRatio*float64(requests)
 			if float64(given) > allowed*(1+budgetSlack)+budgetExtra {
 				violations = append(violations, Violation{RuleLoads, at,
-					fmt.Sprintf("dispatcher %d run %d gave %d orders with %d requests", p.dispatcher, p.run, given, requests)})
+					fmt.Sprintf("dispatcher %d run %d sent %d load orders in the window, with %d requests", p.dispatcher, p.run, given, requests)})
 			}
 		}
 	}
 	return violations
 }
 
-// countBetween counts sorted times from one to another, both included.
+// countBetween returns how many of the sorted times lie between from and to, both included.
 func countBetween(sorted []time.Duration, from, to time.Duration) int {
 	first, _ := slices.BinarySearch(sorted, from)
 	last, _ := slices.BinarySearch(sorted, to+1)
 	return last - first
 }
 
+// checkCrashes reports dispatcher processes that ended without a signal or failed after SIGTERM.
 func checkCrashes(h *History) []Violation {
 	var violations []Violation
 	for _, run := range h.Dispatchers {
@@ -155,6 +157,7 @@
 	return violations
 }
 
+// checkEvacuations reports the problems that were recorded during evacuations.
 func checkEvacuations(h *History) []Violation {
 	var violations []Violation
 	for _, e := range h.Evacuations {
@@ -166,17 +169,20 @@
 	return violations
 }
 
+// checkChoices reports dispatcher processes whose log tells that a choice of the balancer was not carried out because it would
+// have broken a rule.
 func checkChoices(h *History) []Violation {
 	var violations []Violation
 	for _, run := range h.Dispatchers {
 		if run.Stopped > 0 {
 			violations = append(violations, Violation{RuleChoice, run.Started, fmt.Sprintf(
-				"dispatcher %d run %d: its own check stopped at least %d choices", run.Dispatcher, run.Run, run.Stopped)})
+				"dispatcher %d run %d: its own check stopped %d or more choices that would have broken a rule", run.Dispatcher, run.Run, run.Stopped)})
 		}
 	}
 	return violations
 }
 
+// checkLimits reports dispatcher processes that exceeded their limits or ran short of descriptors.
 func checkLimits(h *History) []Violation {
 	var violations []Violation
 	for _, run := range h.Dispatchers {
@@ -189,7 +195,8 @@
 	return violations
 }
 
-// Counts summarises a history: requests by how they ended, and faults by kind.
+// Counts summarises a history: requests by the first answer or the reason for having none, worker events by kind, outages of
+// discovery by kind and length, and injected faults by kind.
 func Counts(h *History) map[string]int {
 	counts := maps.Clone(h.Faults)
 	for _, r := range h.Requests {
--- a/internal/soak/oracle_requests.go
+++ b/internal/soak/oracle_requests.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// checkDuplicates reports calls that are not idempotent and began to run at workers more than once.
 func checkDuplicates(h *History) []Violation {
 	ran := map[uint64]int{}
 	var violations []Violation
@@ -19,6 +20,8 @@
 	return violations
 }
 
+// checkLost reports requests without an answer, with several answers, with a late answer, or with a body that no worker returned
+// for them.
 func checkLost(h *History) []Violation {
 	var violations []Violation
 	add := func(r *Request, text string) {
@@ -29,28 +32,28 @@
 		switch {
 		case r.Sent == 0:
 		case r.WrongBody:
-			add(r, "served with what no worker made for it")
+			add(r, "served with a body that no worker returned for it")
 		case len(r.Answers) > 1:
 			add(r, "answered twice")
 		case len(r.Answers) == 0 && h.exemption(r) == "":
 			add(r, "no answer; "+r.endText())
 		case len(r.Answers) == 1 && r.Left == 0 && r.Answers[0]-r.Sent > r.Wait+answerSlack+schedulingSlack:
-			add(r, fmt.Sprintf("answered after %.3f of %.3f s", (r.Answers[0]-r.Sent).Seconds(), r.Wait.Seconds()))
+			add(r, fmt.Sprintf("answered after %.3f s, the client waits %.3f s", (r.Answers[0]-r.Sent).Seconds(), r.Wait.Seconds()))
 		}
 	}
 	return violations
 }
 
-// endText says how the connection of a request ended.
+// endText describes how the connection of a request without an answer ended.
 func (r *Request) endText() string {
 	if r.ConnEnded == 0 {
 		return "the dispatcher did not end the connection"
 	}
-	return fmt.Sprintf("the dispatcher ended the connection %.6f s after it, last bytes unread: %t; %d without an answer",
+	return fmt.Sprintf("the dispatcher ended the connection %.6f s after the request was sent, last bytes unread: %t; %d requests without an answer",
 		(r.ConnEnded - r.Sent).Seconds(), r.EndedUnread, r.OpenAtEnd)
 }
 
-// exemption says why the dispatcher owes no answer to a request that has none; empty: it owes one.
+// exemption returns why a request without an answer is no violation. It is empty where the dispatcher had to answer.
 func (h *History) exemption(r *Request) string {
 	run := h.run(r.Dispatcher, r.Run)
 	answerBy := r.Sent + r.Wait + answerSlack
@@ -65,20 +68,20 @@
 	return ""
 }
 
-// crossedClose reports whether the dispatcher closed a connection with no open request on it while this one was on its way
-// to it: all earlier ones have been answered, and its process had not read this one. Of several without an answer only the
-// last is known to be unread, so none of them is excused.
+// crossedClose reports whether the request was in transit while the dispatcher closed its idle connection: all earlier requests
+// on it had been answered, and the dispatcher had not read this one. If several requests on the connection have no answer, only
+// the last is known to be unread, and crossedClose is false for all of them.
 func (r *Request) crossedClose() bool {
 	return r.ConnEnded > 0 && r.EndedUnread && r.OpenAtEnd == 1 && r.ConnEnded-r.Sent <= crossingTime
 }
 
-// stoppedInTime reports whether a process that was killed had been told to end long enough before to answer all that it
-// takes, and to take nothing more (source: client protocol, figures).
+// stoppedInTime reports whether a killed process got SIGTERM at least KillDelay before SIGKILL. In that time it has to answer
+// every request that it accepts, and to stop accepting requests (source: client protocol, figures).
 func (h *History) stoppedInTime(run DispatcherRun) bool {
 	return run.Terminated > 0 && run.Killed-run.Terminated >= h.KillDelay
 }
 
-// checkGone looks for attempts that arrive after their client has cancelled or closed.
+// checkGone reports attempts that arrive at a worker after their client cancelled the request or closed its connection.
 func checkGone(h *History) []Violation {
 	left := map[uint64]time.Duration{}
 	for _, r := range h.Requests {
@@ -91,12 +94,13 @@
 		at, gone := left[e.Call]
 		if e.Kind == CallArrived && gone && h.arrivalKnown(e) && e.At-at > goneSlack+timeSlack+schedulingSlack {
 			violations = append(violations, Violation{RuleGone, e.At,
-				fmt.Sprintf("call %016x arrived %.3f s after its client left", e.Call, (e.At - at).Seconds())})
+				fmt.Sprintf("call %016x arrived %.3f s after its client cancelled it or closed the connection", e.Call, (e.At - at).Seconds())})
 		}
 	}
 	return violations
 }
 
+// checkDeadlines reports attempts whose time limit is longer than the time that their client still waits.
 func checkDeadlines(h *History) []Violation {
 	requests := map[uint64]*Request{}
 	for _, r := range h.Requests {
@@ -114,7 +118,7 @@
 		left := r.Wait - (e.At - r.Sent)
 		if e.Max > left+deadlineSlack+schedulingSlack {
 			violations = append(violations, Violation{RuleDeadline, e.At,
-				fmt.Sprintf("call %016x: the worker was told %s, its client had %s left", e.Call, e.Max, left)})
+				fmt.Sprintf("call %016x: the worker got a time limit of %s, its client waits for another %s", e.Call, e.Max, left)})
 		}
 	}
 	return violations
--- a/internal/soak/oracle_serving.go
+++ b/internal/soak/oracle_serving.go
@@ -6,32 +6,36 @@
 	"time"
 )
 
-// discoveryState says what discovery told a dispatcher when a request came.
+// discoveryState is the state of a dispatcher's discovery when a request was sent.
 type discoveryState string
 
-// The states of discovery.
+// The states of discovery. An outage counts as long once a change made at its start must be known to dispatchers
+// (notifiedAfter), and the grace for draining workers has passed as well.
 const (
 	discoveryWorks  discoveryState = "works"
 	discoveryBroken discoveryState = "broken"
 	discoveryLong   discoveryState = "broken for longer than its news counts as told"
-	// The same where most of the workers have drained, ended or started since: neither they nor their successors may be used.
+	// discoveryOutdated is discoveryLong where most of the workers have also drained, ended or started since the outage began.
+	// Neither they nor their successors may be used.
 	discoveryOutdated discoveryState = "broken for longer than its news counts as told, and most workers have changed"
 )
 
-// While discovery is broken for long a fleet has to serve at least this part of the share that it serves while discovery works,
-// of at least so many requests each: fewer say nothing. It is not more, since other faults overlap with the outage: workers
-// crash, hang and drain, clients are quiet until nobody is known to be ready, and bursts ask for more than there is. It holds as
-// long as this part of the workers that were ready when the outage began has not changed since: others may not be used.
 const (
-	minServedPart    = 0.5
-	minJudgedServes  = 100
+	// minServedPart is the fraction of the served share while discovery works that a fleet has to reach in a long outage. A larger
+	// one would not hold, as other faults overlap with the outage: workers crash, hang and drain, clients send nothing until no
+	// worker is known to be ready, and bursts exceed the capacity of the workers.
+	minServedPart = 0.5
+	// minJudgedServes is how many requests both shares need; shares of fewer requests say nothing.
+	minJudgedServes = 100
+	// minUnchangedPart is the fraction of the workers ready at the start of the outage that must not have changed since, for
+	// minServedPart to apply: the others may not be used.
 	minUnchangedPart = 0.5
 )
 
 // servedCount counts requests and how many of them were served.
 type servedCount struct{ asked, served int }
 
-// Share is the part that was served; 1 of none.
+// share returns the fraction of the requests that were served, or 1 if there were none.
 func (c servedCount) share() float64 {
 	if c.asked == 0 {
 		return 1
@@ -39,7 +43,7 @@
 	return float64(c.served) / float64(c.asked)
 }
 
-// stateOf returns what discovery told a dispatcher at a time.
+// stateOf returns the state of a dispatcher's discovery at a time.
 func (h *History) stateOf(dispatcher int, at time.Duration) discoveryState {
 	i := slices.IndexFunc(h.Outages, func(o Outage) bool {
 		return o.Dispatcher == dispatcher && o.Begin <= at && at < o.End
@@ -56,8 +60,8 @@
 	}
 }
 
-// unchangedPart returns the part of the workers that were ready at begin whose state in the endpoint list did not change until
-// end; 0 if none was ready.
+// unchangedPart returns, of the workers that the endpoint list had as active at begin, the fraction without a change in the list
+// until end; 0 if none was active.
 func (h *History) unchangedPart(begin, end time.Duration) float64 {
 	ready, changed := map[string]bool{}, map[string]bool{}
 	for _, c := range h.ListChanges {
@@ -81,7 +85,7 @@
 	return float64(unchanged) / float64(max(1, wereReady))
 }
 
-// ServedByDiscovery counts the requests whose clients waited for the answer, by what discovery told when they came.
+// ServedByDiscovery counts the answered requests and the served ones among them, by the state of discovery when they were sent.
 func (h *History) ServedByDiscovery() map[discoveryState]servedCount {
 	counts := map[discoveryState]servedCount{}
 	for _, r := range h.Requests {
@@ -99,14 +103,14 @@
 	return counts
 }
 
-// checkServing looks whether a fleet serves on while discovery is broken for long.
+// checkServing compares the share of requests served in long outages of discovery with the share served while discovery works.
 func checkServing(h *History) []Violation {
 	counts := h.ServedByDiscovery()
 	long, usual := counts[discoveryLong], counts[discoveryWorks]
 	if min(long.asked, usual.asked) < minJudgedServes || long.share() >= minServedPart*usual.share() {
 		return nil
 	}
-	text := fmt.Sprintf("%d of %d requests served while discovery was broken for long, %d of %d while it worked",
+	text := fmt.Sprintf("%d of %d requests served in long outages of discovery, %d of %d while discovery worked",
 		long.served, long.asked, usual.served, usual.asked)
 	return []Violation{{RuleServe, h.Outages[0].Begin, text}}
 }
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -13,22 +13,24 @@
 
 const second = time.Second
 
-// newHistory returns a history with one dispatcher that was started at 1 s, and rules that are easy to reckon with.
+// newHistory returns a history with one dispatcher that was started at 1 s, and with round figures in its rules.
 func newHistory() *History {
 	rules := Rules{LoadBurst: 1, LoadRatio: 0.5, LoadWindow: 2 * second, DrainGrace: second, OverloadTimes: 1,
 		OverloadSpan: second, ColdFrom: 1, WarmAfter: 4 * second, WorkerRate: 1}
 	return &History{Rules: rules, KillDelay: 2 * second, Limits: DefaultLimits(), Dispatchers: []DispatcherRun{{Started: second}}}
 }
 
+// newRequest returns a request of a call that is not idempotent, whose client waits for a second.
 func newRequest(sent time.Duration) *Request {
 	return &Request{ID: 7, Class: ClassNotIdempotent, Wait: second, Sent: sent}
 }
 
+// callEvent returns an event of the call of newRequest at worker s-1.
 func callEvent(kind WorkerEventKind, at time.Duration) WorkerEvent {
 	return WorkerEvent{At: at, Kind: kind, Worker: "s-1", Call: 7, Class: ClassNotIdempotent}
 }
 
-// Each rule is found broken where it is, and only there.
+// Guards against an oracle that misses a violation, or reports one where no rule is broken.
 func TestCheckFindsBrokenRules(t *testing.T) {
 	answered := newRequest(10 * second)
 	answered.Answers = []time.Duration{11 * second}
@@ -174,7 +176,8 @@
 	}
 }
 
-// endedRequest is a request that was sent so many milliseconds before its connection ended, with so many open there.
+// endedRequest returns a request that was sent the given number of milliseconds before its connection ended, with the given
+// number of requests open on the connection.
 func endedRequest(sent, open int, unread bool) *Request {
 	const ended = 11 * second
 	r := newRequest(ended - time.Duration(sent)*time.Millisecond)
@@ -184,7 +187,8 @@
 	return r
 }
 
-// addServing adds requests that are all served while discovery works, and a number of which some are while it is broken for long.
+// addServing adds an outage of discovery, 100 requests before it that are all served, and the asked number of requests late in it,
+// of which the given number is served.
 func addServing(h *History, asked, served int) {
 	const begin, longAfter = 20 * second, 30 * second
 	h.Outages = []Outage{{Kind: OutageSilent, Begin: begin, End: time.Minute}}
@@ -203,14 +207,15 @@
 	}
 }
 
-// addChanges changes the states of the first workers at a time.
+// addChanges adds a change of the endpoint list at a time for each of the first workers, to the given states.
 func (h *History) addChanges(at time.Duration, states ...string) {
 	for i, state := range states {
 		h.ListChanges = append(h.ListChanges, ListChange{Worker: fmt.Sprint("s-", i), State: state, At: at})
 	}
 }
 
-// What comes late counts as told once its time is over, and what comes in time when it comes.
+// A change that is delivered later than notifiedAfter counts as known from that limit on, one that is delivered in time from its
+// delivery on.
 func TestLateEventsCountAsToldInTime(t *testing.T) {
 	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{Members: 1}}
 	list := newEndpointList(f)
@@ -225,7 +230,7 @@
 	assert.LessOrEqual(t, list.notices[1].At, Now())
 }
 
-// A change that comes after the list of a start was made counts as told when its time is over, not at the start.
+// A change after the endpoint list for a dispatcher's start was taken counts as known notifiedAfter later, not at the start.
 func TestChangeDuringAStartIsNotToldByIt(t *testing.T) {
 	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{Members: 1}}
 	list := newEndpointList(f)
@@ -246,7 +251,7 @@
 	assert.NotEqual(t, RandomPlan(3, planLength), RandomPlan(4, planLength))
 }
 
-// Quiet times are added to long outages alone, and change nothing else.
+// Quiet times are added to long outages only, and change nothing else in a plan.
 func TestAddQuietTimes(t *testing.T) {
 	for _, seed := range []uint64{3, 4} {
 		plan := RandomPlan(seed, planLength)
--- a/internal/soak/oracle_workers.go
+++ b/internal/soak/oracle_workers.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// arrivalKnown reports whether the time of an arrival is that of its record. What a worker reads right after it was frozen
-// may have arrived at any time before.
+// arrivalKnown reports whether the recorded time of an event is its time of arrival. What a worker reads right after its process
+// was stopped may have arrived at any time during the stop.
 func (h *History) arrivalKnown(e WorkerEvent) bool {
 	return !slices.ContainsFunc(h.Freezes, func(f Freeze) bool {
 		return f.Worker == e.Worker && e.At >= f.Begin && e.At <= f.End+thawTime
 	})
 }
 
-// checkDrains looks at what arrives at workers that drain or are gone, by what its dispatcher was told.
+// checkDrains reports calls and load orders that arrive at a worker later than the grace after their dispatcher process was
+// notified, or counts as notified, that the worker drains or has ended. Load orders for no copies only ask and are allowed.
 func checkDrains(h *History) []Violation {
 	type pair struct {
 		process
@@ -40,14 +41,15 @@
 		since, unavailable := unavailableSince(told[pair{p, e.Worker}], e.At)
 		if unavailable && e.At-since > h.Rules.DrainGrace+timeSlack+schedulingSlack {
 			violations = append(violations, Violation{RuleDrain, e.At,
-				fmt.Sprintf("%s arrived at %s from dispatcher %d, %.3f s after it was told", e.Kind, e.Worker, e.Dispatcher,
+				fmt.Sprintf("%s arrived at %s from dispatcher %d, %.3f s after the dispatcher was notified that the worker drains or has ended", e.Kind, e.Worker, e.Dispatcher,
 					(e.At - since).Seconds())})
 		}
 	}
 	return violations
 }
 
-// unavailableSince returns since when a dispatcher knew at a time that a worker drains or is gone.
+// unavailableSince reports whether, by the sorted notifications up to a time, a worker drains or has ended, and since when
+// without interruption.
 func unavailableSince(notices []Notification, at time.Duration) (since time.Duration, unavailable bool) {
 	for _, n := range notices {
 		if n.At > at {
@@ -62,7 +64,7 @@
 	return since, unavailable
 }
 
-// checkSlowStart counts what arrives at a worker after its start.
+// checkSlowStart reports workers that were sent more calls after a start than they can run while they warm up.
 func checkSlowStart(h *History) []Violation {
 	arrivals := map[string][]WorkerEvent{}
 	starts := map[string][]time.Duration{}
@@ -78,7 +80,7 @@
 	for worker, calls := range arrivals {
 		slices.SortFunc(calls, func(a, b WorkerEvent) int { return cmp.Compare(a.At, b.At) })
 		for _, started := range starts[worker] {
-			if started < h.begin() { // warm when the first dispatcher started
+			if started < h.begin() { // the worker started before the first dispatcher and counts as warm
 				continue
 			}
 			if v, broken := h.overloaded(worker, started, calls); broken {
@@ -89,7 +91,9 @@
 	return violations
 }
 
-// overloaded returns the first overload of a worker after a start.
+// overloaded returns the first overload of a worker within the warm-up after a start. An overload is a number
+// of calls within OverloadSpan beyond what the worker's warmth allows, with a margin of 2*sqrt(allowed)+2 calls, where more than
+// notifiedShare of the calls came from dispatchers that had been notified of the start.
 func (h *History) overloaded(worker string, started time.Duration, calls []WorkerEvent) (Violation, bool) {
 	first := 0
 	for i, call := range calls {
@@ -112,7 +116,7 @@
 	return Violation{}, false
 }
 
-// notifiedPart returns the part of the calls that came from dispatchers which had been told of the worker's start.
+// notifiedPart returns the fraction of the calls that came from dispatcher processes already notified of the worker's start.
 func (h *History) notifiedPart(worker string, started time.Duration, calls []WorkerEvent) float64 {
 	told := map[process]time.Duration{}
 	for _, n := range h.Notifications {
@@ -133,11 +137,12 @@
 	return float64(fromNotified) / float64(len(calls))
 }
 
+// checkFrames reports frames that workers could not read.
 func checkFrames(h *History) []Violation {
 	var violations []Violation
 	for _, e := range h.Workers {
 		if e.Kind == FramesBroken {
-			violations = append(violations, Violation{RuleFrame, e.At, "bad frame at " + e.Worker})
+			violations = append(violations, Violation{RuleFrame, e.At, "frame cannot be read at " + e.Worker})
 		}
 	}
 	return violations
--- a/internal/soak/player.go
+++ b/internal/soak/player.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Run plays a plan with a dispatcher's program, with records and logs in a folder.
+// Run starts a fleet whose dispatchers run program, injects the faults of a plan, and returns what was recorded. Records, logs and
+// configurations are written to folder.
 func Run(program, folder string, plan Plan) (*History, error) {
 	config := Config{
 		Program:     program,
@@ -43,19 +44,20 @@
 	return f.Finish()
 }
 
-// player injects the faults of a plan.
+// player injects the faults of a plan into a fleet.
 type player struct {
 	fleet      *Fleet
 	plan       Plan
 	background sync.WaitGroup
 
 	mu        sync.Mutex
-	busy      map[string]bool // processes that a fault is at work on
-	nextSpare int
-	firstErr  error
+	busy      map[string]bool // processes that a fault under way has as its target
+	nextSpare int             // number of the next spare worker process
+	firstErr  error           // of the first fault that failed
 }
 
-// play injects each fault at its time, and returns once all have ended.
+// play injects each fault at its time. It returns once the plan's length has passed and all faults have ended, with the first
+// error of a fault.
 func (p *player) play() error {
 	begin := Now()
 	for _, fault := range p.plan.Faults {
@@ -67,7 +69,7 @@
 	return p.firstErr
 }
 
-// take reserves a process for a fault, and reports whether no other one is at work on it.
+// take reserves a process for a fault. It returns false if another fault has reserved the process.
 func (p *player) take(process string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +80,7 @@
 	return true
 }
 
-// takeSpare returns the number of a worker to replace another by, and whether there is one left.
+// takeSpare reserves a spare worker process and returns its number; ok is false if none is left.
 func (p *player) takeSpare() (number int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,13 +91,15 @@
 	return p.nextSpare - 1, true
 }
 
+// release ends the reservation of a process.
 func (p *player) release(process string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy, process)
 }
 
-// inject carries out a fault, unless another is at work on its target.
+// inject carries out and counts a fault. It does neither if another fault has reserved the target, or if no spare worker process
+// is left for a replacement.
 func (p *player) inject(fault Fault) {
 	f := p.fleet
 	switch fault.Kind {
@@ -143,6 +147,7 @@
 	f.count(fault.Kind)
 }
 
+// injectDispatcher carries out a fault at a dispatcher.
 func (p *player) injectDispatcher(fault Fault) {
 	var err error
 	switch fault.Kind {
@@ -160,6 +165,7 @@
 	p.noteError(err)
 }
 
+// injectWorker carries out a fault at a worker process that keeps its place in the fleet.
 func (p *player) injectWorker(fault Fault) {
 	var err error
 	switch fault.Kind {
@@ -177,7 +183,8 @@
 	p.noteError(err)
 }
 
-// replaceWorker replaces a worker, which no later fault is at work on, and reports whether that was possible.
+// replaceWorker replaces a worker process by a spare one. The replaced process stays reserved, as later faults must not start it
+// again. It returns false if another fault has reserved the process or no spare is left.
 func (p *player) replaceWorker(fault Fault) bool {
 	process := fmt.Sprint("worker ", fault.Target)
 	if !p.take(process) {
@@ -196,12 +203,13 @@
 	return true
 }
 
-// hitBy returns the dispatchers that an outage hits.
+// hitBy returns the dispatchers that an outage affects: the fault's share of them, but at least one.
 func (p *player) hitBy(fault Fault) []int {
 	all := p.fleet.allDispatchers()
 	return all[:max(1, int(fault.Share*float64(len(all))))]
 }
 
+// noteError keeps the first error of a fault.
 func (p *player) noteError(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/soak/quiet_test.go
+++ b/internal/soak/quiet_test.go
@@ -8,15 +8,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// visibleOutages are the ways in which a dispatcher can tell that discovery is out of reach.
+// visibleOutages are the kinds of outages that a dispatcher can detect.
 var visibleOutages = []OutageKind{OutageRefused, OutageSilent, OutageCutOff, OutageError, OutageOldList}
 
 const (
-	servedAfterQuiet = 0.3         // at least, of what eight workers are asked for
-	longestGap       = time.Second // between two requests that are served
+	servedAfterQuiet = 0.3         // least share of the requests that is served
+	longestGap       = time.Second // longest time without a request that is served
 )
 
-// Guards against a fleet that rejects everything until discovery is back, since its clients were quiet when the leases ended.
+// Guards against a fleet that rejects every request until discovery is back, because its clients sent nothing when the leases of
+// its workers ended.
 func TestFleetServesAfterAQuietTimeWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, kind := range visibleOutages {
@@ -33,7 +34,8 @@
 	}
 }
 
-// Guards against the same at night: a dispatcher with a call every few seconds has nobody left 7 s into an outage.
+// Guards against a dispatcher that rejects every request from 7 s into an outage of discovery on, because it gets a call only every
+// few seconds and all leases of its workers have ended, as happens at night.
 func TestRareCallsAreServedWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 0.24, kind: OutageRefused, length: 30 * time.Second,
@@ -44,14 +46,14 @@
 	assert.Greater(t, late, 0.0)
 }
 
-// Guards against calls to workers that drained while polls were answered with nothing new and no client called.
+// Guards against new work for workers that drained while discovery answered polls with nothing new and clients sent nothing.
 func TestNothingNewAfterAQuietTimeWithEmptyAnswers(t *testing.T) {
 	t.Parallel()
 	h, _, _ := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: OutageEmpty, quiet: true}.play(t)
 	assert.Empty(t, Check(h))
 }
 
-// longestGap returns the longest time from begin to end in which no request was answered as served.
+// longestGap returns the longest time between begin and end without an answer to a served request.
 func (h *History) longestGap(begin, end time.Duration) time.Duration {
 	var served []time.Duration
 	for _, r := range h.Requests {
--- a/internal/soak/ready.go
+++ b/internal/soak/ready.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// askReady asks a dispatcher whether it is ready (CHECK, source: client protocol).
+// askReady reports whether a dispatcher answers CHECK with yes (source: client protocol).
 func askReady(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -10,32 +10,33 @@
 	"time"
 )
 
-// WorkerEventKind says what a worker has seen or done.
+// WorkerEventKind is the kind of an event at a worker.
 type WorkerEventKind string
 
 // The kinds of worker events.
 const (
 	WorkerStarted WorkerEventKind = "started"
-	CallArrived   WorkerEventKind = "call"  // a call has arrived whole
-	CallRan       WorkerEventKind = "run"   // it begins to run
-	LoadArrived   WorkerEventKind = "load"  // a load order has arrived whole
-	FramesBroken  WorkerEventKind = "frame" // a frame that cannot be read
+	CallArrived   WorkerEventKind = "call"  // a call frame was read whole
+	CallRan       WorkerEventKind = "run"   // a call begins to run
+	LoadArrived   WorkerEventKind = "load"  // a load order was read whole
+	FramesBroken  WorkerEventKind = "frame" // a frame could not be read
 )
 
-// WorkerEvent is one line of a worker's record.
+// WorkerEvent is one line of the record of a worker's process.
 type WorkerEvent struct {
 	At         time.Duration   `json:"at"`
 	Kind       WorkerEventKind `json:"kind"`
 	Worker     string          `json:"worker"`
-	Dispatcher int             `json:"dispatcher"` // whose address was used
+	Dispatcher int             `json:"dispatcher"` // each dispatcher has its own address at the worker
 	Call       uint64          `json:"call,omitempty"`
 	Class      string          `json:"class,omitempty"`
 	Function   string          `json:"function,omitempty"`
-	Max        time.Duration   `json:"max,omitempty"`    // the deadline passed on with a call
-	Copies     int             `json:"copies,omitempty"` // asked for by a load order; 0: it only asks
+	Max        time.Duration   `json:"max,omitempty"`    // a call's time limit, from its arrival
+	Copies     int             `json:"copies,omitempty"` // that a load order asks for; 0: it only asks whether the function is loaded
 }
 
-// readWorkerEvents reads a worker's record. The last line may be cut off: the worker was killed.
+// readWorkerEvents reads the record of a worker's process. A last line that is cut off is ignored: the process was killed while
+// writing it.
 func readWorkerEvents(path string) ([]WorkerEvent, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -57,27 +58,27 @@
 	}
 }
 
-// Request is what a client saw of one request.
+// Request is what a client recorded of one request.
 type Request struct {
 	ID         uint64
 	Dispatcher int
-	Run        int // of the dispatcher: the number of its process
+	Run        int // number of the dispatcher's process
 	Class      string
 	Function   string
 	Wait       time.Duration
-	Sent       time.Duration   // its last byte was written
-	Answers    []time.Duration // when answers came
-	Words      []string        // ... and their words
-	WrongBody  bool            // a served answer that no worker made for this request
-	Left       time.Duration   // the client cancelled it or closed its connection; 0: it did not
-	ConnEnded  time.Duration   // the dispatcher ended the connection before any answer; 0: it did not
-	// OpenAtEnd is how many requests had no answer when the dispatcher ended the connection. EndedUnread says that the
+	Sent       time.Duration   // when its last byte was written; 0: it was not sent
+	Answers    []time.Duration // when each answer arrived
+	Words      []string        // the outcome word of each answer
+	WrongBody  bool            // the answer is wordOK, with a body that no worker returned for this request
+	Left       time.Duration   // when the client cancelled it or closed its connection; 0: it did neither
+	ConnEnded  time.Duration   // when the dispatcher ended the connection before an answer; 0: it did not
+	// OpenAtEnd is how many requests on the connection had no answer when the dispatcher ended it. EndedUnread is true if the
 	// dispatcher had not read the last of them.
 	OpenAtEnd   int
 	EndedUnread bool
 }
 
-// served reports whether the first answer was that it is served.
+// served reports whether the first answer was wordOK.
 func (r *Request) served() bool { return len(r.Words) > 0 && r.Words[0] == wordOK }
 
 // DispatcherRun is one process of a dispatcher.
@@ -85,62 +86,62 @@
 	Dispatcher int
 	Run        int
 	Started    time.Duration
-	ListedAt   time.Duration // as of when its configuration has the list of workers; 0: the first list
-	Terminated time.Duration // SIGTERM was sent; 0: never
-	Killed     time.Duration // SIGKILL was sent; 0: never
+	ListedAt   time.Duration // when the endpoint list in its configuration was taken; 0: it is the first list
+	Terminated time.Duration // when SIGTERM was first sent; 0: never
+	Killed     time.Duration // when SIGKILL was sent; 0: never
 	Ended      time.Duration
-	Crash      string // how it ended by itself; empty: it did not
-	// Descriptors and MemoryMB are the most that the process was seen to use.
+	Crash      string // how it ended without a signal, or failed after SIGTERM; empty: it did neither
+	// Descriptors and MemoryMB are the largest values that were measured.
 	Descriptors int
 	MemoryMB    int
-	Shortages   int // lines of its log that tell of a want of descriptors
-	Stopped     int // lines of its log that tell of a choice which would have broken a rule and was stopped
+	Shortages   int // lines of its log that report a shortage of descriptors
+	Stopped     int // lines of its log that report a choice of the balancer that would have broken a rule and was not carried out
 }
 
-// Evacuation is a call to a dispatcher to send its clients away, and what was seen after it.
+// Evacuation is an operators' call to a dispatcher to close its client connections, and the problems found after it.
 type Evacuation struct {
 	Dispatcher int
 	Run        int
 	Called     time.Duration
-	Problems   []string // what was seen that must not be
+	Problems   []string // deviations from the operation page
 }
 
-// Notification is word to a dispatcher that a worker is in a state.
+// Notification is the time from which a dispatcher's process knows, or counts as knowing, a worker's state.
 type Notification struct {
 	Dispatcher int
 	Run        int
 	Worker     string
 	State      string
-	BootMS     int64
-	At         time.Duration // when it counts as told
+	BootMS     int64         // wall-clock time of the worker's start, in ms; 0: the notification tells of no start
+	At         time.Duration // when it was delivered, notifiedAfter after the change at the latest
 }
 
-// ListChange is a worker's state in the endpoint list from a time on.
+// ListChange is the state that a worker has in the endpoint list from a time on.
 type ListChange struct {
 	Worker string
 	State  string
-	At     time.Duration // 0: in the first list
+	At     time.Duration // 0: from the first list on
 }
 
-// Freeze is a time in which a worker's process was stopped.
+// Freeze is a period in which a worker's process was stopped (SIGSTOP).
 type Freeze struct {
 	Worker string
 	Begin  time.Duration
 	End    time.Duration
 }
 
-// History is all that was recorded in a run.
+// History is everything that was recorded in a run.
 type History struct {
 	Rules         Rules
 	Workers       []WorkerEvent
 	Requests      []*Request
 	Dispatchers   []DispatcherRun
 	Notifications []Notification
-	ListChanges   []ListChange // by time
+	ListChanges   []ListChange // in order of time
 	Freezes       []Freeze
 	Evacuations   []Evacuation
 	Outages       []Outage
 	Limits        Limits
-	KillDelay     time.Duration  // the earliest time from SIGTERM to SIGKILL
+	KillDelay     time.Duration  // the shortest time from SIGTERM to SIGKILL
 	Faults        map[string]int // faults injected, by kind
 }
--- a/internal/soak/reproduction_test.go
+++ b/internal/soak/reproduction_test.go
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// steppableDispatcher builds the dispatcher so that its wall clock can be stepped, once for all tests.
+// steppableDispatcher builds, once for all tests, a dispatcher whose wall clock can be stepped, and returns its path.
 var steppableDispatcher = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "kitefall-soak")
 	if err != nil {
@@ -27,7 +27,7 @@
 	return wallstep.Build(folder, "kitefall/cmd/dispatcher")
 })
 
-// dispatcherProgram returns the path of the dispatcher: this version, or the one that programEnv names.
+// dispatcherProgram returns the path of the dispatcher to test: the one in programEnv, or else a build of this module's.
 func dispatcherProgram(t *testing.T) string {
 	t.Helper()
 	if program := os.Getenv(programEnv); program != "" {
@@ -39,14 +39,14 @@
 }
 
 const (
-	quietTime  = 4 * time.Second
-	releases   = 3 // sets of new functions that are called one after the other
-	releaseFor = 700 * time.Millisecond
+	quietTime  = 4 * time.Second        // of calls to a single function, before the releases
+	releases   = 3                      // how many sets of new functions are called, one after the other
+	releaseFor = 700 * time.Millisecond // for how long each set is called
 )
 
-// playRelease runs two dispatchers, the wall clock of the first one with the steps: calls of one function for a while, so
-// that few load orders are needed, then of many functions that no worker has loaded. Load orders are wanted far beyond the
-// budget then.
+// playRelease runs two dispatchers, the first with the given steps of its wall clock, and returns the violations. Clients first
+// call one function, which takes few load orders, and then many functions that no worker has loaded, which would take far more
+// load orders than the budget allows.
 func playRelease(t *testing.T, steps ...wallstep.Step) []Violation {
 	t.Helper()
 	rules := DefaultRules()
@@ -73,8 +73,9 @@
 	return Check(history)
 }
 
-// The load budget is one of real time, whatever the wall clock does (incident 1). After a step back the balancer's time
-// stood still: requests of any age earned orders. After a step forward the orders of the last seconds were forgotten.
+// Guards against load orders beyond the budget when the wall clock is stepped (incident 1). The budget counts in real time. After
+// a step back the balancer's time stood still, and requests of any age earned orders. After a step forward the balancer no longer
+// counted the orders of the last seconds.
 func TestLoadBudgetHoldsWhenTheWallClockIsStepped(t *testing.T) {
 	second := time.Second
 	for name, steps := range map[string][]wallstep.Step{
--- a/internal/soak/reset.go
+++ b/internal/soak/reset.go
@@ -9,16 +9,16 @@
 	"kitefall/internal/tcpstate"
 )
 
-// How long a reset of the peer's machine is waited for after the end of a connection, and how often it is looked for.
+// resetWait is how long lastBytesUnread waits for a TCP reset after the end of a connection, resetInterval how often it looks.
 const (
 	resetWait     = 100 * time.Millisecond
 	resetInterval = time.Millisecond
 )
 
-// lastBytesUnread reports whether the peer's process closed a connection without having read all that was written to it:
-// its machine answers what stands unread or comes later with a reset, and what was read with the end alone. readErr is the
-// error by which reading met the end. It must be called before the connection is closed; it waits for a moment where there
-// is no reset.
+// lastBytesUnread reports whether the peer's process closed a connection before it had read everything written to it. If bytes
+// are unread or arrive after the close, the peer's kernel sends a reset; if all were read, it sends only the end of the stream.
+// readErr is the error with which reading from conn ended. lastBytesUnread must be called before conn is closed, and waits up
+// to resetWait if there is no reset.
 func lastBytesUnread(conn *net.TCPConn, readErr error) bool {
 	if errors.Is(readErr, syscall.ECONNRESET) {
 		return true
--- a/internal/soak/respwire.go
+++ b/internal/soak/respwire.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// encodeWords returns words as the client protocol writes them.
+// encodeWords encodes the arguments as a RESP array of bulk strings, the form of a request in the client protocol.
 func encodeWords(arguments ...string) string {
 	encoded := fmt.Sprintf("*%d\r\n", len(arguments))
 	for _, argument := range arguments {
@@ -38,13 +38,14 @@
 	return parts, nil
 }
 
+// readNumber reads a line that begins with marker and returns the number after it.
 func readNumber(reader *bufio.Reader, marker byte) (int, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	if line[0] != marker {
-		return 0, fmt.Errorf("soak: answer begins with %q, want %q", line, marker)
+		return 0, fmt.Errorf("soak: RESP line %q in an answer does not begin with %q", line, marker)
 	}
 	return strconv.Atoi(strings.TrimSpace(line[1:]))
 }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -8,7 +8,7 @@
 	"kitefall/internal/wallstep"
 )
 
-// StepKind is a signal or an operators' call.
+// StepKind is the kind of a step: a signal or an operators' call to a dispatcher.
 type StepKind string
 
 // The kinds of steps.
@@ -22,13 +22,13 @@
 // maxStepPause is the longest time between two steps of a series.
 const maxStepPause = 300 * time.Millisecond
 
-// Step is one of a series of signals and calls.
+// Step is one signal or operators' call of a series.
 type Step struct {
 	Kind  StepKind
-	Pause time.Duration // before it
+	Pause time.Duration // before the step
 }
 
-// randomSeries draws steps in any order. SIGTERM is among them, perhaps twice, and once more at the end.
+// randomSeries draws a series of two to six steps in random order. The last step is SIGTERM; one more SIGTERM may come before.
 func randomSeries(random *rand.Rand) []Step {
 	kinds := []StepKind{StepReload, StepTerminate, StepEvacuate, StepRejoin, StepEvacuate}
 	random.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
@@ -40,7 +40,8 @@
 	return series
 }
 
-// SeriesAtDispatcher plays a series, which has to end the process, and starts the dispatcher again.
+// SeriesAtDispatcher runs a series at a dispatcher, waits for the end of its process, and starts the dispatcher again with a wall
+// clock that takes the steps in clock. The series must contain SIGTERM.
 func (f *Fleet) SeriesAtDispatcher(number int, series []Step, clock []wallstep.Step) error {
 	for _, step := range series {
 		time.Sleep(step.Pause)
@@ -55,7 +56,7 @@
 	return f.awaitDispatcher(number)
 }
 
-// takeStep carries out a step. What the process answers to operators is not looked at, as it may end meanwhile.
+// takeStep carries out one step. It ignores the answers to operators' calls, as the process may end during them.
 func (f *Fleet) takeStep(number int, kind StepKind) error {
 	switch kind {
 	case StepReload:
@@ -72,7 +73,8 @@
 	return nil
 }
 
-// limitAccepting sets until when clients make new connections, 0: for ever, to a process that was not told to end.
+// limitAccepting sets until when clients make new connections to a dispatcher; 0: without a limit. It changes nothing once the
+// present process got SIGTERM.
 func (f *Fleet) limitAccepting(number int, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -12,19 +12,19 @@
 
 // Environment variables of TestSoak.
 const (
-	firstSeedEnv = "KITEFALL_SOAK_SEED"  // the first seed
-	seedsEnv     = "KITEFALL_SOAK_SEEDS" // how many
-	parallelEnv  = "KITEFALL_SOAK_PARALLEL"
-	quietEnv     = "KITEFALL_SOAK_QUIET"   // set: clients are also quiet within long outages
-	programEnv   = "KITEFALL_SOAK_PROGRAM" // a dispatcher that package wallstep has built, in place of this version
+	firstSeedEnv = "KITEFALL_SOAK_SEED"     // the first seed
+	seedsEnv     = "KITEFALL_SOAK_SEEDS"    // how many seeds
+	parallelEnv  = "KITEFALL_SOAK_PARALLEL" // how many plans run at a time
+	quietEnv     = "KITEFALL_SOAK_QUIET"    // if set, clients also send nothing during a part of each long outage
+	programEnv   = "KITEFALL_SOAK_PROGRAM"  // path of a dispatcher built by package wallstep, to test in place of this version
 )
 
 const (
-	planLength = 8 * time.Second
-	ciSeeds    = 5 // two of them with thousands of workers
+	planLength = 8 * time.Second // of a plan without a long outage
+	ciSeeds    = 5               // two of them with a large fleet of up to 3200 workers
 )
 
-// environmentNumber returns the number in an environment variable, or a default.
+// environmentNumber returns the number in an environment variable, or a default if the variable is not set.
 func environmentNumber(t *testing.T, name string, otherwise int) int {
 	t.Helper()
 	text := os.Getenv(name)
@@ -36,8 +36,8 @@
 	return number
 }
 
-// TestSoak plays random plans of overlapping faults and has the oracle check what clients and workers have seen. In CI it
-// plays a few seeds; KITEFALL_SOAK_SEEDS sets how many from KITEFALL_SOAK_SEED on.
+// TestSoak plays random plans of overlapping faults and checks with the oracle what clients and workers have recorded. By default
+// it plays ciSeeds seeds; KITEFALL_SOAK_SEEDS sets how many, KITEFALL_SOAK_SEED the first one.
 func TestSoak(t *testing.T) {
 	program := dispatcherProgram(t)
 	firstSeed := environmentNumber(t, firstSeedEnv, 1)
@@ -56,7 +56,7 @@
 			}
 			history, err := Run(program, folder, plan)
 			require.NoError(t, err)
-			t.Logf("%d dispatchers, %d workers: %v, served by what discovery told: %v", plan.Dispatchers,
+			t.Logf("%d dispatchers, %d workers: %v, requests and served ones by state of discovery: %v", plan.Dispatchers,
 				plan.Workers*plan.Members, Counts(history), history.ServedByDiscovery())
 			if violations := Check(history); !assert.Empty(t, violations) {
 				t.Log("plan", plan.Faults, "steps", plan.Steps, "folder", folder)
--- a/internal/soak/workerconn.go
+++ b/internal/soak/workerconn.go
@@ -11,16 +11,17 @@
 	"kitefall/internal/fakes"
 )
 
-// workerConn is a dispatcher's connection to the worker.
+// workerConn is a worker's side of a connection from a dispatcher.
 type workerConn struct {
 	worker     *workerProcess
 	conn       *net.TCPConn
 	dispatcher int
-	gone       chan struct{} // closed with the connection
-	cancelled  sync.Map      // ids of calls that were given up
-	writing    sync.Mutex
+	gone       chan struct{} // closed when the connection has ended
+	cancelled  sync.Map      // IDs of the calls that the dispatcher has cancelled
+	writing    sync.Mutex    // held while a frame is written
 }
 
+// serve reads and handles the frames of a connection until it ends.
 func (w *workerProcess) serve(c *workerConn) {
 	w.mu.Lock()
 	w.conns[c.conn] = true
@@ -44,6 +45,7 @@
 	}
 }
 
+// handle records an arrived command where the oracle needs it, and carries it out. It does not block reading.
 func (c *workerConn) handle(f workerFrame) {
 	switch f.code {
 	case codeCall:
@@ -64,8 +66,9 @@
 	}
 }
 
-// load carries out a load order. A worker that drains answers as those of the platform's bench do: with no where it would have
-// to load, from the start of the drain on, and as always where a copy stands or the order only asks.
+// load carries out a load order. From the start of its drain on, a worker rejects orders for functions that it would have to load,
+// as the workers of the platform's bench do. It answers as before where the function is loaded or loading, and where the order
+// asks for no copies.
 func (c *workerConn) load(f workerFrame) {
 	w := c.worker
 	w.awaitResume()
@@ -94,7 +97,8 @@
 	c.answer(fakes.CodeOK, f.id, "n=1", "")
 }
 
-// runCall answers a call, unless it is given up before it runs.
+// runCall runs a call and answers it. It gives no answer if the connection ends while the call waits, or if the dispatcher cancels
+// the call before it runs.
 func (c *workerConn) runCall(f workerFrame) {
 	w := c.worker
 	w.awaitResume()
@@ -138,7 +142,7 @@
 	c.answer(fakes.CodeOK, f.id, "remark=hot", fmt.Sprintf("%016x", f.id))
 }
 
-// answer writes an answer. Errors are ignored: the dispatcher may be gone.
+// answer writes an answer frame, after the end of a hang. Errors are ignored, as the dispatcher may have ended the connection.
 func (c *workerConn) answer(code byte, id uint64, fields, body string) {
 	c.worker.awaitResume()
 	c.writing.Lock()
--- a/internal/soak/workerframe.go
+++ b/internal/soak/workerframe.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Frames of the worker protocol (source: worker protocol) beside those of package fakes. They are not taken from package
-// worker, so that a fault there does not cancel itself out.
+// Sizes and codes of frames of the worker protocol that package fakes does not define (source: worker protocol). They are not
+// taken from package worker: with a shared definition, a mistake there would go unnoticed.
 const (
 	headSize     = 16
 	checksumSize = 4
@@ -24,18 +24,20 @@
 	codePong   = 70
 )
 
+// maxFrameSize is the largest length of a body, in bytes, that readCommand accepts.
 const maxFrameSize = 1 << 20
 
+// errBadFrame is returned for a frame with too long a body or a wrong checksum.
 var errBadFrame = errors.New("frame cannot be read")
 
-// workerFrame is a command of a dispatcher.
+// workerFrame is a frame that a dispatcher has sent to a worker, without its body.
 type workerFrame struct {
 	code   byte
 	id     uint64
 	fields map[string]string
 }
 
-// readCommand reads a frame of the dispatcher.
+// readCommand reads a frame from a dispatcher and checks its length and checksum.
 func readCommand(conn net.Conn) (workerFrame, error) {
 	head := make([]byte, headSize)
 	if _, err := io.ReadFull(conn, head); err != nil {
--- a/internal/soak/workerhandle.go
+++ b/internal/soak/workerhandle.go
@@ -11,21 +11,20 @@
 	"time"
 )
 
-// drainTail is how long beyond the grace a worker that drains still accepts calls; as long was measured on the platform's
-// bench.
+// drainTail is how long after the grace a draining worker still accepts calls, as measured on the platform's bench.
 const drainTail = 500 * time.Millisecond
 
-// membersPerNetwork is how many workers have addresses with the same third number.
+// membersPerNetwork is how many workers have addresses with the same third octet.
 const membersPerNetwork = 250
 
-// firstMemberNetwork is the third number of the first worker's address.
+// firstMemberNetwork is the third octet of the first worker's address.
 const firstMemberNetwork = 10
 
-// member is a worker as the endpoint list knows it. Several may be served by one process.
+// member is a worker of the endpoint list. One process may run several of them.
 type member struct {
 	uid    string
 	zone   string
-	number int
+	number int // determines the addresses
 	fleet  *Fleet
 }
 
@@ -35,17 +34,17 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", m.fleet.net, network, host, dispatcherPort+dispatcher)
 }
 
-// workerHandle is a worker's process, and the workers that it stands for.
+// workerHandle starts, signals and kills a process that runs one or more workers.
 type workerHandle struct {
 	number  int
 	fleet   *Fleet
 	members []*member
 
 	mu  sync.Mutex
-	cmd *exec.Cmd // nil while there is no process
+	cmd *exec.Cmd // nil while the process does not run
 }
 
-// newWorkerHandle returns the handle of a process that does not run yet.
+// newWorkerHandle returns the handle of a worker process that is not started yet.
 func newWorkerHandle(f *Fleet, number int) *workerHandle {
 	w := &workerHandle{number: number, fleet: f}
 	for i := range f.config.Members {
@@ -56,14 +55,15 @@
 	return w
 }
 
-// takeAddresses has the process listen at the addresses of another one, which has ended for good.
+// takeAddresses gives the workers of this process, which is not started yet, the addresses of those of another one, which will
+// not be started again.
 func (w *workerHandle) takeAddresses(other *workerHandle) {
 	for i, m := range w.members {
 		m.number = other.members[i].number
 	}
 }
 
-// memberConfigs returns what the process is told of its workers.
+// memberConfigs returns the configurations of the process's workers.
 func (w *workerHandle) memberConfigs() []MemberConfig {
 	var configs []MemberConfig
 	for _, m := range w.members {
@@ -76,7 +76,7 @@
 	return configs
 }
 
-// start starts the process and waits until it listens.
+// start writes the configuration of the process, starts it, and waits until it listens at the last of its addresses.
 func (w *workerHandle) start() error {
 	config := w.fleet.config.Worker
 	config.Members = w.memberConfigs()
@@ -108,10 +108,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("soak: worker process %d does not listen", w.number)
+	return fmt.Errorf("soak: worker process %d does not accept connections", w.number)
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL, if it runs, and waits for its end.
 func (w *workerHandle) kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// signal sends a signal to the process.
+// signal sends a signal to the process, if it runs.
 func (w *workerHandle) signal(s syscall.Signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/soak/workerproc.go
+++ b/internal/soak/workerproc.go
@@ -14,36 +14,36 @@
 	"kitefall/internal/channel"
 )
 
-// drainSignal has a worker's process drain.
+// drainSignal makes the workers of a process begin to drain.
 const drainSignal = syscall.SIGINT
 
-// workerEnv names the file that holds the configuration of a worker's process.
+// workerEnv is the environment variable with the path of a worker process's configuration file.
 const workerEnv = "KITEFALL_SOAK_WORKER"
 
-// WorkerConfig configures a worker's process.
+// WorkerConfig configures a process that runs workers. All but Members, Record and Seed apply to each of them.
 type WorkerConfig struct {
-	Members   []MemberConfig // the workers that the process stands for
-	Record    string         // path of its record
+	Members   []MemberConfig // the workers that the process runs
+	Record    string         // path of the file for its events
 	Seed      uint64
-	Cores     int           // calls that run at a time
-	Queue     int           // calls that wait for a core at most; the others are rejected
-	Work      time.Duration // mean
-	LoadTime  time.Duration
-	KeepAlive time.Duration // an idle function is unloaded after this
-	ErrorRate float64       // part of the calls that fail
-	// AcceptsFor is how long a worker that begins to drain still accepts calls.
+	Cores     int           // how many calls run at a time
+	Queue     int           // how many calls may wait for a function to load or for a core; further ones are rejected
+	Work      time.Duration // mean run time of a call
+	LoadTime  time.Duration // how long it takes to load a function
+	KeepAlive time.Duration // how long after its last use a function is unloaded
+	ErrorRate float64       // fraction of the calls that fail
+	// AcceptsFor is how long after the start of its drain a worker still accepts calls.
 	AcceptsFor time.Duration
 }
 
-// MemberConfig is a worker and its addresses.
+// MemberConfig configures one worker of a process.
 type MemberConfig struct {
 	UID   string
-	Addrs []string // one for each dispatcher
+	Addrs []string // the addresses it listens at, one for each dispatcher
 }
 
-// WorkerMain runs workers if the process was started as one, and does not return then. Otherwise it does nothing.
-// SIGUSR1 unloads all functions, SIGUSR2 resets all connections, and SIGHUP has it hang until the next SIGHUP: it goes on
-// reading what arrives, but runs and answers nothing. With drainSignal it begins to drain.
+// WorkerMain runs workers if the process was started as a worker process, and exits the process on SIGTERM. Otherwise it does
+// nothing. SIGUSR1 unloads all functions, SIGUSR2 resets all connections, and SIGHUP makes the workers hang until the next SIGHUP:
+// they go on reading frames, but begin no calls or loads and answer nothing. drainSignal makes them begin to drain.
 func WorkerMain() {
 	path, ok := os.LookupEnv(workerEnv)
 	if !ok {
@@ -56,18 +56,19 @@
 	os.Exit(0)
 }
 
-// loadedFunction is a function at a worker.
+// loadedFunction is a function that a worker has loaded or is loading.
 type loadedFunction struct {
-	ready    chan struct{} // closed once it is loaded
-	lastUsed time.Duration
+	ready    chan struct{} // closed once the function is loaded
+	lastUsed time.Duration // time of the last call, or of the load order
 }
 
-// recorder writes the record of a process.
+// recorder writes the events of all workers of a process to its record.
 type recorder struct {
 	mu      sync.Mutex
-	encoder *json.Encoder // unbuffered: a kill loses nothing
+	encoder *json.Encoder // writes unbuffered, so that SIGKILL loses no whole event
 }
 
+// write stamps an event with the current time and appends it to the record.
 func (r *recorder) write(e WorkerEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,20 +76,20 @@
 	r.encoder.Encode(e)
 }
 
-// workerProcess is the state of one worker.
+// workerProcess is one of the workers that the process runs.
 type workerProcess struct {
 	uid    string
 	config WorkerConfig
 	record *recorder
-	cores  chan struct{}
+	cores  chan struct{} // holds one element for each call that runs
 
 	mu        sync.Mutex
 	random    *rand.Rand
 	functions map[string]*loadedFunction
 	conns     map[*net.TCPConn]bool
-	waiting   int           // calls that wait for a core
-	resumed   chan struct{} // closed unless it hangs
-	drainFrom time.Duration // calls are turned away from then on; 0: it does not drain
+	waiting   int           // calls that wait for a function to load or for a core
+	resumed   chan struct{} // open while the worker hangs, closed otherwise
+	drainFrom time.Duration // when the worker begins to reject calls; 0: it does not drain
 }
 
 // runWorkers runs the workers of a configuration file until SIGTERM.
@@ -119,6 +120,7 @@
 	return nil
 }
 
+// newWorkerProcess returns a worker that does not hang or drain. stream selects its sequence of random numbers.
 func newWorkerProcess(config WorkerConfig, uid string, stream uint64, record *recorder) *workerProcess {
 	w := &workerProcess{
 		uid:       uid,
@@ -134,7 +136,7 @@
 	return w
 }
 
-// listen accepts the connections of each dispatcher at its address.
+// listen listens at the worker's address for each dispatcher and accepts connections in the background.
 func (w *workerProcess) listen(addrs []string) error {
 	for dispatcher, addr := range addrs {
 		listener, err := listenRetrying(addr)
@@ -146,7 +148,7 @@
 	return nil
 }
 
-// listenRetrying listens at an address, which a process that was killed may hold for another moment.
+// listenRetrying listens at an address. It retries for up to a second, as a process that was just killed may still hold it.
 func listenRetrying(addr string) (net.Listener, error) {
 	var listener net.Listener
 	var err error
@@ -159,7 +161,7 @@
 	return nil, err
 }
 
-// handleSignals carries out signals at all workers and returns on SIGTERM.
+// handleSignals applies each received signal to all workers, and returns on SIGTERM.
 func handleSignals(workers []*workerProcess) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGHUP, syscall.SIGTERM, drainSignal)
@@ -173,7 +175,7 @@
 	}
 }
 
-// handleSignal unloads all functions, resets all connections, or begins or ends to hang.
+// handleSignal applies a signal to the worker (see WorkerMain).
 func (w *workerProcess) handleSignal(received os.Signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -196,14 +198,14 @@
 	}
 }
 
-// drains reports whether the worker turns away what is new.
+// drains reports whether the worker rejects new calls, because it has drained for AcceptsFor or longer.
 func (w *workerProcess) drains() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.drainFrom > 0 && Now() >= w.drainFrom
 }
 
-// awaitResume waits while the worker hangs.
+// awaitResume blocks while the worker hangs.
 func (w *workerProcess) awaitResume() {
 	w.mu.Lock()
 	resumed := w.resumed
@@ -211,12 +213,13 @@
 	<-resumed
 }
 
-// note writes an event to the record.
+// note writes an event of this worker to the record.
 func (w *workerProcess) note(e WorkerEvent) {
 	e.Worker = w.uid
 	w.record.write(e)
 }
 
+// accept serves the connections that a listener accepts, all from one dispatcher.
 func (w *workerProcess) accept(listener net.Listener, dispatcher int) {
 	for {
 		conn, err := listener.Accept()
@@ -227,13 +230,15 @@
 	}
 }
 
+// unload removes a function from the loaded ones.
 func (w *workerProcess) unload(function string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.functions, function)
 }
 
-// use returns a function if it is loaded or being loaded; one that has been idle for too long is not.
+// use returns a function that is loaded or loading and notes that it is used now. It returns nil if there is none, and unloads a
+// function that was idle for longer than KeepAlive.
 func (w *workerProcess) use(function string) *loadedFunction {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -249,7 +254,7 @@
 	return loaded
 }
 
-// enterQueue reports whether there is room for a call that waits for a core.
+// enterQueue adds a call to the waiting ones. It returns false if as many calls wait as the queue holds.
 func (w *workerProcess) enterQueue() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -260,13 +265,14 @@
 	return true
 }
 
+// leaveQueue takes a call off the waiting ones.
 func (w *workerProcess) leaveQueue() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waiting--
 }
 
-// draw returns how long a call runs and whether it fails.
+// draw draws how long a call runs and whether it fails.
 func (w *workerProcess) draw() (work time.Duration, fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
