--- a/internal/soak/incident3_test.go
+++ b/internal/soak/incident3_test.go
@@ -19,7 +19,7 @@
 			h, begin, end := run.play(t)
 			assert.Empty(t, Check(h))
 			assert.GreaterOrEqual(t, h.servedShare(begin, end), 0.97)
-			assertUsedAgain(t, h, run.draining, end)
+			assertCalledAgain(t, h, run.draining, end)
 		})
 	}
 }
@@ -52,19 +52,19 @@
 	assert.Empty(t, Check(h))
 }
 
-// assertUsedAgain asserts that each of the first workers, which have been started again, gets a call within returnWithin after the
-// endpoint list is available again.
-func assertUsedAgain(t *testing.T, h *History, workers int, listReturned time.Duration) {
+// assertCalledAgain asserts that each of the first workers, which have been started again, gets a call within returnWithin of the
+// time listReturned, when the endpoint list is available again.
+func assertCalledAgain(t *testing.T, h *History, workers int, listReturned time.Duration) {
 	t.Helper()
-	used := map[string]bool{}
+	called := map[string]bool{}
 	for _, e := range h.Workers {
 		if e.Kind == CallArrived && e.At > listReturned && e.At < listReturned+returnWithin {
-			used[e.Worker] = true
+			called[e.Worker] = true
 		}
 	}
 	for number := range workers {
 		uid := newWorkerHandle(&Fleet{config: Config{Members: 1}}, number).members[0].uid
-		assert.True(t, used[uid], "%s is not used %s after the list's return", uid, returnWithin)
+		assert.True(t, called[uid], "%s got no call within %s after the return of the endpoint list", uid, returnWithin)
 	}
 }
 
@@ -73,14 +73,15 @@
 // operators' report; in the other a third of the workers drain.
 func TestFleetOfLittleTrafficServesOnWithoutDiscovery(t *testing.T) {
 	for name, run := range map[string]outageRun{
-		"two drain, twice": {dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageRefused, outages: 2, restarts: 4},
-		"seven drain":      {dispatchers: 54, workers: 22, draining: 7, rate: 3, kind: OutageSilent},
+		"two drain in each of two outages": {dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageRefused, outages: 2,
+			restarts: 4},
+		"seven drain": {dispatchers: 54, workers: 22, draining: 7, rate: 3, kind: OutageSilent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h, begin, end := run.play(t)
 			assert.Empty(t, Check(h))
-			t.Log("served before and during", h.servedShare(0, begin), h.servedShare(begin, end))
+			t.Log("served shares before and during the last outage:", h.servedShare(0, begin), h.servedShare(begin, end))
 			assert.GreaterOrEqual(t, h.servedShare(begin, end), 0.9)
 		})
 	}
@@ -99,7 +100,7 @@
 // Guards against calls to a worker that drains, ends and is started again during an outage of discovery. Its drain counts as known
 // to dispatchers 7 s after the drain, and its return 7 s after the return. A call that it serves in between is no proof that it
 // may be used. TestSoak found this failure.
-func TestNothingNewToAWorkerWhoseReturnWasNotTold(t *testing.T) {
+func TestNothingNewToAWorkerWhoseReturnIsNotKnown(t *testing.T) {
 	t.Parallel()
 	rules := DefaultRules()
 	rules.DrainGrace = outageGrace
@@ -113,13 +114,14 @@
 	load := Load{Rate: 160, Functions: 12, MinWait: 500 * time.Millisecond, MaxWait: time.Second}
 	f.StartClients(load)
 	time.Sleep(outageAfter)
-	ended := make(chan error, 1)
-	go func() { ended <- f.BreakDiscovery(OutageRefused, f.allDispatchers(), outageLength) }()
+	outageEnded := make(chan error, 1)
+	go func() { outageEnded <- f.BreakDiscovery(OutageRefused, f.allDispatchers(), outageLength) }()
 	time.Sleep(drainAfter)
 	require.NoError(t, f.CycleWorker(0, 3*time.Second))
-	load.Functions, load.FirstFunction = 100, 1000 // no worker has these loaded, so that the restarted one is as eligible as the others
+	// No worker has these functions loaded, so that the restarted one is as eligible as the others.
+	load.Functions, load.FirstFunction = 100, 1000
 	f.SetLoad(load)
-	require.NoError(t, <-ended)
+	require.NoError(t, <-outageEnded)
 	h, err := f.Finish()
 	require.NoError(t, err)
 	t.Log(Counts(h), h.ServedByDiscovery())
--- a/internal/soak/oldlist_test.go
+++ b/internal/soak/oldlist_test.go
@@ -17,7 +17,8 @@
 			restart := 4 * time.Second
 			h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, length: 16 * time.Second,
 				oldListAfter: restart}.play(t)
-			t.Log("served before, from the restart on", h.servedShare(begin, begin+restart), h.servedShare(begin+restart, end))
+			t.Log("served shares before the restart and from it on:", h.servedShare(begin, begin+restart),
+				h.servedShare(begin+restart, end))
 			assert.Empty(t, Check(h))
 		})
 	}
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -23,26 +23,29 @@
 	RuleSlowStart Rule = "slowstart" // a worker that has just started is not sent more calls than it can run
 	RuleCrash     Rule = "crash"     // dispatchers end only by SIGKILL, or without an error after SIGTERM
 	RuleFrame     Rule = "frame"     // workers can read every frame that they are sent
-	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher closes its client connections in time, and accepts clients after a rejoin
+	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher frees its clients in time, and accepts clients after a rejoin
 	RuleLimits    Rule = "limits"    // no more descriptors and memory are used than the limits allow
 	RuleServe     Rule = "serve"     // the fleet goes on serving during an outage of discovery
-	RuleChoice    Rule = "choice"    // no dispatcher's own check had to stop a choice of its balancer
+	RuleChoice    Rule = "choice"    // no dispatcher had to stop a choice of its balancer that would have broken a rule
 )
 
 // Tolerances of the checks.
 const (
-	timeSlack     = 50 * time.Millisecond  // on every time limit
-	budgetSlack   = 0.15                   // the load budget is raised by this fraction ...
-	budgetExtra   = 1                      // ... and by this number of orders
-	answerSlack   = 500 * time.Millisecond // an answer counts as lost this long after the client's time limit
-	goneSlack     = 100 * time.Millisecond // an attempt may begin this long after its client has cancelled or closed
-	deadlineSlack = 150 * time.Millisecond // the time limit of an attempt may exceed the client's by this
-	crossingTime  = 50 * time.Millisecond  // a request sent this shortly before the dispatcher closes an idle connection may stay unread
-	// schedulingSlack is added to time limits, as the recording processes and those they observe compete for the same processors.
+	timeSlack       = 50 * time.Millisecond  // on every time limit
+	loadBudgetSlack = 0.15                   // the load budget is raised by this fraction ...
+	loadBudgetExtra = 1                      // ... and by this number of orders
+	answerSlack     = 500 * time.Millisecond // a request without an answer counts as lost this long after its client's time limit
+	goneSlack       = 100 * time.Millisecond // an attempt may begin this long after its client has cancelled or closed
+	deadlineSlack   = 150 * time.Millisecond // an attempt's time limit may exceed the time that its client still waits by this
+	// idleCloseRaceTime is how long before the dispatcher closes an idle connection a request may be sent and stay unread.
+	idleCloseRaceTime = 50 * time.Millisecond
+	// schedulingSlack is added to time limits, as the recording and the observed processes share the machine's processors.
 	schedulingSlack = 100 * time.Millisecond
-	// thawTime is how long a worker takes, after it resumes, to read what arrived while its process was stopped.
-	thawTime      = 500 * time.Millisecond
-	notifiedShare = 2.0 / 3 // an overload counts if more than this share of its calls came from dispatchers that knew of the worker's start
+	// backlogReadTime is how long a worker takes, after it resumes, to read what arrived while its process was stopped.
+	backlogReadTime = 500 * time.Millisecond
+	// minNotifiedShare is the share of an overload's calls that must be exceeded by calls of dispatchers notified of the worker's
+	// start, for the overload to count as a violation.
+	minNotifiedShare = 2.0 / 3
 )
 
 // Violation is one breach of a rule.
@@ -80,8 +83,8 @@
 	return last
 }
 
-// begin returns when the first dispatcher process was started.
-func (h *History) begin() time.Duration {
+// firstStart returns when the first dispatcher process was started.
+func (h *History) firstStart() time.Duration {
 	begin := time.Duration(math.MaxInt64)
 	for _, run := range h.Dispatchers {
 		begin = min(begin, run.Started)
@@ -89,8 +92,8 @@
 	return begin
 }
 
-// run returns the record of one process of a dispatcher.
-func (h *History) run(dispatcher, number int) DispatcherRun {
+// dispatcherRun returns the record of one process of a dispatcher.
+func (h *History) dispatcherRun(dispatcher, number int) DispatcherRun {
 	for _, run := range h.Dispatchers {
 		if run.Dispatcher == dispatcher && run.Run == number {
 			return run
@@ -99,39 +102,40 @@
 	return DispatcherRun{}
 }
 
-// process identifies one process of a dispatcher.
-type process struct{ dispatcher, run int }
+// dispatcherProcess identifies one process of a dispatcher.
+type dispatcherProcess struct{ dispatcher, run int }
 
 // checkLoads checks, for each load order that asks for copies, that the orders of its dispatcher process in the window up to
-// its arrival stay within the budget: a burst, and a number of orders for each request in the window.
+// its arrival stay within the budget: LoadBurst, and LoadRatio orders for each request in the window.
 func checkLoads(h *History) []Violation {
-	orders := map[process][]time.Duration{}
+	orderTimes := map[dispatcherProcess][]time.Duration{}
 	for _, e := range h.Workers {
 		if e.Kind == LoadArrived && e.Copies > 0 && h.arrivalKnown(e) {
-			p := process{e.Dispatcher, h.runAt(e.Dispatcher, e.At)}
-			orders[p] = append(orders[p], e.At)
+			p := dispatcherProcess{e.Dispatcher, h.runAt(e.Dispatcher, e.At)}
+			orderTimes[p] = append(orderTimes[p], e.At)
 		}
 	}
-	taken := map[process][]time.Duration{}
+	requestTimes := map[dispatcherProcess][]time.Duration{}
 	for _, r := range h.Requests {
 		if r.Sent > 0 {
-			p := process{r.Dispatcher, r.Run}
-			taken[p] = append(taken[p], r.Sent)
+			p := dispatcherProcess{r.Dispatcher, r.Run}
+			requestTimes[p] = append(requestTimes[p], r.Sent)
 		}
 	}
 	var violations []Violation
-	for p, times := range orders {
+	for p, times := range orderTimes {
 		slices.Sort(times)
-		slices.Sort(taken[p])
+		slices.Sort(requestTimes[p])
 		for i, at := range times {
 			from := at - h.Rules.LoadWindow
 			first, _ := slices.BinarySearch(times, from)
-			given := i + 1 - first
-			requests := countBetween(taken[p], from-timeSlack, at)
-			allowed := h.Rules.LoadBurst + h.Rules.LoadRatio*float64(requests)
-			if float64(given) > allowed*(1+budgetSlack)+budgetExtra {
+			orderCount := i + 1 - first
+			requestCount := countBetween(requestTimes[p], from-timeSlack, at)
+			allowed := h.Rules.LoadBurst + h.Rules.LoadRatio*float64(requestCount)
+			if float64(orderCount) > allowed*(1+loadBudgetSlack)+loadBudgetExtra {
 				violations = append(violations, Violation{RuleLoads, at,
-					fmt.Sprintf("dispatcher %d run %d sent %d load orders in the window, with %d requests", p.dispatcher, p.run, given, requests)})
+					fmt.Sprintf("dispatcher %d run %d sent %d load orders in the window, with %d requests", p.dispatcher, p.run, orderCount,
+						requestCount)})
 			}
 		}
 	}
@@ -176,7 +180,8 @@
 	for _, run := range h.Dispatchers {
 		if run.Stopped > 0 {
 			violations = append(violations, Violation{RuleChoice, run.Started, fmt.Sprintf(
-				"dispatcher %d run %d: its own check stopped %d or more choices that would have broken a rule", run.Dispatcher, run.Run, run.Stopped)})
+				"dispatcher %d run %d: its own check stopped %d or more choices that would have broken a rule", run.Dispatcher,
+				run.Run, run.Stopped)})
 		}
 	}
 	return violations
--- a/internal/soak/oracle_requests.go
+++ b/internal/soak/oracle_requests.go
@@ -10,7 +10,7 @@
 	ran := map[uint64]int{}
 	var violations []Violation
 	for _, e := range h.Workers {
-		if e.Kind != CallRan || e.Class != ClassNotIdempotent {
+		if e.Kind != CallStarted || e.Class != ClassNotIdempotent {
 			continue
 		}
 		if ran[e.Call]++; ran[e.Call] == 2 {
@@ -36,7 +36,7 @@
 		case len(r.Answers) > 1:
 			add(r, "answered twice")
 		case len(r.Answers) == 0 && h.exemption(r) == "":
-			add(r, "no answer; "+r.endText())
+			add(r, "no answer; "+r.connectionEndText())
 		case len(r.Answers) == 1 && r.Left == 0 && r.Answers[0]-r.Sent > r.Wait+answerSlack+schedulingSlack:
 			add(r, fmt.Sprintf("answered after %.3f s, the client waits %.3f s", (r.Answers[0]-r.Sent).Seconds(), r.Wait.Seconds()))
 		}
@@ -44,21 +44,21 @@
 	return violations
 }
 
-// endText describes how the connection of a request without an answer ended.
-func (r *Request) endText() string {
+// connectionEndText describes how the connection of a request without an answer ended.
+func (r *Request) connectionEndText() string {
 	if r.ConnEnded == 0 {
 		return "the dispatcher did not end the connection"
 	}
-	return fmt.Sprintf("the dispatcher ended the connection %.6f s after the request was sent, last bytes unread: %t; %d requests without an answer",
+	return fmt.Sprintf("the dispatcher ended the connection %.6f s after the request, last bytes unread: %t; %d requests without an answer",
 		(r.ConnEnded - r.Sent).Seconds(), r.EndedUnread, r.OpenAtEnd)
 }
 
 // exemption returns why a request without an answer is no violation. It is empty where the dispatcher had to answer.
 func (h *History) exemption(r *Request) string {
-	run := h.run(r.Dispatcher, r.Run)
+	run := h.dispatcherRun(r.Dispatcher, r.Run)
 	answerBy := r.Sent + r.Wait + answerSlack
 	switch {
-	case run.Killed > 0 && run.Killed < answerBy && !h.stoppedInTime(run):
+	case run.Killed > 0 && run.Killed < answerBy && !h.terminatedInTime(run):
 		return "dispatcher killed"
 	case r.Left > 0 && r.Left < answerBy:
 		return "client left"
@@ -72,29 +72,30 @@
 // on it had been answered, and the dispatcher had not read this one. If several requests on the connection have no answer, only
 // the last is known to be unread, and crossedClose is false for all of them.
 func (r *Request) crossedClose() bool {
-	return r.ConnEnded > 0 && r.EndedUnread && r.OpenAtEnd == 1 && r.ConnEnded-r.Sent <= crossingTime
+	return r.ConnEnded > 0 && r.EndedUnread && r.OpenAtEnd == 1 && r.ConnEnded-r.Sent <= idleCloseRaceTime
 }
 
-// stoppedInTime reports whether a killed process got SIGTERM at least KillDelay before SIGKILL. In that time it has to answer
+// terminatedInTime reports whether a killed process got SIGTERM at least KillDelay before SIGKILL. In that time it has to answer
 // every request that it accepts, and to stop accepting requests (source: client protocol, figures).
-func (h *History) stoppedInTime(run DispatcherRun) bool {
+func (h *History) terminatedInTime(run DispatcherRun) bool {
 	return run.Terminated > 0 && run.Killed-run.Terminated >= h.KillDelay
 }
 
 // checkGone reports attempts that arrive at a worker after their client cancelled the request or closed its connection.
 func checkGone(h *History) []Violation {
-	left := map[uint64]time.Duration{}
+	leftAt := map[uint64]time.Duration{}
 	for _, r := range h.Requests {
 		if r.Left > 0 {
-			left[r.ID] = r.Left
+			leftAt[r.ID] = r.Left
 		}
 	}
 	var violations []Violation
 	for _, e := range h.Workers {
-		at, gone := left[e.Call]
-		if e.Kind == CallArrived && gone && h.arrivalKnown(e) && e.At-at > goneSlack+timeSlack+schedulingSlack {
+		at, hasLeft := leftAt[e.Call]
+		if e.Kind == CallArrived && hasLeft && h.arrivalKnown(e) && e.At-at > goneSlack+timeSlack+schedulingSlack {
 			violations = append(violations, Violation{RuleGone, e.At,
-				fmt.Sprintf("call %016x arrived %.3f s after its client cancelled it or closed the connection", e.Call, (e.At - at).Seconds())})
+				fmt.Sprintf("call %016x arrived %.3f s after its client cancelled it or closed the connection", e.Call,
+					(e.At - at).Seconds())})
 		}
 	}
 	return violations
@@ -115,10 +116,11 @@
 		if r == nil || r.Sent == 0 {
 			continue
 		}
-		left := r.Wait - (e.At - r.Sent)
-		if e.Max > left+deadlineSlack+schedulingSlack {
+		timeLeft := r.Wait - (e.At - r.Sent)
+		if e.Timeout > timeLeft+deadlineSlack+schedulingSlack {
 			violations = append(violations, Violation{RuleDeadline, e.At,
-				fmt.Sprintf("call %016x: the worker got a time limit of %s, its client waits for another %s", e.Call, e.Max, left)})
+				fmt.Sprintf("call %016x: the worker got a time limit of %s, its client waits for another %s", e.Call, e.Timeout,
+					timeLeft)})
 		}
 	}
 	return violations
--- a/internal/soak/oracle_serving.go
+++ b/internal/soak/oracle_serving.go
@@ -12,39 +12,39 @@
 // The states of discovery. An outage counts as long once a change made at its start must be known to dispatchers
 // (notifiedAfter), and the grace for draining workers has passed as well.
 const (
-	discoveryWorks  discoveryState = "works"
-	discoveryBroken discoveryState = "broken"
-	discoveryLong   discoveryState = "broken for longer than its news counts as told"
-	// discoveryOutdated is discoveryLong where most of the workers have also drained, ended or started since the outage began.
-	// Neither they nor their successors may be used.
+	discoveryWorks      discoveryState = "works"
+	discoveryBroken     discoveryState = "broken"
+	discoveryBrokenLong discoveryState = "broken for longer than its news counts as told"
+	// discoveryOutdated is discoveryBrokenLong where most of the workers have also drained, ended or started since the outage
+	// began. Neither they nor their successors may be used.
 	discoveryOutdated discoveryState = "broken for longer than its news counts as told, and most workers have changed"
 )
 
 const (
-	// minServedPart is the fraction of the served share while discovery works that a fleet has to reach in a long outage. A larger
+	// minServedRatio is the fraction of the served share while discovery works that a fleet has to reach in a long outage. A larger
 	// one would not hold, as other faults overlap with the outage: workers crash, hang and drain, clients send nothing until no
 	// worker is known to be ready, and bursts exceed the capacity of the workers.
-	minServedPart = 0.5
-	// minJudgedServes is how many requests both shares need; shares of fewer requests say nothing.
-	minJudgedServes = 100
-	// minUnchangedPart is the fraction of the workers ready at the start of the outage that must not have changed since, for
-	// minServedPart to apply: the others may not be used.
-	minUnchangedPart = 0.5
+	minServedRatio = 0.5
+	// minComparedRequests is how many answered requests each of the two shares needs; shares of fewer requests say nothing.
+	minComparedRequests = 100
+	// minUnchangedShare is the fraction of the workers ready at the start of the outage that must not have changed since, for
+	// minServedRatio to apply: the others may not be used.
+	minUnchangedShare = 0.5
 )
 
 // servedCount counts requests and how many of them were served.
-type servedCount struct{ asked, served int }
+type servedCount struct{ total, served int }
 
 // share returns the fraction of the requests that were served, or 1 if there were none.
 func (c servedCount) share() float64 {
-	if c.asked == 0 {
+	if c.total == 0 {
 		return 1
 	}
-	return float64(c.served) / float64(c.asked)
+	return float64(c.served) / float64(c.total)
 }
 
-// stateOf returns the state of a dispatcher's discovery at a time.
-func (h *History) stateOf(dispatcher int, at time.Duration) discoveryState {
+// discoveryStateAt returns the state of a dispatcher's discovery at a time.
+func (h *History) discoveryStateAt(dispatcher int, at time.Duration) discoveryState {
 	i := slices.IndexFunc(h.Outages, func(o Outage) bool {
 		return o.Dispatcher == dispatcher && o.Begin <= at && at < o.End
 	})
@@ -53,16 +53,16 @@
 		return discoveryWorks
 	case at-h.Outages[i].Begin < notifiedAfter+h.Rules.DrainGrace:
 		return discoveryBroken
-	case h.unchangedPart(h.Outages[i].Begin, at) < minUnchangedPart:
+	case h.unchangedShare(h.Outages[i].Begin, at) < minUnchangedShare:
 		return discoveryOutdated
 	default:
-		return discoveryLong
+		return discoveryBrokenLong
 	}
 }
 
-// unchangedPart returns, of the workers that the endpoint list had as active at begin, the fraction without a change in the list
+// unchangedShare returns, of the workers that the endpoint list had as active at begin, the fraction without a change in the list
 // until end; 0 if none was active.
-func (h *History) unchangedPart(begin, end time.Duration) float64 {
+func (h *History) unchangedShare(begin, end time.Duration) float64 {
 	ready, changed := map[string]bool{}, map[string]bool{}
 	for _, c := range h.ListChanges {
 		switch {
@@ -92,9 +92,9 @@
 		if r.Sent == 0 || len(r.Answers) == 0 {
 			continue
 		}
-		state := h.stateOf(r.Dispatcher, r.Sent)
+		state := h.discoveryStateAt(r.Dispatcher, r.Sent)
 		count := counts[state]
-		count.asked++
+		count.total++
 		if r.served() {
 			count.served++
 		}
@@ -103,14 +103,15 @@
 	return counts
 }
 
-// checkServing compares the share of requests served in long outages of discovery with the share served while discovery works.
+// checkServing reports a fleet that served, in long outages of discovery, less than minServedRatio of the share that it served
+// while discovery worked. Requests at times of discoveryOutdated are not compared.
 func checkServing(h *History) []Violation {
 	counts := h.ServedByDiscovery()
-	long, usual := counts[discoveryLong], counts[discoveryWorks]
-	if min(long.asked, usual.asked) < minJudgedServes || long.share() >= minServedPart*usual.share() {
+	long, working := counts[discoveryBrokenLong], counts[discoveryWorks]
+	if min(long.total, working.total) < minComparedRequests || long.share() >= minServedRatio*working.share() {
 		return nil
 	}
 	text := fmt.Sprintf("%d of %d requests served in long outages of discovery, %d of %d while discovery worked",
-		long.served, long.asked, usual.served, usual.asked)
+		long.served, long.total, working.served, working.total)
 	return []Violation{{RuleServe, h.Outages[0].Begin, text}}
 }
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -38,82 +38,82 @@
 		change func(*History)
 		want   []Rule
 	}{
-		"nothing": {func(*History) {}, nil},
-		"three load orders": {func(h *History) {
+		"empty history": {func(*History) {}, nil},
+		"three load orders without a request": {func(h *History) {
 			for range 3 {
 				h.Workers = append(h.Workers, WorkerEvent{At: 10 * second, Kind: LoadArrived, Copies: 1})
 			}
 		}, []Rule{RuleLoads}},
-		"earned load orders": {func(h *History) {
+		"three load orders with three requests": {func(h *History) {
 			for range 3 {
 				h.Workers = append(h.Workers, WorkerEvent{At: 10 * second, Kind: LoadArrived, Copies: 1})
 				h.Requests = append(h.Requests, &Request{Sent: 9 * second, Answers: []time.Duration{9 * second}, Wait: second})
 			}
 		}, nil},
-		"run twice": {func(h *History) {
-			h.Workers = []WorkerEvent{callEvent(CallRan, 10*second), callEvent(CallRan, 12*second)}
+		"not idempotent, run twice": {func(h *History) {
+			h.Workers = []WorkerEvent{callEvent(CallStarted, 10*second), callEvent(CallStarted, 12*second)}
 		}, []Rule{RuleDuplicate}},
 		"sent to a draining worker": {func(h *History) {
 			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 8 * second}}
 			h.Workers = []WorkerEvent{callEvent(CallArrived, 10*second)}
 		}, []Rule{RuleDrain}},
-		"sent to one that is ready again": {func(h *History) {
+		"sent to a worker that is ready again": {func(h *History) {
 			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 7 * second},
 				{Worker: "s-1", State: stateActive, At: 8 * second}}
 			h.Workers = []WorkerEvent{callEvent(CallArrived, 10*second)}
 		}, nil},
-		"asked, not ordered": {func(h *History) {
+		"load order for no copies at a draining worker": {func(h *History) {
 			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 8 * second}}
 			h.Workers = []WorkerEvent{{At: 10 * second, Kind: LoadArrived, Worker: "s-1"}}
 		}, nil},
-		"ordered at a draining worker": {func(h *History) {
+		"load order at a draining worker": {func(h *History) {
 			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 8 * second}}
 			h.Workers = []WorkerEvent{{At: 10 * second, Kind: LoadArrived, Worker: "s-1", Copies: 1}}
 		}, []Rule{RuleDrain}},
-		"served without discovery":     {func(h *History) { addServing(h, 100, 51) }, nil},
-		"not served without discovery": {func(h *History) { addServing(h, 100, 49) }, []Rule{RuleServe}},
-		"too few to judge":             {func(h *History) { addServing(h, 99, 0) }, nil},
-		"not served by half of the workers": {func(h *History) {
+		"half served in a long outage":           {func(h *History) { addServing(h, 100, 51) }, nil},
+		"less than half served in a long outage": {func(h *History) { addServing(h, 100, 49) }, []Rule{RuleServe}},
+		"too few requests to compare":            {func(h *History) { addServing(h, 99, 0) }, nil},
+		"none served, one of three workers has drained": {func(h *History) {
 			addServing(h, 100, 0)
 			h.addChanges(25*second, stateLeaving)
 		}, []Rule{RuleServe}},
-		"most workers have drained": {func(h *History) {
+		"none served, most workers have drained": {func(h *History) {
 			addServing(h, 100, 0)
 			h.addChanges(25*second, stateLeaving, stateLeaving)
 		}, nil},
-		"most workers were started anew": {func(h *History) {
+		"none served, most workers were started again": {func(h *History) {
 			addServing(h, 100, 0)
 			h.addChanges(25*second, stateActive, stateActive)
 		}, nil},
-		"most workers drained before, and after": {func(h *History) {
+		"none served, most workers drained before or after": {func(h *History) {
 			addServing(h, 100, 0)
 			h.addChanges(15*second, stateLeaving, stateLeaving)
 			h.addChanges(31*second, stateLeaving, stateLeaving, stateLeaving)
 		}, []Rule{RuleServe}},
-		"a choice that was stopped": {func(h *History) { h.Dispatchers[0].Stopped = 1 }, []Rule{RuleChoice}},
-		"no answer":                 {func(h *History) { h.Requests = []*Request{newRequest(10 * second)} }, []Rule{RuleLost}},
-		"client left": {func(h *History) {
+		"choice that was stopped": {func(h *History) { h.Dispatchers[0].Stopped = 1 }, []Rule{RuleChoice}},
+		"no answer":               {func(h *History) { h.Requests = []*Request{newRequest(10 * second)} }, []Rule{RuleLost}},
+		"no answer, client left": {func(h *History) {
 			r := newRequest(10 * second)
 			r.Left = 10*second + second/2
 			h.Requests = []*Request{r}
 		}, nil},
-		"killed": {func(h *History) {
+		"no answer, dispatcher killed": {func(h *History) {
 			h.Dispatchers[0].Killed = 10*second + second/2
 			h.Requests = []*Request{newRequest(10 * second)}
 		}, nil},
-		"killed long after SIGTERM": {func(h *History) {
+		"no answer before a kill long after SIGTERM": {func(h *History) {
 			h.Dispatchers[0].Terminated = 10 * second
 			h.Dispatchers[0].Killed = 10*second + h.KillDelay
 			r := newRequest(10 * second)
 			r.Wait = 4 * second
 			h.Requests = []*Request{r}
 		}, []Rule{RuleLost}},
-		"used until the kill": {func(h *History) {
+		"no answer, sent between SIGTERM and the kill": {func(h *History) {
 			h.Dispatchers[0].Terminated = 10 * second
 			h.Dispatchers[0].Killed = 12 * second
 			h.Requests = []*Request{newRequest(11*second + second/2)}
 		}, []Rule{RuleLost}},
-		"crossed the close of an idle connection": {func(h *History) {
+		"unread at the close of an idle connection": {func(h *History) {
 			h.Requests = []*Request{endedRequest(49, 1, true)}
 		}, nil},
 		"read before the close": {func(h *History) {
@@ -125,7 +125,7 @@
 		"closed with another request open": {func(h *History) {
 			h.Requests = []*Request{endedRequest(1, 2, true)}
 		}, []Rule{RuleLost}},
-		"clients kept": {func(h *History) {
+		"clients held after an evacuation": {func(h *History) {
 			h.Evacuations = []Evacuation{{Called: second, Problems: []string{"a connection is held"}}}
 		}, []Rule{RuleEvacuate}},
 		"too many descriptors": {func(h *History) { h.Dispatchers[0].Descriptors = 1025 }, []Rule{RuleLimits}},
@@ -141,20 +141,20 @@
 			h.Requests = []*Request{r}
 			h.Workers = []WorkerEvent{callEvent(CallArrived, 11*second)}
 		}, []Rule{RuleGone}},
-		"deadline beyond the client's": {func(h *History) {
+		"time limit beyond the client's": {func(h *History) {
 			h.Requests = []*Request{answered}
 			e := callEvent(CallArrived, 10*second+second/2)
-			e.Max = second
+			e.Timeout = second
 			h.Workers = []WorkerEvent{e}
 		}, []Rule{RuleDeadline}},
-		"unknown arrival at a frozen worker": {func(h *History) {
+		"unknown time of arrival at a stopped worker": {func(h *History) {
 			h.Requests = []*Request{answered}
 			h.Freezes = []Freeze{{Worker: "s-1", Begin: 10 * second, End: 11 * second}}
 			e := callEvent(CallArrived, 11*second)
-			e.Max = second
+			e.Timeout = second
 			h.Workers = []WorkerEvent{e}
 		}, nil},
-		"cold worker": {func(h *History) {
+		"overload of a cold worker": {func(h *History) {
 			h.Notifications = []Notification{{Worker: "s-1", State: stateActive, BootMS: 1, At: 9 * second}}
 			h.Workers = []WorkerEvent{{At: 9 * second, Kind: WorkerStarted, Worker: "s-1"}}
 			for range 6 {
@@ -163,7 +163,7 @@
 		}, []Rule{RuleSlowStart}},
 		"crash": {func(h *History) { h.Dispatchers[0].Crash = "exit status 2" }, []Rule{RuleCrash}},
 		"bad frame": {func(h *History) {
-			h.Workers = []WorkerEvent{{At: 9 * second, Kind: FramesBroken, Worker: "s-1"}}
+			h.Workers = []WorkerEvent{{At: 9 * second, Kind: FrameUnreadable, Worker: "s-1"}}
 		}, []Rule{RuleFrame}},
 	} {
 		h := newHistory()
@@ -176,24 +176,24 @@
 	}
 }
 
-// endedRequest returns a request that was sent the given number of milliseconds before its connection ended, with the given
-// number of requests open on the connection.
-func endedRequest(sent, open int, unread bool) *Request {
+// endedRequest returns a request that was sent millisBefore milliseconds before its connection ended, with open requests on the
+// connection, the last of them unread or not.
+func endedRequest(millisBefore, open int, unread bool) *Request {
 	const ended = 11 * second
-	r := newRequest(ended - time.Duration(sent)*time.Millisecond)
+	r := newRequest(ended - time.Duration(millisBefore)*time.Millisecond)
 	r.ConnEnded = ended
 	r.OpenAtEnd = open
 	r.EndedUnread = unread
 	return r
 }
 
-// addServing adds an outage of discovery, 100 requests before it that are all served, and the asked number of requests late in it,
-// of which the given number is served.
-func addServing(h *History, asked, served int) {
+// addServing adds an outage of discovery, 100 requests before it that are all served, and a number of requests late in it, of which
+// as many as served says are served.
+func addServing(h *History, requests, served int) {
 	const begin, longAfter = 20 * second, 30 * second
 	h.Outages = []Outage{{Kind: OutageSilent, Begin: begin, End: time.Minute}}
 	h.addChanges(0, stateActive, stateActive, stateActive)
-	for i := range 100 + asked {
+	for i := range 100 + requests {
 		r := newRequest(10 * second)
 		r.Words = []string{wordOK}
 		if i >= 100 {
@@ -216,7 +216,7 @@
 
 // A change that is delivered later than notifiedAfter counts as known from that limit on, one that is delivered in time from its
 // delivery on.
-func TestLateEventsCountAsToldInTime(t *testing.T) {
+func TestLateChangesCountAsKnownAtTheLimit(t *testing.T) {
 	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{Members: 1}}
 	list := newEndpointList(f)
 	worker := newWorkerHandle(f, 0)
@@ -231,21 +231,23 @@
 }
 
 // A change after the endpoint list for a dispatcher's start was taken counts as known notifiedAfter later, not at the start.
-func TestChangeDuringAStartIsNotToldByIt(t *testing.T) {
+func TestChangeDuringAStartIsNotKnownFromIt(t *testing.T) {
 	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{Members: 1}}
 	list := newEndpointList(f)
 	worker := newWorkerHandle(f, 0)
 	list.first = []change{{worker: worker.members[0], state: stateActive}}
 	run := DispatcherRun{Started: Now()}
-	_, told := list.known(0)
+	_, known := list.known(0)
 	list.add(worker, stateLeaving, 0)
-	list.noteKnown(0, 0, startList{told: told, asOf: run.Started})
+	list.noteKnown(0, 0, startList{told: known, asOf: run.Started})
 	notices := list.allNotifications([]DispatcherRun{run})
 	assert.Len(t, notices, 2)
 	assert.Equal(t, stateActive, notices[0].State)
-	assert.Equal(t, Notification{Worker: worker.members[0].uid, State: stateLeaving, At: list.changes[0].at + notifiedAfter}, notices[1])
+	assert.Equal(t, Notification{Worker: worker.members[0].uid, State: stateLeaving, At: list.changes[0].at + notifiedAfter},
+		notices[1])
 }
 
+// Guards against a random plan that differs between two runs of the same seed, or is the same for two seeds.
 func TestRandomPlanDependsOnTheSeedAlone(t *testing.T) {
 	assert.Equal(t, RandomPlan(3, planLength), RandomPlan(3, planLength))
 	assert.NotEqual(t, RandomPlan(3, planLength), RandomPlan(4, planLength))
@@ -263,6 +265,6 @@
 				added++
 			}
 		}
-		assert.Equal(t, seed%longSeedPeriod == 0, added == 1, "%d", seed)
+		assert.Equal(t, seed%longSeedPeriod == 0, added == 1, "seed %d", seed)
 	}
 }
--- a/internal/soak/oracle_workers.go
+++ b/internal/soak/oracle_workers.go
@@ -12,23 +12,23 @@
 // was stopped may have arrived at any time during the stop.
 func (h *History) arrivalKnown(e WorkerEvent) bool {
 	return !slices.ContainsFunc(h.Freezes, func(f Freeze) bool {
-		return f.Worker == e.Worker && e.At >= f.Begin && e.At <= f.End+thawTime
+		return f.Worker == e.Worker && e.At >= f.Begin && e.At <= f.End+backlogReadTime
 	})
 }
 
 // checkDrains reports calls and load orders that arrive at a worker later than the grace after their dispatcher process was
 // notified, or counts as notified, that the worker drains or has ended. Load orders for no copies only ask and are allowed.
 func checkDrains(h *History) []Violation {
-	type pair struct {
-		process
+	type processAndWorker struct {
+		dispatcherProcess
 		worker string
 	}
-	told := map[pair][]Notification{}
+	notifications := map[processAndWorker][]Notification{}
 	for _, n := range h.Notifications {
-		key := pair{process{n.Dispatcher, n.Run}, n.Worker}
-		told[key] = append(told[key], n)
+		key := processAndWorker{dispatcherProcess{n.Dispatcher, n.Run}, n.Worker}
+		notifications[key] = append(notifications[key], n)
 	}
-	for _, notices := range told {
+	for _, notices := range notifications {
 		slices.SortStableFunc(notices, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
 	}
 	var violations []Violation
@@ -37,12 +37,12 @@
 		if !isNew || !h.arrivalKnown(e) {
 			continue
 		}
-		p := process{e.Dispatcher, h.runAt(e.Dispatcher, e.At)}
-		since, unavailable := unavailableSince(told[pair{p, e.Worker}], e.At)
+		p := dispatcherProcess{e.Dispatcher, h.runAt(e.Dispatcher, e.At)}
+		since, unavailable := unavailableSince(notifications[processAndWorker{p, e.Worker}], e.At)
 		if unavailable && e.At-since > h.Rules.DrainGrace+timeSlack+schedulingSlack {
 			violations = append(violations, Violation{RuleDrain, e.At,
-				fmt.Sprintf("%s arrived at %s from dispatcher %d, %.3f s after the dispatcher was notified that the worker drains or has ended", e.Kind, e.Worker, e.Dispatcher,
-					(e.At - since).Seconds())})
+				fmt.Sprintf("%s arrived at %s from dispatcher %d, %.3f s after the dispatcher was notified that the worker is not active",
+					e.Kind, e.Worker, e.Dispatcher, (e.At - since).Seconds())})
 		}
 	}
 	return violations
@@ -80,10 +80,10 @@
 	for worker, calls := range arrivals {
 		slices.SortFunc(calls, func(a, b WorkerEvent) int { return cmp.Compare(a.At, b.At) })
 		for _, started := range starts[worker] {
-			if started < h.begin() { // the worker started before the first dispatcher and counts as warm
+			if started < h.firstStart() { // the worker started before the first dispatcher and counts as warm
 				continue
 			}
-			if v, broken := h.overloaded(worker, started, calls); broken {
+			if v, broken := h.firstOverload(worker, started, calls); broken {
 				violations = append(violations, v)
 			}
 		}
@@ -91,10 +91,10 @@
 	return violations
 }
 
-// overloaded returns the first overload of a worker within the warm-up after a start. An overload is a number
-// of calls within OverloadSpan beyond what the worker's warmth allows, with a margin of 2*sqrt(allowed)+2 calls, where more than
-// notifiedShare of the calls came from dispatchers that had been notified of the start.
-func (h *History) overloaded(worker string, started time.Duration, calls []WorkerEvent) (Violation, bool) {
+// firstOverload returns the first overload of a worker within WarmAfter of a start. An overload is a number of calls within
+// OverloadSpan that exceeds what the worker's warmth allows by more than 2*sqrt(allowed)+2 calls, where more than
+// minNotifiedShare of the calls came from dispatchers that had been notified of the start.
+func (h *History) firstOverload(worker string, started time.Duration, calls []WorkerEvent) (Violation, bool) {
 	first := 0
 	for i, call := range calls {
 		age := call.At - started
@@ -108,7 +108,7 @@
 		allowed := h.Rules.OverloadTimes * warmth * h.Rules.WorkerRate * h.Rules.OverloadSpan.Seconds()
 		limit := allowed + 2*math.Sqrt(allowed) + 2
 		window := calls[first : i+1]
-		if float64(len(window)) > limit && h.notifiedPart(worker, started, window) > notifiedShare {
+		if float64(len(window)) > limit && h.notifiedShare(worker, started, window) > minNotifiedShare {
 			return Violation{RuleSlowStart, call.At, fmt.Sprintf("%s, %.1f s after its start: %d calls, %.0f allowed", worker,
 				age.Seconds(), len(window), limit)}, true
 		}
@@ -116,20 +116,20 @@
 	return Violation{}, false
 }
 
-// notifiedPart returns the fraction of the calls that came from dispatcher processes already notified of the worker's start.
-func (h *History) notifiedPart(worker string, started time.Duration, calls []WorkerEvent) float64 {
-	told := map[process]time.Duration{}
+// notifiedShare returns the fraction of the calls that came from dispatcher processes already notified of the worker's start.
+func (h *History) notifiedShare(worker string, started time.Duration, calls []WorkerEvent) float64 {
+	notifiedAt := map[dispatcherProcess]time.Duration{}
 	for _, n := range h.Notifications {
 		if n.Worker == worker && n.BootMS > 0 && n.At >= started {
-			p := process{n.Dispatcher, n.Run}
-			if at, ok := told[p]; !ok || n.At < at {
-				told[p] = n.At
+			p := dispatcherProcess{n.Dispatcher, n.Run}
+			if at, ok := notifiedAt[p]; !ok || n.At < at {
+				notifiedAt[p] = n.At
 			}
 		}
 	}
 	fromNotified := 0
 	for _, call := range calls {
-		at, ok := told[process{call.Dispatcher, h.runAt(call.Dispatcher, call.At)}]
+		at, ok := notifiedAt[dispatcherProcess{call.Dispatcher, h.runAt(call.Dispatcher, call.At)}]
 		if ok && call.At >= at {
 			fromNotified++
 		}
@@ -141,7 +141,7 @@
 func checkFrames(h *History) []Violation {
 	var violations []Violation
 	for _, e := range h.Workers {
-		if e.Kind == FramesBroken {
+		if e.Kind == FrameUnreadable {
 			violations = append(violations, Violation{RuleFrame, e.At, "frame cannot be read at " + e.Worker})
 		}
 	}
--- a/internal/soak/player.go
+++ b/internal/soak/player.go
@@ -37,7 +37,7 @@
 		}
 	}
 	f.StartClients(plan.Load)
-	player := &player{fleet: f, plan: plan, busy: map[string]bool{}, nextSpare: plan.Workers}
+	player := &player{fleet: f, plan: plan, reserved: map[string]bool{}, nextSpare: plan.Workers}
 	if err := player.play(); err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 	background sync.WaitGroup
 
 	mu        sync.Mutex
-	busy      map[string]bool // processes that a fault under way has as its target
+	reserved  map[string]bool // targets of faults under way, and worker processes that were replaced
 	nextSpare int             // number of the next spare worker process
 	firstErr  error           // of the first fault that failed
 }
@@ -69,19 +69,19 @@
 	return p.firstErr
 }
 
-// take reserves a process for a fault. It returns false if another fault has reserved the process.
-func (p *player) take(process string) bool {
+// reserve reserves a process for a fault. It returns false if another fault has reserved the process.
+func (p *player) reserve(process string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[process] {
+	if p.reserved[process] {
 		return false
 	}
-	p.busy[process] = true
+	p.reserved[process] = true
 	return true
 }
 
-// takeSpare reserves a spare worker process and returns its number; ok is false if none is left.
-func (p *player) takeSpare() (number int, ok bool) {
+// reserveSpare reserves a spare worker process and returns its number; ok is false if none is left.
+func (p *player) reserveSpare() (number int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.nextSpare >= p.plan.Workers+maxSpares {
@@ -95,7 +95,7 @@
 func (p *player) release(process string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, process)
+	delete(p.reserved, process)
 }
 
 // inject carries out and counts a fault. It does neither if another fault has reserved the target, or if no spare worker process
@@ -105,14 +105,14 @@
 	switch fault.Kind {
 	case FaultReload, FaultTerminate, FaultKill, FaultEvacuate, FaultSeries:
 		process := fmt.Sprint("dispatcher ", fault.Target)
-		if !p.take(process) {
+		if !p.reserve(process) {
 			return
 		}
 		defer p.release(process)
 		p.injectDispatcher(fault)
 	case FaultCrashWorker, FaultHangWorker, FaultFreezeWorker, FaultReset, FaultDrainWorker:
 		process := fmt.Sprint("worker ", fault.Target)
-		if !p.take(process) {
+		if !p.reserve(process) {
 			return
 		}
 		defer p.release(process)
@@ -124,7 +124,7 @@
 	case FaultFlush:
 		f.FlushWorkers()
 	case FaultOutage:
-		p.noteError(f.BreakDiscovery(fault.Outage, p.hitBy(fault), fault.Length))
+		p.keepFirstError(f.BreakDiscovery(fault.Outage, p.outageTargets(fault), fault.Length))
 	case FaultCrowd:
 		f.CrowdDispatcher(fault.Target, fault.Length)
 	case FaultNewFunctions:
@@ -160,9 +160,9 @@
 	case FaultEvacuate:
 		p.fleet.EvacuateDispatcher(fault.Target, fault.Length/2)
 	case FaultSeries:
-		err = p.fleet.SeriesAtDispatcher(fault.Target, fault.Series, fault.Steps)
+		err = p.fleet.RunSeries(fault.Target, fault.Series, fault.Steps)
 	}
-	p.noteError(err)
+	p.keepFirstError(err)
 }
 
 // injectWorker carries out a fault at a worker process that keeps its place in the fleet.
@@ -180,37 +180,37 @@
 	case FaultDrainWorker:
 		err = p.fleet.CycleWorker(fault.Target, fault.Length)
 	}
-	p.noteError(err)
+	p.keepFirstError(err)
 }
 
 // replaceWorker replaces a worker process by a spare one. The replaced process stays reserved, as later faults must not start it
 // again. It returns false if another fault has reserved the process or no spare is left.
 func (p *player) replaceWorker(fault Fault) bool {
 	process := fmt.Sprint("worker ", fault.Target)
-	if !p.take(process) {
+	if !p.reserve(process) {
 		return false
 	}
-	spare, ok := p.takeSpare()
+	spare, ok := p.reserveSpare()
 	if !ok {
 		p.release(process)
 		return false
 	}
 	if fault.Kind == FaultReuseAddress {
-		p.noteError(p.fleet.SucceedWorker(fault.Target, spare, fault.Length))
+		p.keepFirstError(p.fleet.SucceedWorker(fault.Target, spare, fault.Length))
 	} else {
-		p.noteError(p.fleet.ReplaceWorker(fault.Target, spare, replacementDrain))
+		p.keepFirstError(p.fleet.ReplaceWorker(fault.Target, spare, replacementDrain))
 	}
 	return true
 }
 
-// hitBy returns the dispatchers that an outage affects: the fault's share of them, but at least one.
-func (p *player) hitBy(fault Fault) []int {
+// outageTargets returns the dispatchers that an outage affects: the fault's share of them, but at least one.
+func (p *player) outageTargets(fault Fault) []int {
 	all := p.fleet.allDispatchers()
 	return all[:max(1, int(fault.Share*float64(len(all))))]
 }
 
-// noteError keeps the first error of a fault.
-func (p *player) noteError(err error) {
+// keepFirstError keeps the first error of a fault.
+func (p *player) keepFirstError(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil && p.firstErr == nil {
--- a/internal/soak/quiet_test.go
+++ b/internal/soak/quiet_test.go
@@ -8,40 +8,41 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// visibleOutages are the kinds of outages that a dispatcher can detect.
-var visibleOutages = []OutageKind{OutageRefused, OutageSilent, OutageCutOff, OutageError, OutageOldList}
+// detectableOutages are the kinds of outages that a dispatcher can detect.
+var detectableOutages = []OutageKind{OutageRefused, OutageSilent, OutageCutOff, OutageError, OutageOldList}
 
 const (
 	servedAfterQuiet = 0.3         // least share of the requests that is served
-	longestGap       = time.Second // longest time without a request that is served
+	maxServedGap     = time.Second // longest time without a request that is served
 )
 
 // Guards against a fleet that rejects every request until discovery is back, because its clients sent nothing when the leases of
 // its workers ended.
 func TestFleetServesAfterAQuietTimeWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	for _, kind := range visibleOutages {
+	for _, kind := range detectableOutages {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, quiet: true}.play(t)
 			back := begin + quietUntil
-			t.Log("served in the first second and until the end", h.servedShare(back, back+time.Second), h.servedShare(back, end))
+			t.Log("served shares after the quiet time, in its first second and until the end of the outage:",
+				h.servedShare(back, back+time.Second), h.servedShare(back, end))
 			assert.Empty(t, Check(h))
 			assert.GreaterOrEqual(t, h.servedShare(back, back+time.Second), servedAfterQuiet)
 			assert.GreaterOrEqual(t, h.servedShare(back, end), servedAfterQuiet)
-			assert.LessOrEqual(t, h.longestGap(back, end), longestGap)
+			assert.LessOrEqual(t, h.longestGap(back, end), maxServedGap)
 		})
 	}
 }
 
-// Guards against a dispatcher that rejects every request from 7 s into an outage of discovery on, because it gets a call only every
-// few seconds and all leases of its workers have ended, as happens at night.
+// Guards against a dispatcher that rejects every request from 7 s into an outage of discovery on: at night it gets a call only
+// every few seconds, and by then the leases of all its workers have ended.
 func TestRareCallsAreServedWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 0.24, kind: OutageRefused, length: 30 * time.Second,
 		warmUp: 160}.play(t)
 	late := h.servedShare(begin+quietUntil, end)
-	t.Log("served from", quietUntil, "into the outage", late)
+	t.Log("served share later than", quietUntil, "into the outage:", late)
 	assert.Empty(t, Check(h))
 	assert.Greater(t, late, 0.0)
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -15,11 +15,11 @@
 
 // The kinds of worker events.
 const (
-	WorkerStarted WorkerEventKind = "started"
-	CallArrived   WorkerEventKind = "call"  // a call frame was read whole
-	CallRan       WorkerEventKind = "run"   // a call begins to run
-	LoadArrived   WorkerEventKind = "load"  // a load order was read whole
-	FramesBroken  WorkerEventKind = "frame" // a frame could not be read
+	WorkerStarted   WorkerEventKind = "started"
+	CallArrived     WorkerEventKind = "call"  // a call frame was read whole
+	CallStarted     WorkerEventKind = "run"   // a call begins to run
+	LoadArrived     WorkerEventKind = "load"  // a load order was read whole
+	FrameUnreadable WorkerEventKind = "frame" // a frame could not be read
 )
 
 // WorkerEvent is one line of the record of a worker's process.
@@ -31,7 +31,7 @@
 	Call       uint64          `json:"call,omitempty"`
 	Class      string          `json:"class,omitempty"`
 	Function   string          `json:"function,omitempty"`
-	Max        time.Duration   `json:"max,omitempty"`    // a call's time limit, from its arrival
+	Timeout    time.Duration   `json:"max,omitempty"`    // a call's time limit, from its arrival
 	Copies     int             `json:"copies,omitempty"` // that a load order asks for; 0: it only asks whether the function is loaded
 }
 
@@ -65,7 +65,7 @@
 	Run        int // number of the dispatcher's process
 	Class      string
 	Function   string
-	Wait       time.Duration
+	Wait       time.Duration   // how long the client waits for the answer, from Sent
 	Sent       time.Duration   // when its last byte was written; 0: it was not sent
 	Answers    []time.Duration // when each answer arrived
 	Words      []string        // the outcome word of each answer
@@ -84,7 +84,7 @@
 // DispatcherRun is one process of a dispatcher.
 type DispatcherRun struct {
 	Dispatcher int
-	Run        int
+	Run        int // number of the process, from 0
 	Started    time.Duration
 	ListedAt   time.Duration // when the endpoint list in its configuration was taken; 0: it is the first list
 	Terminated time.Duration // when SIGTERM was first sent; 0: never
@@ -95,7 +95,7 @@
 	Descriptors int
 	MemoryMB    int
 	Shortages   int // lines of its log that report a shortage of descriptors
-	Stopped     int // lines of its log that report a choice of the balancer that would have broken a rule and was not carried out
+	Stopped     int // lines of its log that report a choice which was not carried out, as it would have broken a rule
 }
 
 // Evacuation is an operators' call to a dispatcher to close its client connections, and the problems found after it.
--- a/internal/soak/reproduction_test.go
+++ b/internal/soak/reproduction_test.go
@@ -27,7 +27,7 @@
 	return wallstep.Build(folder, "kitefall/cmd/dispatcher")
 })
 
-// dispatcherProgram returns the path of the dispatcher to test: the one in programEnv, or else a build of this module's.
+// dispatcherProgram returns the path of the dispatcher to test: the one in programEnv, or else a build of this version.
 func dispatcherProgram(t *testing.T) string {
 	t.Helper()
 	if program := os.Getenv(programEnv); program != "" {
@@ -39,9 +39,9 @@
 }
 
 const (
-	quietTime  = 4 * time.Second        // of calls to a single function, before the releases
-	releases   = 3                      // how many sets of new functions are called, one after the other
-	releaseFor = 700 * time.Millisecond // for how long each set is called
+	steadyTime    = 4 * time.Second        // how long a single function is called, before the releases
+	releases      = 3                      // how many sets of new functions are called, one after the other
+	releaseLength = 700 * time.Millisecond // for how long each set is called
 )
 
 // playRelease runs two dispatchers, the first with the given steps of its wall clock, and returns the violations. Clients first
@@ -59,10 +59,10 @@
 	require.NoError(t, err)
 	defer f.Close()
 	f.StartClients(Load{Rate: 200, Functions: 1, MinWait: time.Second, MaxWait: 2 * time.Second})
-	time.Sleep(quietTime)
+	time.Sleep(steadyTime)
 	for release := range releases {
 		f.SetLoad(Load{Rate: 60, Functions: 400, FirstFunction: 1000 * (release + 1), MinWait: time.Second, MaxWait: 2 * time.Second})
-		time.Sleep(releaseFor)
+		time.Sleep(releaseLength)
 	}
 	history, err := f.Finish()
 	require.NoError(t, err)
@@ -79,10 +79,11 @@
 func TestLoadBudgetHoldsWhenTheWallClockIsStepped(t *testing.T) {
 	second := time.Second
 	for name, steps := range map[string][]wallstep.Step{
-		"true clock":    nil,
-		"back":          {{At: second, By: -400 * second}},
-		"forward":       {{At: quietTime + second/2, By: time.Hour}, {At: quietTime + second, By: time.Hour}, {At: quietTime + 3*second/2, By: time.Hour}},
-		"back, forward": {{At: second, By: -20 * second}, {At: quietTime + second, By: time.Hour}},
+		"no step": nil,
+		"back":    {{At: second, By: -400 * second}},
+		"forward": {{At: steadyTime + second/2, By: time.Hour}, {At: steadyTime + second, By: time.Hour},
+			{At: steadyTime + 3*second/2, By: time.Hour}},
+		"back, forward": {{At: second, By: -20 * second}, {At: steadyTime + second, By: time.Hour}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -40,12 +40,12 @@
 	return series
 }
 
-// SeriesAtDispatcher runs a series at a dispatcher, waits for the end of its process, and starts the dispatcher again with a wall
+// RunSeries runs a series at a dispatcher, waits for the end of its process, and starts the dispatcher again with a wall
 // clock that takes the steps in clock. The series must contain SIGTERM.
-func (f *Fleet) SeriesAtDispatcher(number int, series []Step, clock []wallstep.Step) error {
+func (f *Fleet) RunSeries(number int, series []Step, clock []wallstep.Step) error {
 	for _, step := range series {
 		time.Sleep(step.Pause)
-		if err := f.takeStep(number, step.Kind); err != nil {
+		if err := f.runStep(number, step.Kind); err != nil {
 			return err
 		}
 	}
@@ -56,8 +56,8 @@
 	return f.awaitDispatcher(number)
 }
 
-// takeStep carries out one step. It ignores the answers to operators' calls, as the process may end during them.
-func (f *Fleet) takeStep(number int, kind StepKind) error {
+// runStep carries out one step. It ignores the answers to operators' calls, as the process may end during them.
+func (f *Fleet) runStep(number int, kind StepKind) error {
 	switch kind {
 	case StepReload:
 		return f.Reload(number)
@@ -65,17 +65,17 @@
 		f.terminateDispatcher(number)
 	case StepEvacuate:
 		f.callOperators(number, http.MethodPut, pathEvacuate)
-		f.limitAccepting(number, Now()+readyAskInterval+acceptAfterNo)
+		f.setAcceptUntilUnlessTerminated(number, Now()+readyAskInterval+acceptAfterNo)
 	case StepRejoin:
 		f.callOperators(number, http.MethodPut, pathRejoin)
-		f.limitAccepting(number, 0)
+		f.setAcceptUntilUnlessTerminated(number, 0)
 	}
 	return nil
 }
 
-// limitAccepting sets until when clients make new connections to a dispatcher; 0: without a limit. It changes nothing once the
-// present process got SIGTERM.
-func (f *Fleet) limitAccepting(number int, until time.Duration) {
+// setAcceptUntilUnlessTerminated sets until when clients make new connections to a dispatcher; 0: without a limit. It changes
+// nothing once the present process got SIGTERM.
+func (f *Fleet) setAcceptUntilUnlessTerminated(number int, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := f.dispatchers[number]
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,12 +24,12 @@
 	ciSeeds    = 5               // two of them with a large fleet of up to 3200 workers
 )
 
-// environmentNumber returns the number in an environment variable, or a default if the variable is not set.
-func environmentNumber(t *testing.T, name string, otherwise int) int {
+// environmentInt returns the number in an environment variable, or a default if the variable is not set.
+func environmentInt(t *testing.T, name string, fallback int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	number, err := strconv.Atoi(text)
 	require.NoError(t, err, name)
@@ -40,9 +40,9 @@
 // it plays ciSeeds seeds; KITEFALL_SOAK_SEEDS sets how many, KITEFALL_SOAK_SEED the first one.
 func TestSoak(t *testing.T) {
 	program := dispatcherProgram(t)
-	firstSeed := environmentNumber(t, firstSeedEnv, 1)
-	running := make(chan struct{}, environmentNumber(t, parallelEnv, 2))
-	for i := range environmentNumber(t, seedsEnv, ciSeeds) {
+	firstSeed := environmentInt(t, firstSeedEnv, 1)
+	running := make(chan struct{}, environmentInt(t, parallelEnv, 2))
+	for i := range environmentInt(t, seedsEnv, ciSeeds) {
 		seed := uint64(firstSeed + i)
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
--- a/internal/soak/workerconn.go
+++ b/internal/soak/workerconn.go
@@ -13,16 +13,16 @@
 
 // workerConn is a worker's side of a connection from a dispatcher.
 type workerConn struct {
-	worker     *workerProcess
+	worker     *fakeWorker
 	conn       *net.TCPConn
 	dispatcher int
-	gone       chan struct{} // closed when the connection has ended
+	ended      chan struct{} // closed when the connection has ended
 	cancelled  sync.Map      // IDs of the calls that the dispatcher has cancelled
-	writing    sync.Mutex    // held while a frame is written
+	writeMu    sync.Mutex    // held while a frame is written
 }
 
 // serve reads and handles the frames of a connection until it ends.
-func (w *workerProcess) serve(c *workerConn) {
+func (w *fakeWorker) serve(c *workerConn) {
 	w.mu.Lock()
 	w.conns[c.conn] = true
 	w.mu.Unlock()
@@ -30,13 +30,13 @@
 		w.mu.Lock()
 		delete(w.conns, c.conn)
 		w.mu.Unlock()
-		close(c.gone)
+		close(c.ended)
 		c.conn.Close()
 	}()
 	for {
-		received, err := readCommand(c.conn)
+		received, err := readFrame(c.conn)
 		if errors.Is(err, errBadFrame) {
-			w.note(WorkerEvent{Kind: FramesBroken, Dispatcher: c.dispatcher})
+			w.recordEvent(WorkerEvent{Kind: FrameUnreadable, Dispatcher: c.dispatcher})
 		}
 		if err != nil {
 			return
@@ -45,13 +45,13 @@
 	}
 }
 
-// handle records an arrived command where the oracle needs it, and carries it out. It does not block reading.
-func (c *workerConn) handle(f workerFrame) {
+// handle carries out a command. It records the arrival of calls and load orders for the oracle, and does not block reading.
+func (c *workerConn) handle(f commandFrame) {
 	switch f.code {
 	case codeCall:
 		max, _ := strconv.ParseFloat(f.fields["max"], 64)
-		c.worker.note(WorkerEvent{Kind: CallArrived, Dispatcher: c.dispatcher, Call: f.id, Class: f.fields["profile"],
-			Function: f.fields["thing"], Max: time.Duration(max * float64(time.Millisecond))})
+		c.worker.recordEvent(WorkerEvent{Kind: CallArrived, Dispatcher: c.dispatcher, Call: f.id, Class: f.fields["profile"],
+			Function: f.fields["thing"], Timeout: time.Duration(max * float64(time.Millisecond))})
 		go c.runCall(f)
 	case codeCancel:
 		c.cancelled.Store(f.id, true)
@@ -59,7 +59,7 @@
 		go c.answer(codePong, f.id, "", "")
 	case codeLoad:
 		copies, _ := strconv.Atoi(f.fields["n"])
-		c.worker.note(WorkerEvent{Kind: LoadArrived, Dispatcher: c.dispatcher, Function: f.fields["thing"], Copies: copies})
+		c.worker.recordEvent(WorkerEvent{Kind: LoadArrived, Dispatcher: c.dispatcher, Function: f.fields["thing"], Copies: copies})
 		go c.load(f)
 	case codeUnload:
 		c.worker.unload(fmt.Sprintf("%016x", f.id))
@@ -69,13 +69,13 @@
 // load carries out a load order. From the start of its drain on, a worker rejects orders for functions that it would have to load,
 // as the workers of the platform's bench do. It answers as before where the function is loaded or loading, and where the order
 // asks for no copies.
-func (c *workerConn) load(f workerFrame) {
+func (c *workerConn) load(f commandFrame) {
 	w := c.worker
 	w.awaitResume()
 	w.mu.Lock()
-	loading := w.functions[f.fields["thing"]]
-	isNew := loading == nil
-	if isNew && (f.fields["n"] == "0" || w.drainFrom > 0) {
+	function := w.functions[f.fields["thing"]]
+	isNew := function == nil
+	if isNew && (f.fields["n"] == "0" || w.rejectFrom > 0) {
 		w.mu.Unlock()
 		code := byte(fakes.CodeFull)
 		if f.fields["n"] == "0" {
@@ -85,46 +85,46 @@
 		return
 	}
 	if isNew {
-		loading = &loadedFunction{ready: make(chan struct{}), lastUsed: Now()}
-		w.functions[f.fields["thing"]] = loading
+		function = &loadedFunction{ready: make(chan struct{}), lastUsed: Now()}
+		w.functions[f.fields["thing"]] = function
 	}
 	w.mu.Unlock()
 	if isNew {
 		time.Sleep(w.config.LoadTime)
-		close(loading.ready)
+		close(function.ready)
 	}
-	<-loading.ready
+	<-function.ready
 	c.answer(fakes.CodeOK, f.id, "n=1", "")
 }
 
 // runCall runs a call and answers it. It gives no answer if the connection ends while the call waits, or if the dispatcher cancels
 // the call before it runs.
-func (c *workerConn) runCall(f workerFrame) {
+func (c *workerConn) runCall(f commandFrame) {
 	w := c.worker
 	w.awaitResume()
-	if w.drains() {
+	if w.rejectsCalls() {
 		c.answer(fakes.CodeFull, f.id, "", "")
 		return
 	}
-	loaded := w.use(f.fields["thing"])
+	loaded := w.useFunction(f.fields["thing"])
 	if loaded == nil {
 		c.answer(fakes.CodeMiss, f.id, "", "")
 		return
 	}
-	if !w.enterQueue() {
+	if !w.joinQueue() {
 		c.answer(fakes.CodeFull, f.id, "", "")
 		return
 	}
 	select {
 	case <-loaded.ready:
-	case <-c.gone:
+	case <-c.ended:
 		w.leaveQueue()
 		return
 	}
 	select {
 	case w.cores <- struct{}{}:
 		w.leaveQueue()
-	case <-c.gone:
+	case <-c.ended:
 		w.leaveQueue()
 		return
 	}
@@ -132,8 +132,8 @@
 	if _, cancelled := c.cancelled.Load(f.id); cancelled {
 		return
 	}
-	w.note(WorkerEvent{Kind: CallRan, Dispatcher: c.dispatcher, Call: f.id, Class: f.fields["profile"]})
-	work, fails := w.draw()
+	w.recordEvent(WorkerEvent{Kind: CallStarted, Dispatcher: c.dispatcher, Call: f.id, Class: f.fields["profile"]})
+	work, fails := w.drawCall()
 	time.Sleep(work)
 	if fails {
 		c.answer(codeError, f.id, "", "")
@@ -142,10 +142,11 @@
 	c.answer(fakes.CodeOK, f.id, "remark=hot", fmt.Sprintf("%016x", f.id))
 }
 
-// answer writes an answer frame, after the end of a hang. Errors are ignored, as the dispatcher may have ended the connection.
+// answer writes an answer frame. While the worker hangs, it waits. Errors are ignored, as the dispatcher may have ended the
+// connection.
 func (c *workerConn) answer(code byte, id uint64, fields, body string) {
 	c.worker.awaitResume()
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.conn.Write(fakes.Frame(code, id, fields, body))
 }
--- a/internal/soak/workerframe.go
+++ b/internal/soak/workerframe.go
@@ -10,9 +10,9 @@
 )
 
 // Sizes and codes of frames of the worker protocol that package fakes does not define (source: worker protocol). They are not
-// taken from package worker: with a shared definition, a mistake there would go unnoticed.
+// taken from package worker: with definitions shared by both ends, a mistake in them would go unnoticed.
 const (
-	headSize     = 16
+	headerSize   = 16
 	checksumSize = 4
 
 	codeCall   = 48
@@ -24,40 +24,40 @@
 	codePong   = 70
 )
 
-// maxFrameSize is the largest length of a body, in bytes, that readCommand accepts.
+// maxFrameSize is the largest length of a body, in bytes, that readFrame accepts.
 const maxFrameSize = 1 << 20
 
 // errBadFrame is returned for a frame with too long a body or a wrong checksum.
 var errBadFrame = errors.New("frame cannot be read")
 
-// workerFrame is a frame that a dispatcher has sent to a worker, without its body.
-type workerFrame struct {
+// commandFrame is a frame that a dispatcher has sent to a worker, without its body.
+type commandFrame struct {
 	code   byte
 	id     uint64
 	fields map[string]string
 }
 
-// readCommand reads a frame from a dispatcher and checks its length and checksum.
-func readCommand(conn net.Conn) (workerFrame, error) {
-	head := make([]byte, headSize)
-	if _, err := io.ReadFull(conn, head); err != nil {
-		return workerFrame{}, err
+// readFrame reads a frame from a dispatcher and checks its length and checksum.
+func readFrame(conn net.Conn) (commandFrame, error) {
+	header := make([]byte, headerSize)
+	if _, err := io.ReadFull(conn, header); err != nil {
+		return commandFrame{}, err
 	}
-	fieldsLength := int(binary.BigEndian.Uint16(head[2:]))
-	bodyLength := int(binary.BigEndian.Uint32(head[4:]))
+	fieldsLength := int(binary.BigEndian.Uint16(header[2:]))
+	bodyLength := int(binary.BigEndian.Uint32(header[4:]))
 	if bodyLength > maxFrameSize {
-		return workerFrame{}, errBadFrame
+		return commandFrame{}, errBadFrame
 	}
-	rest := make([]byte, fieldsLength+bodyLength+checksumSize)
-	if _, err := io.ReadFull(conn, rest); err != nil {
-		return workerFrame{}, err
+	payload := make([]byte, fieldsLength+bodyLength+checksumSize)
+	if _, err := io.ReadFull(conn, payload); err != nil {
+		return commandFrame{}, err
 	}
-	content := rest[:fieldsLength+bodyLength]
-	if binary.BigEndian.Uint32(rest[len(content):]) != crc32.ChecksumIEEE(content) {
-		return workerFrame{}, errBadFrame
+	content := payload[:fieldsLength+bodyLength]
+	if binary.BigEndian.Uint32(payload[len(content):]) != crc32.ChecksumIEEE(content) {
+		return commandFrame{}, errBadFrame
 	}
-	f := workerFrame{code: head[1], id: binary.BigEndian.Uint64(head[8:]), fields: map[string]string{}}
-	for pair := range strings.SplitSeq(string(rest[:fieldsLength]), ",") {
+	f := commandFrame{code: header[1], id: binary.BigEndian.Uint64(header[8:]), fields: map[string]string{}}
+	for pair := range strings.SplitSeq(string(payload[:fieldsLength]), ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		f.fields[name] = value
 	}
--- a/internal/soak/workerhandle.go
+++ b/internal/soak/workerhandle.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// drainTail is how long after the grace a draining worker still accepts calls, as measured on the platform's bench.
-const drainTail = 500 * time.Millisecond
+// acceptAfterGrace is how long after the grace a draining worker still accepts calls, as measured on the platform's bench.
+const acceptAfterGrace = 500 * time.Millisecond
 
-// membersPerNetwork is how many workers have addresses with the same third octet.
-const membersPerNetwork = 250
+// membersPerSubnet is how many workers have addresses with the same third octet.
+const membersPerSubnet = 250
 
-// firstMemberNetwork is the third octet of the first worker's address.
-const firstMemberNetwork = 10
+// firstMemberSubnet is the third octet of the first worker's address.
+const firstMemberSubnet = 10
 
 // member is a worker of the endpoint list. One process may run several of them.
 type member struct {
@@ -30,8 +30,8 @@
 
 // addr returns the address at which a dispatcher reaches the worker.
 func (m *member) addr(dispatcher int) string {
-	network, host := firstMemberNetwork+m.number/membersPerNetwork, 1+m.number%membersPerNetwork
-	return fmt.Sprintf("127.%d.%d.%d:%d", m.fleet.net, network, host, dispatcherPort+dispatcher)
+	subnet, host := firstMemberSubnet+m.number/membersPerSubnet, 1+m.number%membersPerSubnet
+	return fmt.Sprintf("127.%d.%d.%d:%d", m.fleet.net, subnet, host, dispatcherPort+dispatcher)
 }
 
 // workerHandle starts, signals and kills a process that runs one or more workers.
@@ -82,7 +82,7 @@
 	config.Members = w.memberConfigs()
 	config.Seed = w.fleet.config.Seed*1000 + uint64(w.number)
 	config.Record = w.recordPath()
-	config.AcceptsFor = w.fleet.config.Rules.DrainGrace + drainTail
+	config.AcceptsFor = w.fleet.config.Rules.DrainGrace + acceptAfterGrace
 	text, err := json.Marshal(config)
 	if err != nil {
 		return err
--- a/internal/soak/workerproc.go
+++ b/internal/soak/workerproc.go
@@ -20,7 +20,7 @@
 // workerEnv is the environment variable with the path of a worker process's configuration file.
 const workerEnv = "KITEFALL_SOAK_WORKER"
 
-// WorkerConfig configures a process that runs workers. All but Members, Record and Seed apply to each of them.
+// WorkerConfig configures a process that runs workers. The fields after Seed apply to each of them.
 type WorkerConfig struct {
 	Members   []MemberConfig // the workers that the process runs
 	Record    string         // path of the file for its events
@@ -29,7 +29,7 @@
 	Queue     int           // how many calls may wait for a function to load or for a core; further ones are rejected
 	Work      time.Duration // mean run time of a call
 	LoadTime  time.Duration // how long it takes to load a function
-	KeepAlive time.Duration // how long after its last use a function is unloaded
+	KeepAlive time.Duration // a function is unloaded this long after its last use
 	ErrorRate float64       // fraction of the calls that fail
 	// AcceptsFor is how long after the start of its drain a worker still accepts calls.
 	AcceptsFor time.Duration
@@ -43,7 +43,7 @@
 
 // WorkerMain runs workers if the process was started as a worker process, and exits the process on SIGTERM. Otherwise it does
 // nothing. SIGUSR1 unloads all functions, SIGUSR2 resets all connections, and SIGHUP makes the workers hang until the next SIGHUP:
-// they go on reading frames, but begin no calls or loads and answer nothing. drainSignal makes them begin to drain.
+// they answer nothing, and calls and load orders that they read wait. drainSignal makes them begin to drain.
 func WorkerMain() {
 	path, ok := os.LookupEnv(workerEnv)
 	if !ok {
@@ -76,20 +76,20 @@
 	r.encoder.Encode(e)
 }
 
-// workerProcess is one of the workers that the process runs.
-type workerProcess struct {
+// fakeWorker is one of the workers that the process runs.
+type fakeWorker struct {
 	uid    string
 	config WorkerConfig
 	record *recorder
 	cores  chan struct{} // holds one element for each call that runs
 
-	mu        sync.Mutex
-	random    *rand.Rand
-	functions map[string]*loadedFunction
-	conns     map[*net.TCPConn]bool
-	waiting   int           // calls that wait for a function to load or for a core
-	resumed   chan struct{} // open while the worker hangs, closed otherwise
-	drainFrom time.Duration // when the worker begins to reject calls; 0: it does not drain
+	mu         sync.Mutex
+	random     *rand.Rand
+	functions  map[string]*loadedFunction
+	conns      map[*net.TCPConn]bool
+	queued     int           // calls that wait for a function to load or for a core
+	resumed    chan struct{} // open while the worker hangs, closed otherwise
+	rejectFrom time.Duration // when the worker begins to reject calls; 0: it does not drain
 }
 
 // runWorkers runs the workers of a configuration file until SIGTERM.
@@ -107,22 +107,22 @@
 		return err
 	}
 	record := &recorder{encoder: json.NewEncoder(file)}
-	var workers []*workerProcess
+	var workers []*fakeWorker
 	for i, member := range config.Members {
-		w := newWorkerProcess(config, member.UID, uint64(i), record)
+		w := newFakeWorker(config, member.UID, uint64(i), record)
 		if err := w.listen(member.Addrs); err != nil {
 			return err
 		}
 		workers = append(workers, w)
-		w.note(WorkerEvent{Kind: WorkerStarted})
+		w.recordEvent(WorkerEvent{Kind: WorkerStarted})
 	}
 	handleSignals(workers)
 	return nil
 }
 
-// newWorkerProcess returns a worker that does not hang or drain. stream selects its sequence of random numbers.
-func newWorkerProcess(config WorkerConfig, uid string, stream uint64, record *recorder) *workerProcess {
-	w := &workerProcess{
+// newFakeWorker returns a worker that does not hang or drain. stream selects its sequence of random numbers.
+func newFakeWorker(config WorkerConfig, uid string, stream uint64, record *recorder) *fakeWorker {
+	w := &fakeWorker{
 		uid:       uid,
 		config:    config,
 		record:    record,
@@ -137,7 +137,7 @@
 }
 
 // listen listens at the worker's address for each dispatcher and accepts connections in the background.
-func (w *workerProcess) listen(addrs []string) error {
+func (w *fakeWorker) listen(addrs []string) error {
 	for dispatcher, addr := range addrs {
 		listener, err := listenRetrying(addr)
 		if err != nil {
@@ -162,7 +162,7 @@
 }
 
 // handleSignals applies each received signal to all workers, and returns on SIGTERM.
-func handleSignals(workers []*workerProcess) {
+func handleSignals(workers []*fakeWorker) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGHUP, syscall.SIGTERM, drainSignal)
 	for received := range signals {
@@ -176,12 +176,12 @@
 }
 
 // handleSignal applies a signal to the worker (see WorkerMain).
-func (w *workerProcess) handleSignal(received os.Signal) {
+func (w *fakeWorker) handleSignal(received os.Signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch received {
 	case drainSignal:
-		w.drainFrom = Now() + w.config.AcceptsFor
+		w.rejectFrom = Now() + w.config.AcceptsFor
 	case syscall.SIGUSR1:
 		w.functions = map[string]*loadedFunction{}
 	case syscall.SIGUSR2:
@@ -198,48 +198,48 @@
 	}
 }
 
-// drains reports whether the worker rejects new calls, because it has drained for AcceptsFor or longer.
-func (w *workerProcess) drains() bool {
+// rejectsCalls reports whether the worker rejects new calls, because it has drained for AcceptsFor or longer.
+func (w *fakeWorker) rejectsCalls() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.drainFrom > 0 && Now() >= w.drainFrom
+	return w.rejectFrom > 0 && Now() >= w.rejectFrom
 }
 
 // awaitResume blocks while the worker hangs.
-func (w *workerProcess) awaitResume() {
+func (w *fakeWorker) awaitResume() {
 	w.mu.Lock()
 	resumed := w.resumed
 	w.mu.Unlock()
 	<-resumed
 }
 
-// note writes an event of this worker to the record.
-func (w *workerProcess) note(e WorkerEvent) {
+// recordEvent writes an event of this worker to the record.
+func (w *fakeWorker) recordEvent(e WorkerEvent) {
 	e.Worker = w.uid
 	w.record.write(e)
 }
 
 // accept serves the connections that a listener accepts, all from one dispatcher.
-func (w *workerProcess) accept(listener net.Listener, dispatcher int) {
+func (w *fakeWorker) accept(listener net.Listener, dispatcher int) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go w.serve(&workerConn{worker: w, conn: conn.(*net.TCPConn), dispatcher: dispatcher, gone: make(chan struct{})})
+		go w.serve(&workerConn{worker: w, conn: conn.(*net.TCPConn), dispatcher: dispatcher, ended: make(chan struct{})})
 	}
 }
 
 // unload removes a function from the loaded ones.
-func (w *workerProcess) unload(function string) {
+func (w *fakeWorker) unload(function string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.functions, function)
 }
 
-// use returns a function that is loaded or loading and notes that it is used now. It returns nil if there is none, and unloads a
-// function that was idle for longer than KeepAlive.
-func (w *workerProcess) use(function string) *loadedFunction {
+// useFunction returns a function that is loaded or loading, and notes that it is used now. It returns nil if the function is not
+// loaded. A function that was idle for longer than KeepAlive is unloaded instead.
+func (w *fakeWorker) useFunction(function string) *loadedFunction {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	loaded := w.functions[function]
@@ -254,26 +254,26 @@
 	return loaded
 }
 
-// enterQueue adds a call to the waiting ones. It returns false if as many calls wait as the queue holds.
-func (w *workerProcess) enterQueue() bool {
+// joinQueue adds a call to the waiting ones. It returns false if as many calls wait as the queue holds.
+func (w *fakeWorker) joinQueue() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waiting >= w.config.Queue {
+	if w.queued >= w.config.Queue {
 		return false
 	}
-	w.waiting++
+	w.queued++
 	return true
 }
 
 // leaveQueue takes a call off the waiting ones.
-func (w *workerProcess) leaveQueue() {
+func (w *fakeWorker) leaveQueue() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.waiting--
+	w.queued--
 }
 
-// draw draws how long a call runs and whether it fails.
-func (w *workerProcess) draw() (work time.Duration, fails bool) {
+// drawCall draws how long a call runs and whether it fails.
+func (w *fakeWorker) drawCall() (work time.Duration, fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.random.ExpFloat64() * float64(w.config.Work)), w.random.Float64() < w.config.ErrorRate
