--- a/internal/soak/incident3_test.go
+++ b/internal/soak/incident3_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against new work for workers that drain during an outage of discovery (incident 3). The outage, of any kind, lasts longer
-// than the 7 s after which the drain counts as known to the dispatcher. Requests must still be served by the other workers.
+// Guards against new work for workers that drain during an outage of discovery (incident 3). The outage, of any kind, outlasts the
+// 7 s after which a drain counts as known to the dispatcher; from then on and a grace later no new work may go to these workers.
+// The other workers must still serve the requests.
 func TestNothingNewToDrainingWorkersWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, kind := range outageKinds {
@@ -25,8 +26,8 @@
 }
 
 // Guards against new work for workers that drain during an outage of discovery while clients send nothing, from before the drain
-// until it counts as known: no rejected call reveals the drain then. With OutageOldList, discovery answers at once with the
-// revision that the dispatcher already has, where it should wait for a newer one.
+// until it counts as known: no rejected call reveals the drain then. With OutageOldList, a replica of discovery answers at once
+// with the revision that the dispatcher already has, where it should wait for a newer one.
 func TestNothingNewToDrainingWorkersAfterAQuietTime(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []OutageKind{OutageRefused, OutageSilent, OutageOldList} {
@@ -97,9 +98,9 @@
 	assert.Empty(t, Check(h))
 }
 
-// Guards against calls to a worker that drains, ends and is started again during an outage of discovery. Its drain counts as known
-// to dispatchers 7 s after the drain, and its return 7 s after the return. A call that it serves in between is no proof that it
-// may be used. TestSoak found this failure.
+// Guards against calls to a worker that drains, ends and is started again during an outage of discovery, before its return counts
+// as known. Its drain counts as known to dispatchers 7 s after the drain, and its return 7 s after the return. A call that it
+// serves in between is no proof that it may be used. TestSoak found this failure.
 func TestNothingNewToAWorkerWhoseReturnIsNotKnown(t *testing.T) {
 	t.Parallel()
 	rules := DefaultRules()
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -16,7 +16,7 @@
 const (
 	RuleLoads     Rule = "loads"     // load orders stay within the load budget
 	RuleDuplicate Rule = "duplicate" // a call that is not idempotent runs at most once
-	RuleDrain     Rule = "drain"     // no new call or load order goes to a worker that drains or has ended
+	RuleDrain     Rule = "drain"     // after the grace no new call or load order goes to a worker that drains or has ended
 	RuleLost      Rule = "lost"      // each request gets exactly one answer, in time
 	RuleGone      Rule = "gone"      // no attempt begins after its client has cancelled or closed
 	RuleDeadline  Rule = "deadline"  // an attempt's time limit is no longer than the time its client still waits
@@ -43,8 +43,8 @@
 	schedulingSlack = 100 * time.Millisecond
 	// backlogReadTime is how long a worker takes, after it resumes, to read what arrived while its process was stopped.
 	backlogReadTime = 500 * time.Millisecond
-	// minNotifiedShare is the share of an overload's calls that must be exceeded by calls of dispatchers notified of the worker's
-	// start, for the overload to count as a violation.
+	// minNotifiedShare is the share of an overload's calls that must be exceeded by those of dispatchers which had been notified of
+	// the worker's start, for the overload to be a violation.
 	minNotifiedShare = 2.0 / 3
 )
 
--- a/internal/soak/oracle_workers.go
+++ b/internal/soak/oracle_workers.go
@@ -142,7 +142,7 @@
 	var violations []Violation
 	for _, e := range h.Workers {
 		if e.Kind == FrameUnreadable {
-			violations = append(violations, Violation{RuleFrame, e.At, "frame cannot be read at " + e.Worker})
+			violations = append(violations, Violation{RuleFrame, e.At, "bad frame at " + e.Worker})
 		}
 	}
 	return violations
--- a/internal/soak/quiet_test.go
+++ b/internal/soak/quiet_test.go
@@ -12,8 +12,8 @@
 var detectableOutages = []OutageKind{OutageRefused, OutageSilent, OutageCutOff, OutageError, OutageOldList}
 
 const (
-	servedAfterQuiet = 0.3         // least share of the requests that is served
-	maxServedGap     = time.Second // longest time without a request that is served
+	servedAfterQuiet = 0.3         // least share of the requests that eight workers must serve
+	maxServedGap     = time.Second // longest time allowed between two served answers
 )
 
 // Guards against a fleet that rejects every request until discovery is back, because its clients sent nothing when the leases of
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -21,7 +21,7 @@
 
 const (
 	planLength = 8 * time.Second // of a plan without a long outage
-	ciSeeds    = 5               // two of them with a large fleet of up to 3200 workers
+	ciSeeds    = 5               // of the seeds 1 to 5, 1 and 5 have a large fleet (see largeSeedPeriod)
 )
 
 // environmentInt returns the number in an environment variable, or a default if the variable is not set.
