--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -85,11 +85,11 @@
 
 // firstStart returns when the first dispatcher process was started.
 func (h *History) firstStart() time.Duration {
-	begin := time.Duration(math.MaxInt64)
+	first := time.Duration(math.MaxInt64)
 	for _, run := range h.Dispatchers {
-		begin = min(begin, run.Started)
+		first = min(first, run.Started)
 	}
-	return begin
+	return first
 }
 
 // dispatcherRun returns the record of one process of a dispatcher.
--- a/internal/soak/oracle_requests.go
+++ b/internal/soak/oracle_requests.go
@@ -7,13 +7,13 @@
 
 // checkDuplicates reports calls that are not idempotent and began to run at workers more than once.
 func checkDuplicates(h *History) []Violation {
-	ran := map[uint64]int{}
+	runCounts := map[uint64]int{}
 	var violations []Violation
 	for _, e := range h.Workers {
 		if e.Kind != CallStarted || e.Class != ClassNotIdempotent {
 			continue
 		}
-		if ran[e.Call]++; ran[e.Call] == 2 {
+		if runCounts[e.Call]++; runCounts[e.Call] == 2 {
 			violations = append(violations, Violation{RuleDuplicate, e.At, fmt.Sprintf("call %016x ran twice", e.Call)})
 		}
 	}
@@ -49,7 +49,8 @@
 	if r.ConnEnded == 0 {
 		return "the dispatcher did not end the connection"
 	}
-	return fmt.Sprintf("the dispatcher ended the connection %.6f s after the request, last bytes unread: %t; %d requests without an answer",
+	return fmt.Sprintf(
+		"the dispatcher ended the connection %.6f s after the request, last bytes unread: %t; %d requests without an answer",
 		(r.ConnEnded - r.Sent).Seconds(), r.EndedUnread, r.OpenAtEnd)
 }
 
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -70,7 +70,7 @@
 			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 8 * second}}
 			h.Workers = []WorkerEvent{{At: 10 * second, Kind: LoadArrived, Worker: "s-1", Copies: 1}}
 		}, []Rule{RuleDrain}},
-		"half served in a long outage":           {func(h *History) { addServing(h, 100, 51) }, nil},
+		"more than half served in a long outage": {func(h *History) { addServing(h, 100, 51) }, nil},
 		"less than half served in a long outage": {func(h *History) { addServing(h, 100, 49) }, []Rule{RuleServe}},
 		"too few requests to compare":            {func(h *History) { addServing(h, 99, 0) }, nil},
 		"none served, one of three workers has drained": {func(h *History) {
@@ -187,8 +187,8 @@
 	return r
 }
 
-// addServing adds an outage of discovery, 100 requests before it that are all served, and a number of requests late in it, of which
-// as many as served says are served.
+// addServing adds an outage of discovery, 100 requests before it that are all served, and a number of requests late in it, as many
+// of them served as the last argument says.
 func addServing(h *History, requests, served int) {
 	const begin, longAfter = 20 * second, 30 * second
 	h.Outages = []Outage{{Kind: OutageSilent, Begin: begin, End: time.Minute}}
--- a/internal/soak/quiet_test.go
+++ b/internal/soak/quiet_test.go
@@ -24,13 +24,13 @@
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, quiet: true}.play(t)
-			back := begin + quietUntil
+			quietEnd := begin + quietUntil
 			t.Log("served shares after the quiet time, in its first second and until the end of the outage:",
-				h.servedShare(back, back+time.Second), h.servedShare(back, end))
+				h.servedShare(quietEnd, quietEnd+time.Second), h.servedShare(quietEnd, end))
 			assert.Empty(t, Check(h))
-			assert.GreaterOrEqual(t, h.servedShare(back, back+time.Second), servedAfterQuiet)
-			assert.GreaterOrEqual(t, h.servedShare(back, end), servedAfterQuiet)
-			assert.LessOrEqual(t, h.longestGap(back, end), maxServedGap)
+			assert.GreaterOrEqual(t, h.servedShare(quietEnd, quietEnd+time.Second), servedAfterQuiet)
+			assert.GreaterOrEqual(t, h.servedShare(quietEnd, end), servedAfterQuiet)
+			assert.LessOrEqual(t, h.longestGap(quietEnd, end), maxServedGap)
 		})
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -15,11 +15,11 @@
 
 // The kinds of worker events.
 const (
-	WorkerStarted   WorkerEventKind = "started"
-	CallArrived     WorkerEventKind = "call"  // a call frame was read whole
-	CallStarted     WorkerEventKind = "run"   // a call begins to run
-	LoadArrived     WorkerEventKind = "load"  // a load order was read whole
-	FrameUnreadable WorkerEventKind = "frame" // a frame could not be read
+	WorkerStarted   WorkerEventKind = "started" // the worker listens at all its addresses
+	CallArrived     WorkerEventKind = "call"    // a call frame was read whole
+	CallStarted     WorkerEventKind = "run"     // a call begins to run
+	LoadArrived     WorkerEventKind = "load"    // a load order was read whole
+	FrameUnreadable WorkerEventKind = "frame"   // a frame could not be read
 )
 
 // WorkerEvent is one line of the record of a worker's process.
