--- a/internal/soak/incident3_test.go
+++ b/internal/soak/incident3_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Discovery tells nothing for longer than its news counts as told, and workers drain meanwhile: nothing new goes there once
-// the drain counts as told, whatever way discovery fails, and everybody else is still served (incident 3).
+// Guards against new work for workers that drain during an outage of discovery (incident 3). The outage, of any kind, outlasts the
+// 7 s after which a drain counts as known to the dispatcher; from then on and a grace later no new work may go to these workers.
+// The other workers must still serve the requests.
 func TestNothingNewToDrainingWorkersWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, kind := range outageKinds {
@@ -19,13 +20,14 @@
 			h, begin, end := run.play(t)
 			assert.Empty(t, Check(h))
 			assert.GreaterOrEqual(t, h.servedShare(begin, end), 0.97)
-			assertUsedAgain(t, h, run.draining, end)
+			assertCalledAgain(t, h, run.draining, end)
 		})
 	}
 }
 
-// The same with clients that are quiet from before the drain until it counts as told, so that no rejection tells of it. The old
-// list is of the very revision that the dispatcher knows: its replica answers at once where it should wait.
+// Guards against new work for workers that drain during an outage of discovery while clients send nothing, from before the drain
+// until it counts as known: no rejected call reveals the drain then. With OutageOldList, a replica of discovery answers at once
+// with the revision that the dispatcher already has, where it should wait for a newer one.
 func TestNothingNewToDrainingWorkersAfterAQuietTime(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []OutageKind{OutageRefused, OutageSilent, OutageOldList} {
@@ -34,7 +36,7 @@
 			h, _, _ := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, quiet: true}.play(t)
 			var violations []Violation
 			for _, v := range Check(h) {
-				if v.Rule != RuleServe { // nobody is known to be ready after so long, and requests are rejected
+				if v.Rule != RuleServe { // after that time no worker is known to be ready, and requests are rejected
 					violations = append(violations, v)
 				}
 			}
@@ -43,47 +45,52 @@
 	}
 }
 
-// The same where discovery answers each poll with nothing new, so that its silence cannot be told from a calm day. A dispatcher
-// that has not called a worker for 7 s has no sign that it drains, and calls it. Known to be red: see incident 3.
+// Guards against new work for workers that drain while discovery answers each poll with nothing new, which looks like a time
+// without changes. A dispatcher that has not called a worker for 7 s has no sign that the worker drains, and calls it. This test
+// is known to fail: see incident 3.
 func TestFleetOfLittleTrafficWithEmptyAnswers(t *testing.T) {
 	h, _, _ := outageRun{dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageEmpty}.play(t)
 	assert.Empty(t, Check(h))
 }
 
-// assertUsedAgain asserts that each of the first workers, which have returned, is called soon after the list's return.
-func assertUsedAgain(t *testing.T, h *History, workers int, listReturned time.Duration) {
+// assertCalledAgain asserts that each of the first workers, which have been started again, gets a call within returnWithin of the
+// time listReturned, when the endpoint list is available again.
+func assertCalledAgain(t *testing.T, h *History, workers int, listReturned time.Duration) {
 	t.Helper()
-	used := map[string]bool{}
+	called := map[string]bool{}
 	for _, e := range h.Workers {
 		if e.Kind == CallArrived && e.At > listReturned && e.At < listReturned+returnWithin {
-			used[e.Worker] = true
+			called[e.Worker] = true
 		}
 	}
 	for number := range workers {
 		uid := newWorkerHandle(&Fleet{config: Config{Members: 1}}, number).members[0].uid
-		assert.True(t, used[uid], "%s is not used %s after the list's return", uid, returnWithin)
+		assert.True(t, called[uid], "%s got no call within %s after the return of the endpoint list", uid, returnWithin)
 	}
 }
 
-// A fleet of many dispatchers with little traffic each, as in the operators' report, and one in which a third of the workers
-// drain: calls of each dispatcher to each worker are rare, so that few of them tell which workers are still ready.
+// Guards against a fleet that serves too little during an outage of discovery because its many dispatchers have little traffic
+// each: a dispatcher calls each worker rarely, and so learns late which workers are still ready. One fleet is that of the
+// operators' report; in the other a third of the workers drain.
 func TestFleetOfLittleTrafficServesOnWithoutDiscovery(t *testing.T) {
 	for name, run := range map[string]outageRun{
-		"two drain, twice": {dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageRefused, outages: 2, restarts: 4},
-		"seven drain":      {dispatchers: 54, workers: 22, draining: 7, rate: 3, kind: OutageSilent},
+		"two drain in each of two outages": {dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageRefused, outages: 2,
+			restarts: 4},
+		"seven drain": {dispatchers: 54, workers: 22, draining: 7, rate: 3, kind: OutageSilent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h, begin, end := run.play(t)
 			assert.Empty(t, Check(h))
-			t.Log("served before and during", h.servedShare(0, begin), h.servedShare(begin, end))
+			t.Log("served shares before and during the last outage:", h.servedShare(0, begin), h.servedShare(begin, end))
 			assert.GreaterOrEqual(t, h.servedShare(begin, end), 0.9)
 		})
 	}
 }
 
-// A fleet with many more workers than each dispatcher has connections serves on as well: at least half of the share that it
-// serves while discovery works. Calls prove that a worker is ready only on a connection that outlasts the silence.
+// Guards against a fleet that stops serving during an outage of discovery because each dispatcher has many more workers than
+// connections: a call proves that a worker is ready only on a connection that lasts through the outage. The fleet must serve at
+// least half of the share that it serves while discovery works.
 func TestLargeFleetServesOnWithoutDiscovery(t *testing.T) {
 	h, _, _ := outageRun{dispatchers: 3, workers: 4, members: 250, functions: 2000, rate: 40, kind: OutageRefused,
 		limits: Limits{Cores: 0.4, MemoryMB: 64, Sockets: 192}}.play(t)
@@ -91,9 +98,10 @@
 	assert.Empty(t, Check(h))
 }
 
-// A worker that drains, ends and is started again while discovery tells nothing counts as told of its drain 7 s after that, and as
-// told of its return 7 s after that: what it serves in between is no proof that it may be used (found by the soak).
-func TestNothingNewToAWorkerWhoseReturnWasNotTold(t *testing.T) {
+// Guards against calls to a worker that drains, ends and is started again during an outage of discovery, before its return counts
+// as known. Its drain counts as known to dispatchers 7 s after the drain, and its return 7 s after the return. A call that it
+// serves in between is no proof that it may be used. TestSoak found this failure.
+func TestNothingNewToAWorkerWhoseReturnIsNotKnown(t *testing.T) {
 	t.Parallel()
 	rules := DefaultRules()
 	rules.DrainGrace = outageGrace
@@ -107,13 +115,14 @@
 	load := Load{Rate: 160, Functions: 12, MinWait: 500 * time.Millisecond, MaxWait: time.Second}
 	f.StartClients(load)
 	time.Sleep(outageAfter)
-	ended := make(chan error, 1)
-	go func() { ended <- f.BreakDiscovery(OutageRefused, f.allDispatchers(), outageLength) }()
+	outageEnded := make(chan error, 1)
+	go func() { outageEnded <- f.BreakDiscovery(OutageRefused, f.allDispatchers(), outageLength) }()
 	time.Sleep(drainAfter)
 	require.NoError(t, f.CycleWorker(0, 3*time.Second))
-	load.Functions, load.FirstFunction = 100, 1000 // loaded nowhere: the worker that is back is as good as the others
+	// No worker has these functions loaded, so that the restarted one is as eligible as the others.
+	load.Functions, load.FirstFunction = 100, 1000
 	f.SetLoad(load)
-	require.NoError(t, <-ended)
+	require.NoError(t, <-outageEnded)
 	h, err := f.Finish()
 	require.NoError(t, err)
 	t.Log(Counts(h), h.ServedByDiscovery())
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -9,43 +9,46 @@
 	"time"
 )
 
-// Rule names a rule that dispatchers keep.
+// Rule names a rule that dispatchers must keep.
 type Rule string
 
-// The rules (source: client protocol and standing test).
+// The rules that the oracle checks (source: client protocol and standing test).
 const (
-	RuleLoads     Rule = "loads"     // load orders within the budget
-	RuleDuplicate Rule = "duplicate" // what must not run twice does not
-	RuleDrain     Rule = "drain"     // nothing new to a worker that drains or is gone
-	RuleLost      Rule = "lost"      // one final answer for each request
-	RuleGone      Rule = "gone"      // no attempt begins after the client has left
-	RuleDeadline  Rule = "deadline"  // workers are told no more time than the client has left
-	RuleSlowStart Rule = "slowstart" // a cold worker is not sent more than it can do
-	RuleCrash     Rule = "crash"     // dispatchers do not end by themselves
-	RuleFrame     Rule = "frame"     // workers can read what they are sent
-	RuleEvacuate  Rule = "evacuate"  // clients are sent away in time, and taken again
-	RuleLimits    Rule = "limits"    // no more descriptors and memory than allowed
-	RuleServe     Rule = "serve"     // the fleet serves on while discovery tells nothing
-	RuleChoice    Rule = "choice"    // no choice of a dispatcher would have broken a rule
+	RuleLoads     Rule = "loads"     // load orders stay within the load budget
+	RuleDuplicate Rule = "duplicate" // a call that is not idempotent runs at most once
+	RuleDrain     Rule = "drain"     // after the grace no new call or load order goes to a worker that drains or has ended
+	RuleLost      Rule = "lost"      // each request gets exactly one answer, in time
+	RuleGone      Rule = "gone"      // no attempt begins after its client has cancelled or closed
+	RuleDeadline  Rule = "deadline"  // an attempt's time limit is no longer than the time its client still waits
+	RuleSlowStart Rule = "slowstart" // a worker that has just started is not sent more calls than it can run
+	RuleCrash     Rule = "crash"     // dispatchers end only by SIGKILL, or without an error after SIGTERM
+	RuleFrame     Rule = "frame"     // workers can read every frame that they are sent
+	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher frees its clients in time, and accepts clients after a rejoin
+	RuleLimits    Rule = "limits"    // no more descriptors and memory are used than the limits allow
+	RuleServe     Rule = "serve"     // the fleet goes on serving during an outage of discovery
+	RuleChoice    Rule = "choice"    // no dispatcher had to stop a choice of its balancer that would have broken a rule
 )
 
-// Slack of the rules.
+// Tolerances of the checks.
 const (
-	timeSlack     = 50 * time.Millisecond  // of every time limit
-	budgetSlack   = 0.15                   // the load budget is widened by this part ...
-	budgetExtra   = 1                      // ... and by so many orders
-	answerSlack   = 500 * time.Millisecond // a later answer counts as lost
-	goneSlack     = 100 * time.Millisecond // an attempt may begin so long after its client has left
-	deadlineSlack = 150 * time.Millisecond
-	crossingTime  = 50 * time.Millisecond // a request may cross the close of an idle connection
-	// schedulingSlack is allowed on top where the recorder and the recorded compete for the machine's processors.
+	timeSlack       = 50 * time.Millisecond  // on every time limit
+	loadBudgetSlack = 0.15                   // the load budget is raised by this fraction ...
+	loadBudgetExtra = 1                      // ... and by this number of orders
+	answerSlack     = 500 * time.Millisecond // a request without an answer counts as lost this long after its client's time limit
+	goneSlack       = 100 * time.Millisecond // an attempt may begin this long after its client has cancelled or closed
+	deadlineSlack   = 150 * time.Millisecond // an attempt's time limit may exceed the time that its client still waits by this
+	// idleCloseRaceTime is how long before the dispatcher closes an idle connection a request may be sent and stay unread.
+	idleCloseRaceTime = 50 * time.Millisecond
+	// schedulingSlack is added to time limits, as the recording and the observed processes share the machine's processors.
 	schedulingSlack = 100 * time.Millisecond
-	// thawTime is how long a worker takes to read what has arrived while it was frozen.
-	thawTime      = 500 * time.Millisecond
-	notifiedShare = 2.0 / 3 // a cold worker's overload counts if more of it came from dispatchers that were told
+	// backlogReadTime is how long a worker takes, after it resumes, to read what arrived while its process was stopped.
+	backlogReadTime = 500 * time.Millisecond
+	// minNotifiedShare is the share of an overload's calls that must be exceeded by those of dispatchers which had been notified of
+	// the worker's start, for the overload to be a violation.
+	minNotifiedShare = 2.0 / 3
 )
 
-// Violation is a broken rule.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule Rule
 	At   time.Duration
@@ -56,7 +59,7 @@
 	return fmt.Sprintf("%s at %.3f: %s", v.Rule, v.At.Seconds(), v.Text)
 }
 
-// Check returns the rules that were broken, by time.
+// Check returns all violations in a history, in order of time.
 func Check(h *History) []Violation {
 	var violations []Violation
 	for _, check := range []func(*History) []Violation{
@@ -69,7 +72,7 @@
 	return violations
 }
 
-// runAt returns the process of the dispatcher that was there at a time.
+// runAt returns the number of the last process of a dispatcher that had been started by a time.
 func (h *History) runAt(dispatcher int, at time.Duration) int {
 	last := 0
 	for _, run := range h.Dispatchers {
@@ -80,17 +83,17 @@
 	return last
 }
 
-// begin is when the first dispatcher was started.
-func (h *History) begin() time.Duration {
-	begin := time.Duration(math.MaxInt64)
+// firstStart returns when the first dispatcher process was started.
+func (h *History) firstStart() time.Duration {
+	first := time.Duration(math.MaxInt64)
 	for _, run := range h.Dispatchers {
-		begin = min(begin, run.Started)
+		first = min(first, run.Started)
 	}
-	return begin
+	return first
 }
 
-// run returns the record of a dispatcher's process.
-func (h *History) run(dispatcher, number int) DispatcherRun {
+// dispatcherRun returns the record of one process of a dispatcher.
+func (h *History) dispatcherRun(dispatcher, number int) DispatcherRun {
 	for _, run := range h.Dispatchers {
 		if run.Dispatcher == dispatcher && run.Run == number {
 			return run
@@ -99,51 +102,54 @@
 	return DispatcherRun{}
 }
 
-// process identifies a process of a dispatcher.
-type process struct{ dispatcher, run int }
+// dispatcherProcess identifies one process of a dispatcher.
+type dispatcherProcess struct{ dispatcher, run int }
 
-// checkLoads counts the orders in the window before each order, as they arrived.
+// checkLoads checks, for each load order that asks for copies, that the orders of its dispatcher process in the window up to
+// its arrival stay within the budget: LoadBurst, and LoadRatio orders for each request in the window.
 func checkLoads(h *History) []Violation {
-	orders := map[process][]time.Duration{}
+	orderTimes := map[dispatcherProcess][]time.Duration{}
 	for _, e := range h.Workers {
 		if e.Kind == LoadArrived && e.Copies > 0 && h.arrivalKnown(e) {
-			p := process{e.Dispatcher, h.runAt(e.Dispatcher, e.At)}
-			orders[p] = append(orders[p], e.At)
+			p := dispatcherProcess{e.Dispatcher, h.runAt(e.Dispatcher, e.At)}
+			orderTimes[p] = append(orderTimes[p], e.At)
 		}
 	}
-	taken := map[process][]time.Duration{}
+	requestTimes := map[dispatcherProcess][]time.Duration{}
 	for _, r := range h.Requests {
 		if r.Sent > 0 {
-			p := process{r.Dispatcher, r.Run}
-			taken[p] = append(taken[p], r.Sent)
+			p := dispatcherProcess{r.Dispatcher, r.Run}
+			requestTimes[p] = append(requestTimes[p], r.Sent)
 		}
 	}
 	var violations []Violation
-	for p, times := range orders {
+	for p, times := range orderTimes {
 		slices.Sort(times)
-		slices.Sort(taken[p])
+		slices.Sort(requestTimes[p])
 		for i, at := range times {
 			from := at - h.Rules.LoadWindow
 			first, _ := slices.BinarySearch(times, from)
-			given := i + 1 - first
-			requests := countBetween(taken[p], from-timeSlack, at)
-			allowed := h.Rules.LoadBurst + h.Rules.LoadRatio*float64(requests)
-			if float64(given) > allowed*(1+budgetSlack)+budgetExtra {
+			orderCount := i + 1 - first
+			requestCount := countBetween(requestTimes[p], from-timeSlack, at)
+			allowed := h.Rules.LoadBurst + h.Rules.LoadRatio*float64(requestCount)
+			if float64(orderCount) > allowed*(1+loadBudgetSlack)+loadBudgetExtra {
 				violations = append(violations, Violation{RuleLoads, at,
-					fmt.Sprintf("dispatcher %d run %d gave %d orders with %d requests", p.dispatcher, p.run, given, requests)})
+					fmt.Sprintf("dispatcher %d run %d sent %d load orders in the window, with %d requests", p.dispatcher, p.run, orderCount,
+						requestCount)})
 			}
 		}
 	}
 	return violations
 }
 
-// countBetween counts sorted times from one to another, both included.
+// countBetween returns how many of the sorted times lie between from and to, both included.
 func countBetween(sorted []time.Duration, from, to time.Duration) int {
 	first, _ := slices.BinarySearch(sorted, from)
 	last, _ := slices.BinarySearch(sorted, to+1)
 	return last - first
 }
 
+// checkCrashes reports dispatcher processes that ended without a signal or failed after SIGTERM.
 func checkCrashes(h *History) []Violation {
 	var violations []Violation
 	for _, run := range h.Dispatchers {
@@ -155,6 +161,7 @@
 	return violations
 }
 
+// checkEvacuations reports the problems that were recorded during evacuations.
 func checkEvacuations(h *History) []Violation {
 	var violations []Violation
 	for _, e := range h.Evacuations {
@@ -166,17 +173,21 @@
 	return violations
 }
 
+// checkChoices reports dispatcher processes whose log tells that a choice of the balancer was not carried out because it would
+// have broken a rule.
 func checkChoices(h *History) []Violation {
 	var violations []Violation
 	for _, run := range h.Dispatchers {
 		if run.Stopped > 0 {
 			violations = append(violations, Violation{RuleChoice, run.Started, fmt.Sprintf(
-				"dispatcher %d run %d: its own check stopped at least %d choices", run.Dispatcher, run.Run, run.Stopped)})
+				"dispatcher %d run %d: its own check stopped %d or more choices that would have broken a rule", run.Dispatcher,
+				run.Run, run.Stopped)})
 		}
 	}
 	return violations
 }
 
+// checkLimits reports dispatcher processes that exceeded their limits or ran short of descriptors.
 func checkLimits(h *History) []Violation {
 	var violations []Violation
 	for _, run := range h.Dispatchers {
@@ -189,7 +200,8 @@
 	return violations
 }
 
-// Counts summarises a history: requests by how they ended, and faults by kind.
+// Counts summarises a history: requests by the first answer or the reason for having none, worker events by kind, outages of
+// discovery by kind and length, and injected faults by kind.
 func Counts(h *History) map[string]int {
 	counts := maps.Clone(h.Faults)
 	for _, r := range h.Requests {
--- a/internal/soak/player.go
+++ b/internal/soak/player.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Run plays a plan with a dispatcher's program, with records and logs in a folder.
+// Run starts a fleet whose dispatchers run program, injects the faults of a plan, and returns what was recorded. Records, logs and
+// configurations are written to folder.
 func Run(program, folder string, plan Plan) (*History, error) {
 	config := Config{
 		Program:     program,
@@ -36,26 +37,27 @@
 		}
 	}
 	f.StartClients(plan.Load)
-	player := &player{fleet: f, plan: plan, busy: map[string]bool{}, nextSpare: plan.Workers}
+	player := &player{fleet: f, plan: plan, reserved: map[string]bool{}, nextSpare: plan.Workers}
 	if err := player.play(); err != nil {
 		return nil, err
 	}
 	return f.Finish()
 }
 
-// player injects the faults of a plan.
+// player injects the faults of a plan into a fleet.
 type player struct {
 	fleet      *Fleet
 	plan       Plan
 	background sync.WaitGroup
 
 	mu        sync.Mutex
-	busy      map[string]bool // processes that a fault is at work on
-	nextSpare int
-	firstErr  error
+	reserved  map[string]bool // targets of faults under way, and worker processes that were replaced
+	nextSpare int             // number of the next spare worker process
+	firstErr  error           // of the first fault that failed
 }
 
-// play injects each fault at its time, and returns once all have ended.
+// play injects each fault at its time. It returns once the plan's length has passed and all faults have ended, with the first
+// error of a fault.
 func (p *player) play() error {
 	begin := Now()
 	for _, fault := range p.plan.Faults {
@@ -67,19 +69,19 @@
 	return p.firstErr
 }
 
-// take reserves a process for a fault, and reports whether no other one is at work on it.
-func (p *player) take(process string) bool {
+// reserve reserves a process for a fault. It returns false if another fault has reserved the process.
+func (p *player) reserve(process string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[process] {
+	if p.reserved[process] {
 		return false
 	}
-	p.busy[process] = true
+	p.reserved[process] = true
 	return true
 }
 
-// takeSpare returns the number of a worker to replace another by, and whether there is one left.
-func (p *player) takeSpare() (number int, ok bool) {
+// reserveSpare reserves a spare worker process and returns its number; ok is false if none is left.
+func (p *player) reserveSpare() (number int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.nextSpare >= p.plan.Workers+maxSpares {
@@ -89,26 +91,28 @@
 	return p.nextSpare - 1, true
 }
 
+// release ends the reservation of a process.
 func (p *player) release(process string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, process)
+	delete(p.reserved, process)
 }
 
-// inject carries out a fault, unless another is at work on its target.
+// inject carries out and counts a fault. It does neither if another fault has reserved the target, or if no spare worker process
+// is left for a replacement.
 func (p *player) inject(fault Fault) {
 	f := p.fleet
 	switch fault.Kind {
 	case FaultReload, FaultTerminate, FaultKill, FaultEvacuate, FaultSeries:
 		process := fmt.Sprint("dispatcher ", fault.Target)
-		if !p.take(process) {
+		if !p.reserve(process) {
 			return
 		}
 		defer p.release(process)
 		p.injectDispatcher(fault)
 	case FaultCrashWorker, FaultHangWorker, FaultFreezeWorker, FaultReset, FaultDrainWorker:
 		process := fmt.Sprint("worker ", fault.Target)
-		if !p.take(process) {
+		if !p.reserve(process) {
 			return
 		}
 		defer p.release(process)
@@ -120,7 +124,7 @@
 	case FaultFlush:
 		f.FlushWorkers()
 	case FaultOutage:
-		p.noteError(f.BreakDiscovery(fault.Outage, p.hitBy(fault), fault.Length))
+		p.keepFirstError(f.BreakDiscovery(fault.Outage, p.outageTargets(fault), fault.Length))
 	case FaultCrowd:
 		f.CrowdDispatcher(fault.Target, fault.Length)
 	case FaultNewFunctions:
@@ -143,6 +147,7 @@
 	f.count(fault.Kind)
 }
 
+// injectDispatcher carries out a fault at a dispatcher.
 func (p *player) injectDispatcher(fault Fault) {
 	var err error
 	switch fault.Kind {
@@ -155,11 +160,12 @@
 	case FaultEvacuate:
 		p.fleet.EvacuateDispatcher(fault.Target, fault.Length/2)
 	case FaultSeries:
-		err = p.fleet.SeriesAtDispatcher(fault.Target, fault.Series, fault.Steps)
+		err = p.fleet.RunSeries(fault.Target, fault.Series, fault.Steps)
 	}
-	p.noteError(err)
+	p.keepFirstError(err)
 }
 
+// injectWorker carries out a fault at a worker process that keeps its place in the fleet.
 func (p *player) injectWorker(fault Fault) {
 	var err error
 	switch fault.Kind {
@@ -174,35 +180,37 @@
 	case FaultDrainWorker:
 		err = p.fleet.CycleWorker(fault.Target, fault.Length)
 	}
-	p.noteError(err)
+	p.keepFirstError(err)
 }
 
-// replaceWorker replaces a worker, which no later fault is at work on, and reports whether that was possible.
+// replaceWorker replaces a worker process by a spare one. The replaced process stays reserved, as later faults must not start it
+// again. It returns false if another fault has reserved the process or no spare is left.
 func (p *player) replaceWorker(fault Fault) bool {
 	process := fmt.Sprint("worker ", fault.Target)
-	if !p.take(process) {
+	if !p.reserve(process) {
 		return false
 	}
-	spare, ok := p.takeSpare()
+	spare, ok := p.reserveSpare()
 	if !ok {
 		p.release(process)
 		return false
 	}
 	if fault.Kind == FaultReuseAddress {
-		p.noteError(p.fleet.SucceedWorker(fault.Target, spare, fault.Length))
+		p.keepFirstError(p.fleet.SucceedWorker(fault.Target, spare, fault.Length))
 	} else {
-		p.noteError(p.fleet.ReplaceWorker(fault.Target, spare, replacementDrain))
+		p.keepFirstError(p.fleet.ReplaceWorker(fault.Target, spare, replacementDrain))
 	}
 	return true
 }
 
-// hitBy returns the dispatchers that an outage hits.
-func (p *player) hitBy(fault Fault) []int {
+// outageTargets returns the dispatchers that an outage affects: the fault's share of them, but at least one.
+func (p *player) outageTargets(fault Fault) []int {
 	all := p.fleet.allDispatchers()
 	return all[:max(1, int(fault.Share*float64(len(all))))]
 }
 
-func (p *player) noteError(err error) {
+// keepFirstError keeps the first error of a fault.
+func (p *player) keepFirstError(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil && p.firstErr == nil {
--- a/internal/soak/quiet_test.go
+++ b/internal/soak/quiet_test.go
@@ -8,50 +8,53 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// visibleOutages are the ways in which a dispatcher can tell that discovery is out of reach.
-var visibleOutages = []OutageKind{OutageRefused, OutageSilent, OutageCutOff, OutageError, OutageOldList}
+// detectableOutages are the kinds of outages that a dispatcher can detect.
+var detectableOutages = []OutageKind{OutageRefused, OutageSilent, OutageCutOff, OutageError, OutageOldList}
 
 const (
-	servedAfterQuiet = 0.3         // at least, of what eight workers are asked for
-	longestGap       = time.Second // between two requests that are served
+	servedAfterQuiet = 0.3         // least share of the requests that eight workers must serve
+	maxServedGap     = time.Second // longest time allowed between two served answers
 )
 
-// Guards against a fleet that rejects everything until discovery is back, since its clients were quiet when the leases ended.
+// Guards against a fleet that rejects every request until discovery is back, because its clients sent nothing when the leases of
+// its workers ended.
 func TestFleetServesAfterAQuietTimeWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	for _, kind := range visibleOutages {
+	for _, kind := range detectableOutages {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, quiet: true}.play(t)
-			back := begin + quietUntil
-			t.Log("served in the first second and until the end", h.servedShare(back, back+time.Second), h.servedShare(back, end))
+			quietEnd := begin + quietUntil
+			t.Log("served shares after the quiet time, in its first second and until the end of the outage:",
+				h.servedShare(quietEnd, quietEnd+time.Second), h.servedShare(quietEnd, end))
 			assert.Empty(t, Check(h))
-			assert.GreaterOrEqual(t, h.servedShare(back, back+time.Second), servedAfterQuiet)
-			assert.GreaterOrEqual(t, h.servedShare(back, end), servedAfterQuiet)
-			assert.LessOrEqual(t, h.longestGap(back, end), longestGap)
+			assert.GreaterOrEqual(t, h.servedShare(quietEnd, quietEnd+time.Second), servedAfterQuiet)
+			assert.GreaterOrEqual(t, h.servedShare(quietEnd, end), servedAfterQuiet)
+			assert.LessOrEqual(t, h.longestGap(quietEnd, end), maxServedGap)
 		})
 	}
 }
 
-// Guards against the same at night: a dispatcher with a call every few seconds has nobody left 7 s into an outage.
+// Guards against a dispatcher that rejects every request from 7 s into an outage of discovery on: at night it gets a call only
+// every few seconds, and by then the leases of all its workers have ended.
 func TestRareCallsAreServedWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 0.24, kind: OutageRefused, length: 30 * time.Second,
 		warmUp: 160}.play(t)
 	late := h.servedShare(begin+quietUntil, end)
-	t.Log("served from", quietUntil, "into the outage", late)
+	t.Log("served share later than", quietUntil, "into the outage:", late)
 	assert.Empty(t, Check(h))
 	assert.Greater(t, late, 0.0)
 }
 
-// Guards against calls to workers that drained while polls were answered with nothing new and no client called.
+// Guards against new work for workers that drained while discovery answered polls with nothing new and clients sent nothing.
 func TestNothingNewAfterAQuietTimeWithEmptyAnswers(t *testing.T) {
 	t.Parallel()
 	h, _, _ := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: OutageEmpty, quiet: true}.play(t)
 	assert.Empty(t, Check(h))
 }
 
-// longestGap returns the longest time from begin to end in which no request was answered as served.
+// longestGap returns the longest time between begin and end without an answer to a served request.
 func (h *History) longestGap(begin, end time.Duration) time.Duration {
 	var served []time.Duration
 	for _, r := range h.Requests {
