--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -172,9 +172,9 @@
 	return conn
 }
 
-// dial opens a connection. It returns nil if the dispatcher accepts none.
+// dial opens a connection. It returns nil if clients may not connect to the dispatcher, or if the dial fails.
 func (c *client) dial() *clientConn {
-	if !c.fleet.acceptsNewConns(c.dispatcher) {
+	if !c.fleet.clientsMayConnect(c.dispatcher) {
 		return nil
 	}
 	run := c.fleet.currentRun(c.dispatcher)
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// wordOK is the status word of a served answer (source: client protocol).
+// wordOK is the outcome word of a served answer (source: client protocol).
 const wordOK = "ok"
 
 // clientConn is a client's connection to a dispatcher.
@@ -77,7 +77,7 @@
 	if r == nil || c.closed {
 		return
 	}
-	r.Left = Now()
+	r.ClientLeft = Now()
 	delete(c.pending, tag)
 	c.writeLocked("CANCEL", strconv.Itoa(tag))
 }
@@ -90,7 +90,7 @@
 		return
 	}
 	for _, r := range c.pending {
-		r.Left = Now()
+		r.ClientLeft = Now()
 	}
 	c.pending = map[int]*Request{}
 	c.closed = true
@@ -163,6 +163,6 @@
 	}
 	delete(c.pending, tag)
 	r.Answers = append(r.Answers, Now())
-	r.Words = append(r.Words, parts[1])
+	r.Outcomes = append(r.Outcomes, parts[1])
 	r.WrongBody = parts[1] == wordOK && parts[len(parts)-1] != fmt.Sprintf("%016x", r.ID)
 }
--- a/internal/soak/clientconn_test.go
+++ b/internal/soak/clientconn_test.go
@@ -47,20 +47,20 @@
 
 // Guards against taking a request that the dispatcher read and did not answer for one that it had not read when it closed the
 // connection. The answer to an earlier request may be in transit when the request is sent.
-func TestRequestThatCrossesTheCloseOfItsConnection(t *testing.T) {
+func TestRequestThatRacesWithTheCloseOfItsConnection(t *testing.T) {
 	first, second := sendTwoRequests(t, false, true)
 	assert.Len(t, first.Answers, 1)
 	assert.True(t, second.EndedUnread)
 	assert.Equal(t, 1, second.OpenAtEnd)
-	assert.True(t, second.crossedClose())
+	assert.True(t, second.racedWithClose())
 
 	_, second = sendTwoRequests(t, true, true)
 	assert.False(t, second.EndedUnread, "the dispatcher read the second request")
 	assert.Equal(t, 1, second.OpenAtEnd)
-	assert.False(t, second.crossedClose())
+	assert.False(t, second.racedWithClose())
 
 	first, second = sendTwoRequests(t, false, false)
 	assert.Empty(t, first.Answers)
 	assert.Equal(t, 2, second.OpenAtEnd, "the first request was read and has no answer either")
-	assert.False(t, second.crossedClose())
+	assert.False(t, second.racedWithClose())
 }
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -12,31 +12,31 @@
 
 // Rules holds the limits that the oracle checks. All but WorkerRate are in the dispatchers' settings.
 type Rules struct {
-	LoadBurst     float64       // load orders allowed in each LoadWindow without any request
-	LoadRatio     float64       // further load orders for each request in the LoadWindow
-	LoadWindow    time.Duration // time window of the load budget
-	DrainGrace    time.Duration // how long a dispatcher that counts as told of a drain may still call the worker
-	OverloadTimes float64       // calls in an OverloadSpan that are an overload, as a multiple of the worker's capacity
-	OverloadSpan  time.Duration // time window in which calls to a worker are counted
-	ColdFrom      float64       // capacity of a worker at its start, as a share of that of a warm worker
-	WarmAfter     time.Duration // from a worker's start until it is warm
-	WorkerRate    float64       // calls per second that a warm worker can serve
+	LoadBurst         float64       // load orders allowed in each LoadWindow without any request
+	LoadRatio         float64       // further load orders for each request in the LoadWindow
+	LoadWindow        time.Duration // time window of the load budget
+	DrainGrace        time.Duration // how long a dispatcher to which a drain counts as known may still call the worker
+	OverloadFactor    float64       // calls in an OverloadWindow that count as an overload, as a multiple of the worker's capacity
+	OverloadWindow    time.Duration // time window in which calls to a worker are counted
+	ColdCapacityShare float64       // capacity of a worker at its start, as a share of that of a warm worker
+	WarmUpTime        time.Duration // from a worker's start until it is warm
+	WorkerRate        float64       // calls per second that a warm worker can serve
 }
 
 // Config configures a fleet.
 type Config struct {
-	Program     string // path of the dispatcher's program, built by wallstep.Build
-	Folder      string // directory for records, logs and configurations
-	Dispatchers int
-	Workers     int // worker processes at the start
-	Spares      int // further worker processes that may be started later
-	Members     int // workers in each process, each with an address of its own; 0: one
-	Seed        uint64
-	Rules       Rules
-	Limits      Limits            // of each dispatcher; the zero value means DefaultLimits
-	Deadline    time.Duration     // the longest deadline of the classes; 0: defaultDeadline
-	Worker      WorkerConfig      // for all workers; the fleet fills in Members, Record, Seed and AcceptsFor
-	Steps       [][]wallstep.Step // wall-clock steps of each dispatcher's first process; may be shorter than Dispatchers
+	Program           string // path of the dispatcher's program, built by wallstep.Build
+	Folder            string // directory for records, logs and configurations
+	Dispatchers       int
+	Workers           int // worker processes at the start
+	Spares            int // further worker processes that may be started later
+	WorkersPerProcess int // workers in each process, each with an address of its own; 0: one
+	Seed              uint64
+	Rules             Rules
+	Limits            Limits            // of each dispatcher; the zero value means DefaultLimits
+	Deadline          time.Duration     // the longest deadline of the classes; 0: defaultDeadline
+	Worker            WorkerConfig      // for all workers; the fleet fills in Members, Record, Seed and AcceptsFor
+	WallClockSteps    [][]wallstep.Step // wall-clock steps of each dispatcher's first process; no entry: no steps
 }
 
 // Limits are the resources that a dispatcher may use.
@@ -63,7 +63,7 @@
 
 // applyDefaults sets defaults for unset fields.
 func (c *Config) applyDefaults() {
-	c.Members = max(1, c.Members)
+	c.WorkersPerProcess = max(1, c.WorkersPerProcess)
 	if c.Limits == (Limits{}) {
 		c.Limits = DefaultLimits()
 	}
@@ -77,8 +77,8 @@
 
 // DefaultRules returns rules with windows short enough that a run of a few seconds reaches the limits.
 func DefaultRules() Rules {
-	return Rules{LoadBurst: 6, LoadRatio: 0.15, LoadWindow: 2 * time.Second, DrainGrace: time.Second, OverloadTimes: 2,
-		OverloadSpan: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, WorkerRate: 50}
+	return Rules{LoadBurst: 6, LoadRatio: 0.15, LoadWindow: 2 * time.Second, DrainGrace: time.Second, OverloadFactor: 2,
+		OverloadWindow: time.Second, ColdCapacityShare: 0.3, WarmUpTime: 4 * time.Second, WorkerRate: 50}
 }
 
 // DefaultWorker returns the configuration of a worker that reaches the WorkerRate of DefaultRules: 3 cores at 60 ms a call.
@@ -124,7 +124,7 @@
 		"domain":{"placement_calls":true,"answer_within_us":2000000,"keep_alive_us":%d,"load_floor":%g,
 		"loads_per_request":%g,"load_period_us":%d,"tells_warm":true}}`,
 		f.config.Dispatchers, number, number%2, ClassIdempotent, idempotentDeadline.Microseconds(),
-		ClassNotIdempotent, f.config.Deadline.Microseconds(), r.ColdFrom, r.WarmAfter.Microseconds(),
-		r.DrainGrace.Microseconds(), r.OverloadTimes, r.OverloadSpan.Microseconds(),
+		ClassNotIdempotent, f.config.Deadline.Microseconds(), r.ColdCapacityShare, r.WarmUpTime.Microseconds(),
+		r.DrainGrace.Microseconds(), r.OverloadFactor, r.OverloadWindow.Microseconds(),
 		f.config.Worker.KeepAlive.Microseconds(), r.LoadBurst, r.LoadRatio, r.LoadWindow.Microseconds())
 }
--- a/internal/soak/crowd.go
+++ b/internal/soak/crowd.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	crowdSocketShare  = 0.5 // open connections of a crowd, as a share of the dispatcher's descriptor limit
+	crowdSocketShare  = 0.5 // connections held open, as a share of the dispatcher's descriptor limit
 	crowdDialInterval = 5 * time.Millisecond
 	partialCall       = "*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$8\r\ncons"
 	crowdDialTimeout  = 100 * time.Millisecond
 )
 
-// CrowdDispatcher opens connections to a dispatcher that never complete a request. Half of them send a part of one. It first opens
-// more connections than clients may have, then one every crowdDialInterval, and closes the oldest for each.
-func (f *Fleet) CrowdDispatcher(number int, length time.Duration) {
+// HoldIncompleteRequests holds connections to a dispatcher open for a time and completes no request on them. On half of them it
+// writes a part of a request. It first opens more connections than clients may have. Then it opens one every crowdDialInterval and
+// closes the oldest one each time.
+func (f *Fleet) HoldIncompleteRequests(number int, length time.Duration) {
 	addr := f.dispatcherAddr(number)
 	maxConns := int(crowdSocketShare * float64(f.config.Limits.Sockets))
 	var crowd []net.Conn
--- a/internal/soak/dispatcherhandle.go
+++ b/internal/soak/dispatcherhandle.go
@@ -19,27 +19,27 @@
 	cmd            *exec.Cmd
 	exited         chan struct{} // closed when the current process has ended
 	discoveryIndex int           // which address of the endpoint list the dispatcher polls
-	// acceptUntil is when clients stop opening connections to the dispatcher; 0: never.
-	acceptUntil time.Duration
-	ready       bool
+	// connectUntil is when clients stop opening connections to the dispatcher; 0: never.
+	connectUntil time.Duration
+	ready        bool
 }
 
-// startDispatcher starts a process of a dispatcher with the current endpoint list and a wall clock that takes the steps.
+// startDispatcher starts a process of a dispatcher with the current endpoint list and applies the steps to its wall clock.
 func (f *Fleet) startDispatcher(number int, steps []wallstep.Step) error {
-	// Read before the list: a later change that is not in the list counts as told notifiedAfter after it happened.
-	listedAt := Now()
-	response, told := f.endpoints.known(number)
-	return f.startDispatcherWithList(number, steps, startList{response: response, told: told, asOf: listedAt})
+	// Read before the list: a change that comes too late for the list counts as known notificationDeadline after it happened.
+	takenAt := Now()
+	response, changes := f.endpoints.currentList(number)
+	return f.startDispatcherWithList(number, steps, startList{response: response, changes: changes, takenAt: takenAt})
 }
 
 // startList is the endpoint list in the configuration of a dispatcher that starts.
 type startList struct {
 	response pollResponse
-	told     []change      // the last change of each worker in the list
-	asOf     time.Duration // later changes may be missing from the list; 0: it is the list of the first revision
+	changes  []change      // the last change of each worker in the list
+	takenAt  time.Duration // later changes may be missing from the list; 0: it is the first list
 }
 
-// startDispatcherWithList starts a process of a dispatcher with an endpoint list and a wall clock that takes the steps.
+// startDispatcherWithList starts a process of a dispatcher with an endpoint list and applies the steps to its wall clock.
 func (f *Fleet) startDispatcherWithList(number int, steps []wallstep.Step, list startList) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,14 +55,14 @@
 	}
 	defer logFile.Close()
 	d.cmd = f.dispatcherCommand()
-	d.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+configPath, wallstep.Environment(steps))
+	d.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+configPath, wallstep.StepsEnvironment(steps))
 	d.cmd.Stdout = logFile
 	d.cmd.Stderr = logFile
-	d.acceptUntil = 0
+	d.connectUntil = 0
 	d.ready = false
-	d.runs = append(d.runs, DispatcherRun{Dispatcher: number, Run: run, Started: Now(), ListedAt: list.asOf})
+	d.runs = append(d.runs, DispatcherRun{Dispatcher: number, Run: run, Started: Now(), ListTakenAt: list.takenAt})
 	d.currentRun.Store(int64(run))
-	f.endpoints.noteKnown(number, run, list)
+	f.endpoints.recordStartList(number, run, list)
 	d.exited = make(chan struct{})
 	if err := d.cmd.Start(); err != nil {
 		return err
@@ -90,7 +90,7 @@
 	r := &d.runs[run]
 	r.Ended = Now()
 	r.Shortages = countOccurrences(f.logPath(d.number, run), descriptorShortageText)
-	r.Stopped = countOccurrences(f.logPath(d.number, run), stoppedChoiceText)
+	r.StoppedChoices = countOccurrences(f.logPath(d.number, run), stoppedChoiceText)
 	if r.Killed == 0 && (r.Terminated == 0 || err != nil) {
 		r.Crash = fmt.Sprint("ended: ", err)
 	}
@@ -114,10 +114,10 @@
 // currentRun returns the number of the dispatcher's current process.
 func (f *Fleet) currentRun(number int) int { return int(f.dispatchers[number].currentRun.Load()) }
 
-// acceptsNewConns reports whether clients open new connections to the dispatcher.
-func (f *Fleet) acceptsNewConns(number int) bool {
+// clientsMayConnect reports whether clients may open new connections to the dispatcher.
+func (f *Fleet) clientsMayConnect(number int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := f.dispatchers[number]
-	return d.ready && (d.acceptUntil == 0 || Now() < d.acceptUntil)
+	return d.ready && (d.connectUntil == 0 || Now() < d.connectUntil)
 }
--- a/internal/soak/endpointlist.go
+++ b/internal/soak/endpointlist.go
@@ -18,9 +18,9 @@
 	stateLeft    = "left"
 )
 
-// notifiedAfter is how long after a change of the endpoint list a dispatcher counts as told of the change, even if it has not
-// received it (source: client protocol, figures).
-const notifiedAfter = 7 * time.Second
+// notificationDeadline is how long after a change of the endpoint list the change counts as known to a dispatcher, even if the
+// dispatcher has not received it (source: client protocol, figures).
+const notificationDeadline = 7 * time.Second
 
 // listTarget is the state of one worker in an event.
 type listTarget struct {
@@ -61,12 +61,12 @@
 type endpointList struct {
 	fleet *Fleet
 
-	mu      sync.Mutex
-	first   []change // the list of revision 1
-	changes []change
-	updated chan struct{}      // closed and replaced when the list changes or an outage begins or ends
-	outages map[int]OutageKind // current outages, by dispatcher
-	notices []Notification     // when dispatchers count as told of changes
+	mu            sync.Mutex
+	first         []change // the list of revision 1
+	changes       []change
+	updated       chan struct{}      // closed and replaced when the list changes or an outage begins or ends
+	outages       map[int]OutageKind // current outages, by dispatcher
+	notifications []Notification     // when changes count as known to dispatchers
 }
 
 func newEndpointList(f *Fleet) *endpointList {
@@ -116,44 +116,44 @@
 	return latest
 }
 
-// known returns the current list as one event, for the configuration of a dispatcher that starts or reloads, and the changes that
-// the list contains.
-func (l *endpointList) known(dispatcher int) (response pollResponse, told []change) {
+// currentList returns the current list as one event, for the configuration of a dispatcher that starts or reloads, and the changes
+// that the list contains.
+func (l *endpointList) currentList(dispatcher int) (response pollResponse, changes []change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var event listEvent
 	event.Revision = l.lastRevisionLocked()
 	event.Pool.All = true
-	told = l.latestChangesLocked()
-	for _, c := range told {
+	changes = l.latestChangesLocked()
+	for _, c := range changes {
 		event.Pool.Targets = append(event.Pool.Targets, c.target(dispatcher))
 	}
-	return pollResponse{Revision: event.Revision, Notifications: []listEvent{event}}, told
+	return pollResponse{Revision: event.Revision, Notifications: []listEvent{event}}, changes
 }
 
-// firstList returns the list of revision 1 without later changes.
+// firstList returns the first list as a start list, without later changes.
 func (l *endpointList) firstList(dispatcher int) startList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return startList{
 		response: pollResponse{Revision: 1, Notifications: []listEvent{l.eventLocked(dispatcher, 1)}},
-		told:     l.first,
+		changes:  l.first,
 	}
 }
 
-// noteKnown records that a dispatcher's process counts as told of the changes in its start list from list.asOf on.
-func (l *endpointList) noteKnown(dispatcher, run int, list startList) {
+// recordStartList records that the changes in the start list of a dispatcher's process count as known to it from list.takenAt on.
+func (l *endpointList) recordStartList(dispatcher, run int, list startList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, c := range list.told {
-		l.recordNotificationLocked(dispatcher, run, c, list.asOf)
+	for _, c := range list.changes {
+		l.recordNotificationLocked(dispatcher, run, c, list.takenAt)
 	}
 }
 
-// recordNotificationLocked records that a dispatcher's process counts as told of a change at the time at.
+// recordNotificationLocked records that a change counts as known to a dispatcher's process from the time at on.
 func (l *endpointList) recordNotificationLocked(dispatcher, run int, c change, at time.Duration) {
-	l.notices = append(l.notices, Notification{Dispatcher: dispatcher, Run: run, Worker: c.worker.uid, State: c.state,
-		BootMS: c.bootMS, At: at})
+	l.notifications = append(l.notifications, Notification{Dispatcher: dispatcher, Run: run, Worker: c.worker.uid, State: c.state,
+		BootMS: c.bootMS, KnownAt: at})
 }
 
 // target returns the changed worker as a dispatcher sees it in the list.
@@ -171,7 +171,7 @@
 
 // serve answers the polls of a dispatcher at an address until stop is called.
 func (l *endpointList) serve(dispatcher int, addr string) (stop func(), err error) {
-	listener, err := listenRetrying(addr)
+	listener, err := listenWithRetries(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 		l.mu.Unlock()
 		switch {
 		case outage == "" && (pending || lingerOver):
-			l.answer(w, dispatcher, knownRevision)
+			l.respond(w, dispatcher, knownRevision)
 			return
 		case outage != "" && outage != OutageSilent && (lingerOver || outage != OutageEmpty):
 			l.respondDuringOutage(w, outage, dispatcher, knownRevision)
@@ -223,9 +223,9 @@
 	}
 }
 
-// answer writes the events after a revision. The dispatcher's process counts as told of each change from now on, or
-// from notifiedAfter after the change if that is earlier.
-func (l *endpointList) answer(w http.ResponseWriter, dispatcher, knownRevision int) {
+// respond answers a poll with the events after a revision. Each change counts as known to the dispatcher's process from now on, or
+// from notificationDeadline after the change if that is earlier.
+func (l *endpointList) respond(w http.ResponseWriter, dispatcher, knownRevision int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	run := l.fleet.currentRun(dispatcher)
@@ -234,13 +234,13 @@
 		response.Notifications = append(response.Notifications, l.eventLocked(dispatcher, revision))
 		if revision > 1 {
 			c := l.changes[revision-2]
-			l.recordNotificationLocked(dispatcher, run, c, min(Now(), c.at+notifiedAfter))
+			l.recordNotificationLocked(dispatcher, run, c, min(Now(), c.at+notificationDeadline))
 		}
 	}
 	json.NewEncoder(w).Encode(response)
 }
 
-// allNotifications returns when each dispatcher's process counts as told of each change, including changes that did not reach it.
+// allNotifications returns when each change counts as known to each dispatcher's process, including changes that did not reach it.
 func (l *endpointList) allNotifications(runs []DispatcherRun) []Notification {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,19 +248,19 @@
 	key := func(dispatcher, run int, c change) string {
 		return fmt.Sprint(dispatcher, " ", run, " ", c.worker.uid, " ", c.state, " ", c.bootMS)
 	}
-	notices := slices.Clone(l.notices)
-	for _, n := range notices {
+	notifications := slices.Clone(l.notifications)
+	for _, n := range notifications {
 		recorded[fmt.Sprint(n.Dispatcher, " ", n.Run, " ", n.Worker, " ", n.State, " ", n.BootMS)] = true
 	}
 	for _, run := range runs {
 		for _, c := range l.changes {
-			if !recorded[key(run.Dispatcher, run.Run, c)] && c.at >= run.ListedAt {
-				notices = append(notices, Notification{Dispatcher: run.Dispatcher, Run: run.Run, Worker: c.worker.uid,
-					State: c.state, BootMS: c.bootMS, At: c.at + notifiedAfter})
+			if !recorded[key(run.Dispatcher, run.Run, c)] && c.at >= run.ListTakenAt {
+				notifications = append(notifications, Notification{Dispatcher: run.Dispatcher, Run: run.Run, Worker: c.worker.uid,
+					State: c.state, BootMS: c.bootMS, KnownAt: c.at + notificationDeadline})
 			}
 		}
 	}
-	return notices
+	return notifications
 }
 
 // allChanges returns the first list and all later changes, by time.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,8 +11,8 @@
 // addressDownTime is how long nothing listens at a worker's address between its last process and the next one.
 const addressDownTime = 600 * time.Millisecond
 
-// count counts an injected fault of a kind.
-func (f *Fleet) count(kind FaultKind) {
+// countFault counts an injected fault of a kind.
+func (f *Fleet) countFault(kind FaultKind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults[string(kind)]++
@@ -27,14 +27,14 @@
 		return nil
 	}
 	d.discoveryIndex = (d.discoveryIndex + 1) % discoveryAddrCount
-	response, _ := f.endpoints.known(number)
+	response, _ := f.endpoints.currentList(number)
 	if err := f.writeConfig(number, response); err != nil {
 		return err
 	}
 	return d.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// terminateDispatcher sends SIGTERM to a dispatcher. Clients open new connections for acceptAfterTerm and use the open ones until
+// terminateDispatcher sends SIGTERM to a dispatcher. Clients open new connections for connectAfterTerm and use the open ones until
 // the process ends.
 func (f *Fleet) terminateDispatcher(number int) {
 	f.mu.Lock()
@@ -45,7 +45,7 @@
 	}
 	if run := &d.runs[len(d.runs)-1]; run.Terminated == 0 { // a second SIGTERM changes nothing
 		run.Terminated = Now()
-		d.acceptUntil = Now() + acceptAfterTerm
+		d.connectUntil = Now() + connectAfterTerm
 	}
 	d.cmd.Process.Signal(syscall.SIGTERM)
 }
@@ -71,15 +71,15 @@
 	exited := d.exited
 	if !channel.IsClosed(exited) {
 		d.runs[len(d.runs)-1].Killed = Now()
-		d.acceptUntil = 1 // in the past: clients open no connections
+		d.connectUntil = 1 // in the past: clients open no connections
 		d.cmd.Process.Kill()
 	}
 	f.mu.Unlock()
 	<-exited
 }
 
-// RestartDispatcher ends a dispatcher, by SIGTERM if graceful and else by SIGKILL, and starts it again with a wall clock that
-// takes the steps.
+// RestartDispatcher ends a dispatcher, by SIGTERM if graceful and else by SIGKILL, starts it again, and applies the
+// steps to the wall clock of the new process.
 func (f *Fleet) RestartDispatcher(number int, graceful bool, steps []wallstep.Step) error {
 	if graceful {
 		f.terminateDispatcher(number)
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// DrainWorker makes a worker drain: the endpoint list announces it, and the worker rejects new calls once the grace and drainTail
-// have passed.
+// DrainWorker makes a worker drain: the endpoint list announces it, and the worker rejects new calls once the grace and
+// acceptAfterGrace have passed.
 func (f *Fleet) DrainWorker(number int) {
 	f.endpoints.add(f.workers[number], stateLeaving, 0)
 	f.workers[number].signal(drainSignal)
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// CycleWorker drains a worker, removes it after drainFor, and starts it again, cold, addressDownTime later.
-func (f *Fleet) CycleWorker(number int, drainFor time.Duration) error {
+// DrainAndRestartWorker drains a worker, removes it after drainFor, and starts it again, cold, addressDownTime later.
+func (f *Fleet) DrainAndRestartWorker(number int, drainFor time.Duration) error {
 	f.DrainWorker(number)
 	time.Sleep(drainFor)
 	f.RemoveWorker(number)
@@ -156,13 +156,14 @@
 	return f.ReturnWorker(number)
 }
 
-// SucceedWorker drains a worker, removes it after drainFor, and starts a spare at its address addressDownTime later.
-func (f *Fleet) SucceedWorker(number, spare int, drainFor time.Duration) error {
+// ReplaceWorkerAtSameAddress drains a worker, removes it after drainFor, and starts a spare at its address addressDownTime
+// later.
+func (f *Fleet) ReplaceWorkerAtSameAddress(number, spare int, drainFor time.Duration) error {
 	f.DrainWorker(number)
 	time.Sleep(drainFor)
 	f.RemoveWorker(number)
 	time.Sleep(addressDownTime)
-	f.workers[spare].takeAddresses(f.workers[number])
+	f.workers[spare].copyAddresses(f.workers[number])
 	return f.ReturnWorker(spare)
 }
 
@@ -189,12 +190,12 @@
 	}
 }
 
-// FlushWorkers unloads all functions at all workers, as a new release of every function does.
-func (f *Fleet) FlushWorkers() {
+// UnloadAllFunctions unloads all functions at all workers, as a new release of every function does.
+func (f *Fleet) UnloadAllFunctions() {
 	for _, w := range f.workers {
 		w.signal(syscall.SIGUSR1)
 	}
 }
 
-// ResetWorker resets all connections to a worker.
-func (f *Fleet) ResetWorker(number int) { f.workers[number].signal(syscall.SIGUSR2) }
+// ResetWorkerConnections resets all connections to a worker.
+func (f *Fleet) ResetWorkerConnections(number int) { f.workers[number].signal(syscall.SIGUSR2) }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -18,15 +18,15 @@
 	discoveryPort      = 2379
 	discoveryAddrCount = 8 // for each dispatcher; a reload moves it to the next one
 	readyTimeout       = 15 * time.Second
-	// acceptAfterTerm is how long clients open new connections to a dispatcher after its SIGTERM.
-	acceptAfterTerm = 400 * time.Millisecond
+	// connectAfterTerm is how long clients open new connections to a dispatcher after its SIGTERM.
+	connectAfterTerm = 400 * time.Millisecond
 )
 
 // Fleet holds the processes of a run, its clients and its endpoint list.
 type Fleet struct {
-	config    Config
-	net       int // second octet of all addresses of the fleet, in 127.0.0.0/8
-	endpoints *endpointList
+	config      Config
+	secondOctet int // second octet of all addresses of the fleet, in 127.0.0.0/8
+	endpoints   *endpointList
 
 	mu                   sync.Mutex
 	dispatchers          []*dispatcherHandle
@@ -57,7 +57,7 @@
 	config.applyDefaults()
 	f := &Fleet{
 		config:               config,
-		net:                  minSecondOctet + (os.Getpid()+int(fleetsStarted.Add(1))*37)%secondOctetCount,
+		secondOctet:          minSecondOctet + (os.Getpid()+int(fleetsStarted.Add(1))*37)%secondOctetCount,
 		faults:               map[string]int{},
 		stopDiscoveryServers: map[int][]func(){},
 		stopClients:          make(chan struct{}),
@@ -121,8 +121,8 @@
 func (f *Fleet) startDispatchers() error {
 	for i := range f.dispatchers {
 		var steps []wallstep.Step
-		if i < len(f.config.Steps) {
-			steps = f.config.Steps[i]
+		if i < len(f.config.WallClockSteps) {
+			steps = f.config.WallClockSteps[i]
 		}
 		if err := f.startDispatcher(i, steps); err != nil {
 			return err
@@ -137,16 +137,16 @@
 }
 
 func (f *Fleet) dispatcherAddr(dispatcher int) string {
-	return fmt.Sprintf("127.%d.0.%d:%d", f.net, dispatcher+1, dispatcherPort)
+	return fmt.Sprintf("127.%d.0.%d:%d", f.secondOctet, dispatcher+1, dispatcherPort)
 }
 
 // adminAddr returns the address at which a dispatcher answers operators.
 func (f *Fleet) adminAddr(dispatcher int) string {
-	return fmt.Sprintf("127.%d.2.%d:%d", f.net, dispatcher+1, dispatcherPort)
+	return fmt.Sprintf("127.%d.2.%d:%d", f.secondOctet, dispatcher+1, dispatcherPort)
 }
 
 func (f *Fleet) discoveryAddr(dispatcher, address int) string {
-	return fmt.Sprintf("127.%d.1.%d:%d", f.net, dispatcher+1, discoveryPort+address)
+	return fmt.Sprintf("127.%d.1.%d:%d", f.secondOctet, dispatcher+1, discoveryPort+address)
 }
 
 // StartClients starts one client for each dispatcher.
--- a/internal/soak/incident2_test.go
+++ b/internal/soak/incident2_test.go
@@ -29,7 +29,7 @@
 }
 
 // Guards against an evacuated dispatcher that keeps clients because they go on using their open connections (incident 2,
-// hypothesis A1). It must answer readiness checks with no at once and hold no client after 4 s. After a rejoin it must accept
+// hypothesis A1). It must answer readiness checks with no at once and hold no client after 4 s. After a rejoin it must take
 // clients again.
 func TestEvacuatedProcessSendsItsClientsAway(t *testing.T) {
 	f := startSmallFleet(t, time.Second)
@@ -67,7 +67,7 @@
 func TestDescriptorsHoldWithManyWorkers(t *testing.T) {
 	worker := DefaultWorker()
 	worker.Work = 20 * time.Millisecond
-	f, err := Start(Config{Program: dispatcherProgram(t), Folder: t.TempDir(), Dispatchers: 2, Workers: 4, Members: 300,
+	f, err := Start(Config{Program: dispatcherProgram(t), Folder: t.TempDir(), Dispatchers: 2, Workers: 4, WorkersPerProcess: 300,
 		Seed: 1, Rules: DefaultRules(), Worker: worker, Limits: Limits{Cores: 0.4, MemoryMB: 64, Sockets: 192}})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
--- a/internal/soak/incident3_test.go
+++ b/internal/soak/incident3_test.go
@@ -16,11 +16,11 @@
 	for _, kind := range outageKinds {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			run := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind}
+			run := outageRun{dispatchers: 1, workers: 8, drainingProcesses: 2, rate: 160, kind: kind}
 			h, begin, end := run.play(t)
 			assert.Empty(t, Check(h))
 			assert.GreaterOrEqual(t, h.servedShare(begin, end), 0.97)
-			assertCalledAgain(t, h, run.draining, end)
+			assertCalledAgain(t, h, run.drainingProcesses, end)
 		})
 	}
 }
@@ -33,7 +33,8 @@
 	for _, kind := range []OutageKind{OutageRefused, OutageSilent, OutageOldList} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			h, _, _ := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, quiet: true}.play(t)
+			h, _, _ := outageRun{dispatchers: 1, workers: 8, drainingProcesses: 2, rate: 160, kind: kind,
+				quietClients: true}.play(t)
 			var violations []Violation
 			for _, v := range Check(h) {
 				if v.Rule != RuleServe { // after that time no worker is known to be ready, and requests are rejected
@@ -49,23 +50,23 @@
 // without changes. A dispatcher that has not called a worker for 7 s has no sign that the worker drains, and calls it. This test
 // is known to fail: see incident 3.
 func TestFleetOfLittleTrafficWithEmptyAnswers(t *testing.T) {
-	h, _, _ := outageRun{dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageEmpty}.play(t)
+	h, _, _ := outageRun{dispatchers: 54, workers: 22, drainingProcesses: 2, rate: 3, kind: OutageEmpty}.play(t)
 	assert.Empty(t, Check(h))
 }
 
-// assertCalledAgain asserts that each of the first workers, which have been started again, gets a call within returnWithin of the
-// time listReturned, when the endpoint list is available again.
-func assertCalledAgain(t *testing.T, h *History, workers int, listReturned time.Duration) {
+// assertCalledAgain asserts that each of the first workers, which have been started again, gets a call within reuseTimeLimit of
+// the end of the outage.
+func assertCalledAgain(t *testing.T, h *History, workers int, outageEnd time.Duration) {
 	t.Helper()
 	called := map[string]bool{}
 	for _, e := range h.Workers {
-		if e.Kind == CallArrived && e.At > listReturned && e.At < listReturned+returnWithin {
+		if e.Kind == CallArrived && e.At > outageEnd && e.At < outageEnd+reuseTimeLimit {
 			called[e.Worker] = true
 		}
 	}
 	for number := range workers {
-		uid := newWorkerHandle(&Fleet{config: Config{Members: 1}}, number).members[0].uid
-		assert.True(t, called[uid], "%s got no call within %s after the return of the endpoint list", uid, returnWithin)
+		uid := newWorkerHandle(&Fleet{config: Config{WorkersPerProcess: 1}}, number).members[0].uid
+		assert.True(t, called[uid], "%s got no call within %s after the end of the outage", uid, reuseTimeLimit)
 	}
 }
 
@@ -74,9 +75,9 @@
 // operators' report; in the other a third of the workers drain.
 func TestFleetOfLittleTrafficServesOnWithoutDiscovery(t *testing.T) {
 	for name, run := range map[string]outageRun{
-		"two drain in each of two outages": {dispatchers: 54, workers: 22, draining: 2, rate: 3, kind: OutageRefused, outages: 2,
-			restarts: 4},
-		"seven drain": {dispatchers: 54, workers: 22, draining: 7, rate: 3, kind: OutageSilent},
+		"two drain in each of two outages": {dispatchers: 54, workers: 22, drainingProcesses: 2, rate: 3, kind: OutageRefused,
+			outages: 2, restarts: 4},
+		"seven drain": {dispatchers: 54, workers: 22, drainingProcesses: 7, rate: 3, kind: OutageSilent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -92,8 +93,8 @@
 // connections: a call proves that a worker is ready only on a connection that lasts through the outage. The fleet must serve at
 // least half of the share that it serves while discovery works.
 func TestLargeFleetServesOnWithoutDiscovery(t *testing.T) {
-	h, _, _ := outageRun{dispatchers: 3, workers: 4, members: 250, functions: 2000, rate: 40, kind: OutageRefused,
-		limits: Limits{Cores: 0.4, MemoryMB: 64, Sockets: 192}}.play(t)
+	h, _, _ := outageRun{dispatchers: 3, workers: 4, workersPerProcess: 250, functions: 2000, rate: 40,
+		kind: OutageRefused, limits: Limits{Cores: 0.4, MemoryMB: 64, Sockets: 192}}.play(t)
 	t.Log(h.ServedByDiscovery())
 	assert.Empty(t, Check(h))
 }
@@ -118,7 +119,7 @@
 	outageEnded := make(chan error, 1)
 	go func() { outageEnded <- f.BreakDiscovery(OutageRefused, f.allDispatchers(), outageLength) }()
 	time.Sleep(drainAfter)
-	require.NoError(t, f.CycleWorker(0, 3*time.Second))
+	require.NoError(t, f.DrainAndRestartWorker(0, 3*time.Second))
 	// No worker has these functions loaded, so that the restarted one is as eligible as the others.
 	load.Functions, load.FirstFunction = 100, 1000
 	f.SetLoad(load)
--- a/internal/soak/oldlist_test.go
+++ b/internal/soak/oldlist_test.go
@@ -15,8 +15,8 @@
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			restart := 4 * time.Second
-			h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, length: 16 * time.Second,
-				oldListAfter: restart}.play(t)
+			h, begin, end := outageRun{dispatchers: 1, workers: 8, drainingProcesses: 2, rate: 160, kind: kind,
+				length: 16 * time.Second, oldListAfter: restart}.play(t)
 			t.Log("served shares before the restart and from it on:", h.servedShare(begin, begin+restart),
 				h.servedShare(begin+restart, end))
 			assert.Empty(t, Check(h))
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -15,13 +15,13 @@
 
 // Times of an evacuation (source: operation page).
 const (
-	operatorTimeout     = time.Second            // each operators' call must be answered within this
-	readyAskInterval    = 100 * time.Millisecond // time between two CHECK requests for readiness
-	acceptAfterNo       = 200 * time.Millisecond // clients still open connections for this long after the first "not ready"
-	evacuationTimeLimit = 4 * time.Second        // from the evacuate call until idle and recently used connections must be closed
-	recentRequestWindow = 2 * time.Second        // a connection counts as recently used this long after its last request
-	rejoinTimeLimit     = 2 * time.Second        // from the rejoin call until the dispatcher is ready
-	evacuationTimeSlack = timeSlack + schedulingSlack
+	operatorTimeout      = time.Second            // each operators' call must be answered within this
+	readyPollInterval    = 100 * time.Millisecond // time between two CHECK requests for readiness
+	connectAfterNotReady = 200 * time.Millisecond // clients still open connections for this long after the first "not ready"
+	evacuationTimeLimit  = 4 * time.Second        // from the evacuate call until idle and recently used connections must be closed
+	recentRequestWindow  = 2 * time.Second        // a connection counts as recently used this long after its last request
+	rejoinTimeLimit      = 2 * time.Second        // from the rejoin call until the dispatcher is ready
+	evacuationTimeSlack  = timeSlack + schedulingSlack
 )
 
 // callOperators makes an operators' call on a connection of its own and reports whether the status was a success (2xx).
@@ -49,10 +49,11 @@
 // EvacuateDispatcher makes a dispatcher send its clients away, checks after evacuationTimeLimit that it has done so, and makes it
 // take clients again after length.
 func (f *Fleet) EvacuateDispatcher(number int, length time.Duration) {
-	e := &evacuationCheck{fleet: f, number: number, record: Evacuation{Dispatcher: number, Run: f.currentRun(number), Called: Now()}}
+	e := &evacuationCheck{fleet: f, number: number, record: Evacuation{Dispatcher: number, Run: f.currentRun(number),
+		CalledAt: Now()}}
 	e.callAPI(pathEvacuate)
 	e.awaitNotReady()
-	time.Sleep(e.record.Called + evacuationTimeLimit + evacuationTimeSlack - Now())
+	time.Sleep(e.record.CalledAt + evacuationTimeLimit + evacuationTimeSlack - Now())
 	e.checkClientsGone()
 	time.Sleep(length)
 	e.rejoin()
@@ -72,15 +73,16 @@
 	}
 }
 
-// awaitNotReady waits until the dispatcher answers that it is not ready. Clients stop opening connections acceptAfterNo later.
+// awaitNotReady waits until the dispatcher answers that it is not ready. Clients stop opening connections connectAfterNotReady
+// later.
 func (e *evacuationCheck) awaitNotReady() {
 	addr := e.fleet.dispatcherAddr(e.number)
-	for Now() < e.record.Called+evacuationTimeLimit {
+	for Now() < e.record.CalledAt+evacuationTimeLimit {
 		if !askReady(addr) {
-			e.fleet.setAcceptUntil(e.number, Now()+acceptAfterNo)
+			e.fleet.setConnectUntil(e.number, Now()+connectAfterNotReady)
 			return
 		}
-		time.Sleep(readyAskInterval)
+		time.Sleep(readyPollInterval)
 	}
 	e.addProblem("the dispatcher still answers CHECK that it is ready")
 }
@@ -100,20 +102,20 @@
 // rejoin makes the dispatcher take clients again and waits until it is ready.
 func (e *evacuationCheck) rejoin() {
 	e.callAPI(pathRejoin)
-	for begin := Now(); Now() < begin+rejoinTimeLimit+evacuationTimeSlack; time.Sleep(readyAskInterval) {
+	for begin := Now(); Now() < begin+rejoinTimeLimit+evacuationTimeSlack; time.Sleep(readyPollInterval) {
 		if askReady(e.fleet.dispatcherAddr(e.number)) {
-			e.fleet.setAcceptUntil(e.number, 0)
+			e.fleet.setConnectUntil(e.number, 0)
 			return
 		}
 	}
 	e.addProblem("the dispatcher is not ready in time after the call to rejoin")
 }
 
-// setAcceptUntil sets until when clients open new connections to a dispatcher; 0: without an end.
-func (f *Fleet) setAcceptUntil(number int, until time.Duration) {
+// setConnectUntil sets until when clients open new connections to a dispatcher; 0: without a limit.
+func (f *Fleet) setConnectUntil(number int, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dispatchers[number].acceptUntil = until
+	f.dispatchers[number].connectUntil = until
 }
 
 // clientsOf returns the clients that send to a dispatcher.
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -18,12 +18,12 @@
 	RuleDuplicate Rule = "duplicate" // a call that is not idempotent runs at most once
 	RuleDrain     Rule = "drain"     // after the grace no new call or load order goes to a worker that drains or has ended
 	RuleLost      Rule = "lost"      // each request gets exactly one answer, in time
-	RuleGone      Rule = "gone"      // no attempt begins after its client has cancelled or closed
+	RuleGone      Rule = "gone"      // no attempt begins after its client has cancelled the request or closed the connection
 	RuleDeadline  Rule = "deadline"  // an attempt's time limit is no longer than the time its client still waits
 	RuleSlowStart Rule = "slowstart" // a worker that has just started is not sent more calls than it can run
 	RuleCrash     Rule = "crash"     // dispatchers end only by SIGKILL, or without an error after SIGTERM
 	RuleFrame     Rule = "frame"     // workers can read every frame that they are sent
-	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher frees its clients in time, and accepts clients after a rejoin
+	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher sends its clients away in time, and takes clients again after a rejoin
 	RuleLimits    Rule = "limits"    // no more descriptors and memory are used than the limits allow
 	RuleServe     Rule = "serve"     // the fleet goes on serving during an outage of discovery
 	RuleChoice    Rule = "choice"    // no dispatcher had to stop a choice of its balancer that would have broken a rule
@@ -35,17 +35,18 @@
 	loadBudgetSlack = 0.15                   // the load budget is raised by this fraction ...
 	loadBudgetExtra = 1                      // ... and by this number of orders
 	answerSlack     = 500 * time.Millisecond // a request without an answer counts as lost this long after its client's time limit
-	goneSlack       = 100 * time.Millisecond // an attempt may begin this long after its client has cancelled or closed
-	deadlineSlack   = 150 * time.Millisecond // an attempt's time limit may exceed the time that its client still waits by this
+	// goneSlack is how long after its client has cancelled the request or closed the connection an attempt may begin.
+	goneSlack     = 100 * time.Millisecond
+	deadlineSlack = 150 * time.Millisecond // an attempt's time limit may exceed the time that its client still waits by this
 	// idleCloseRaceTime is how long before the dispatcher closes an idle connection a request may be sent and stay unread.
 	idleCloseRaceTime = 50 * time.Millisecond
 	// schedulingSlack is added to time limits, as the recording and the observed processes share the machine's processors.
 	schedulingSlack = 100 * time.Millisecond
 	// backlogReadTime is how long a worker takes, after it resumes, to read what arrived while its process was stopped.
 	backlogReadTime = 500 * time.Millisecond
-	// minNotifiedShare is the share of an overload's calls that must be exceeded by those of dispatchers which had been notified of
-	// the worker's start, for the overload to be a violation.
-	minNotifiedShare = 2.0 / 3
+	// minStartKnownShare is a share of the calls in an overload. The overload is a violation if more than this share came from
+	// dispatchers to which the worker's start counted as known.
+	minStartKnownShare = 2.0 / 3
 )
 
 // Violation is one breach of a rule.
@@ -166,7 +167,7 @@
 	var violations []Violation
 	for _, e := range h.Evacuations {
 		for _, problem := range e.Problems {
-			violations = append(violations, Violation{RuleEvacuate, e.Called,
+			violations = append(violations, Violation{RuleEvacuate, e.CalledAt,
 				fmt.Sprintf("dispatcher %d run %d: %s", e.Dispatcher, e.Run, problem)})
 		}
 	}
@@ -178,10 +179,10 @@
 func checkChoices(h *History) []Violation {
 	var violations []Violation
 	for _, run := range h.Dispatchers {
-		if run.Stopped > 0 {
+		if run.StoppedChoices > 0 {
 			violations = append(violations, Violation{RuleChoice, run.Started, fmt.Sprintf(
 				"dispatcher %d run %d: its own check stopped %d or more choices that would have broken a rule", run.Dispatcher,
-				run.Run, run.Stopped)})
+				run.Run, run.StoppedChoices)})
 		}
 	}
 	return violations
@@ -208,7 +209,7 @@
 		switch {
 		case r.Sent == 0:
 		case len(r.Answers) > 0:
-			counts["answer:"+r.Words[0]]++
+			counts["answer:"+r.Outcomes[0]]++
 		default:
 			counts["answer:none, "+h.exemption(r)]++
 		}
@@ -218,7 +219,7 @@
 	}
 	for _, o := range h.Outages {
 		length := "up to 8 s"
-		if o.End-o.Begin > notifiedAfter+time.Second {
+		if o.End-o.Begin > notificationDeadline+time.Second {
 			length = "over 8 s"
 		}
 		counts[fmt.Sprintf("outage %s, %s", o.Kind, length)]++
--- a/internal/soak/oracle_requests.go
+++ b/internal/soak/oracle_requests.go
@@ -37,7 +37,7 @@
 			add(r, "answered twice")
 		case len(r.Answers) == 0 && h.exemption(r) == "":
 			add(r, "no answer; "+r.connectionEndText())
-		case len(r.Answers) == 1 && r.Left == 0 && r.Answers[0]-r.Sent > r.Wait+answerSlack+schedulingSlack:
+		case len(r.Answers) == 1 && r.ClientLeft == 0 && r.Answers[0]-r.Sent > r.Wait+answerSlack+schedulingSlack:
 			add(r, fmt.Sprintf("answered after %.3f s, the client waits %.3f s", (r.Answers[0]-r.Sent).Seconds(), r.Wait.Seconds()))
 		}
 	}
@@ -61,18 +61,18 @@
 	switch {
 	case run.Killed > 0 && run.Killed < answerBy && !h.terminatedInTime(run):
 		return "dispatcher killed"
-	case r.Left > 0 && r.Left < answerBy:
+	case r.ClientLeft > 0 && r.ClientLeft < answerBy:
 		return "client left"
-	case r.crossedClose():
+	case r.racedWithClose():
 		return "crossed the close of an idle connection"
 	}
 	return ""
 }
 
-// crossedClose reports whether the request was in transit while the dispatcher closed its idle connection: all earlier requests
+// racedWithClose reports whether the request was in transit while the dispatcher closed its idle connection: all earlier requests
 // on it had been answered, and the dispatcher had not read this one. If several requests on the connection have no answer, only
-// the last is known to be unread, and crossedClose is false for all of them.
-func (r *Request) crossedClose() bool {
+// the last is known to be unread, and racedWithClose is false for all of them.
+func (r *Request) racedWithClose() bool {
 	return r.ConnEnded > 0 && r.EndedUnread && r.OpenAtEnd == 1 && r.ConnEnded-r.Sent <= idleCloseRaceTime
 }
 
@@ -86,8 +86,8 @@
 func checkGone(h *History) []Violation {
 	leftAt := map[uint64]time.Duration{}
 	for _, r := range h.Requests {
-		if r.Left > 0 {
-			leftAt[r.ID] = r.Left
+		if r.ClientLeft > 0 {
+			leftAt[r.ID] = r.ClientLeft
 		}
 	}
 	var violations []Violation
--- a/internal/soak/oracle_serving.go
+++ b/internal/soak/oracle_serving.go
@@ -9,14 +9,14 @@
 // discoveryState is the state of a dispatcher's discovery when a request was sent.
 type discoveryState string
 
-// The states of discovery. An outage counts as long once a change made at its start must be known to dispatchers
-// (notifiedAfter), and the grace for draining workers has passed as well.
+// The states of discovery. An outage is long once a change made at its start counts as known to dispatchers
+// (notificationDeadline), and the grace for draining workers has passed as well.
 const (
 	discoveryWorks      discoveryState = "works"
 	discoveryBroken     discoveryState = "broken"
 	discoveryBrokenLong discoveryState = "broken for longer than its news counts as told"
 	// discoveryOutdated is discoveryBrokenLong where most of the workers have also drained, ended or started since the outage
-	// began. Neither they nor their successors may be used.
+	// began. Neither these workers nor their replacements may be used.
 	discoveryOutdated discoveryState = "broken for longer than its news counts as told, and most workers have changed"
 )
 
@@ -51,7 +51,7 @@
 	switch {
 	case i < 0:
 		return discoveryWorks
-	case at-h.Outages[i].Begin < notifiedAfter+h.Rules.DrainGrace:
+	case at-h.Outages[i].Begin < notificationDeadline+h.Rules.DrainGrace:
 		return discoveryBroken
 	case h.unchangedShare(h.Outages[i].Begin, at) < minUnchangedShare:
 		return discoveryOutdated
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -15,8 +15,8 @@
 
 // newHistory returns a history with one dispatcher that was started at 1 s, and with round figures in its rules.
 func newHistory() *History {
-	rules := Rules{LoadBurst: 1, LoadRatio: 0.5, LoadWindow: 2 * second, DrainGrace: second, OverloadTimes: 1,
-		OverloadSpan: second, ColdFrom: 1, WarmAfter: 4 * second, WorkerRate: 1}
+	rules := Rules{LoadBurst: 1, LoadRatio: 0.5, LoadWindow: 2 * second, DrainGrace: second, OverloadFactor: 1,
+		OverloadWindow: second, ColdCapacityShare: 1, WarmUpTime: 4 * second, WorkerRate: 1}
 	return &History{Rules: rules, KillDelay: 2 * second, Limits: DefaultLimits(), Dispatchers: []DispatcherRun{{Started: second}}}
 }
 
@@ -54,20 +54,20 @@
 			h.Workers = []WorkerEvent{callEvent(CallStarted, 10*second), callEvent(CallStarted, 12*second)}
 		}, []Rule{RuleDuplicate}},
 		"sent to a draining worker": {func(h *History) {
-			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 8 * second}}
+			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, KnownAt: 8 * second}}
 			h.Workers = []WorkerEvent{callEvent(CallArrived, 10*second)}
 		}, []Rule{RuleDrain}},
 		"sent to a worker that is ready again": {func(h *History) {
-			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 7 * second},
-				{Worker: "s-1", State: stateActive, At: 8 * second}}
+			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, KnownAt: 7 * second},
+				{Worker: "s-1", State: stateActive, KnownAt: 8 * second}}
 			h.Workers = []WorkerEvent{callEvent(CallArrived, 10*second)}
 		}, nil},
 		"load order for no copies at a draining worker": {func(h *History) {
-			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 8 * second}}
+			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, KnownAt: 8 * second}}
 			h.Workers = []WorkerEvent{{At: 10 * second, Kind: LoadArrived, Worker: "s-1"}}
 		}, nil},
 		"load order at a draining worker": {func(h *History) {
-			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, At: 8 * second}}
+			h.Notifications = []Notification{{Worker: "s-1", State: stateLeaving, KnownAt: 8 * second}}
 			h.Workers = []WorkerEvent{{At: 10 * second, Kind: LoadArrived, Worker: "s-1", Copies: 1}}
 		}, []Rule{RuleDrain}},
 		"more than half served in a long outage": {func(h *History) { addServing(h, 100, 51) }, nil},
@@ -90,11 +90,11 @@
 			h.addChanges(15*second, stateLeaving, stateLeaving)
 			h.addChanges(31*second, stateLeaving, stateLeaving, stateLeaving)
 		}, []Rule{RuleServe}},
-		"choice that was stopped": {func(h *History) { h.Dispatchers[0].Stopped = 1 }, []Rule{RuleChoice}},
+		"choice that was stopped": {func(h *History) { h.Dispatchers[0].StoppedChoices = 1 }, []Rule{RuleChoice}},
 		"no answer":               {func(h *History) { h.Requests = []*Request{newRequest(10 * second)} }, []Rule{RuleLost}},
 		"no answer, client left": {func(h *History) {
 			r := newRequest(10 * second)
-			r.Left = 10*second + second/2
+			r.ClientLeft = 10*second + second/2
 			h.Requests = []*Request{r}
 		}, nil},
 		"no answer, dispatcher killed": {func(h *History) {
@@ -126,7 +126,7 @@
 			h.Requests = []*Request{endedRequest(1, 2, true)}
 		}, []Rule{RuleLost}},
 		"clients held after an evacuation": {func(h *History) {
-			h.Evacuations = []Evacuation{{Called: second, Problems: []string{"a connection is held"}}}
+			h.Evacuations = []Evacuation{{CalledAt: second, Problems: []string{"a connection is held"}}}
 		}, []Rule{RuleEvacuate}},
 		"too many descriptors": {func(h *History) { h.Dispatchers[0].Descriptors = 1025 }, []Rule{RuleLimits}},
 		"too much memory":      {func(h *History) { h.Dispatchers[0].MemoryMB = 193 }, []Rule{RuleLimits}},
@@ -137,7 +137,7 @@
 		}, []Rule{RuleLost}},
 		"attempt after the client has left": {func(h *History) {
 			r := newRequest(10 * second)
-			r.Left = 10*second + second/10
+			r.ClientLeft = 10*second + second/10
 			h.Requests = []*Request{r}
 			h.Workers = []WorkerEvent{callEvent(CallArrived, 11*second)}
 		}, []Rule{RuleGone}},
@@ -155,7 +155,7 @@
 			h.Workers = []WorkerEvent{e}
 		}, nil},
 		"overload of a cold worker": {func(h *History) {
-			h.Notifications = []Notification{{Worker: "s-1", State: stateActive, BootMS: 1, At: 9 * second}}
+			h.Notifications = []Notification{{Worker: "s-1", State: stateActive, BootMS: 1, KnownAt: 9 * second}}
 			h.Workers = []WorkerEvent{{At: 9 * second, Kind: WorkerStarted, Worker: "s-1"}}
 			for range 6 {
 				h.Workers = append(h.Workers, WorkerEvent{At: 10 * second, Kind: CallArrived, Worker: "s-1"})
@@ -195,12 +195,12 @@
 	h.addChanges(0, stateActive, stateActive, stateActive)
 	for i := range 100 + requests {
 		r := newRequest(10 * second)
-		r.Words = []string{wordOK}
+		r.Outcomes = []string{wordOK}
 		if i >= 100 {
 			r.Sent = longAfter
 		}
 		if i >= 100+served {
-			r.Words = []string{"full"}
+			r.Outcomes = []string{"full"}
 		}
 		r.Answers = []time.Duration{r.Sent + 1}
 		h.Requests = append(h.Requests, r)
@@ -214,37 +214,37 @@
 	}
 }
 
-// A change that is delivered later than notifiedAfter counts as known from that limit on, one that is delivered in time from its
-// delivery on.
+// A change that is delivered later than notificationDeadline after it happened counts as known from that limit on, and one that is
+// delivered in time from its delivery on.
 func TestLateChangesCountAsKnownAtTheLimit(t *testing.T) {
-	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{Members: 1}}
+	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{WorkersPerProcess: 1}}
 	list := newEndpointList(f)
 	worker := newWorkerHandle(f, 0)
 	list.first = []change{{worker: worker.members[0], state: stateActive}}
-	for _, age := range []time.Duration{notifiedAfter + 3*second, second} {
+	for _, age := range []time.Duration{notificationDeadline + 3*second, second} {
 		list.changes = append(list.changes, change{at: Now() - age, worker: worker.members[0], state: stateLeaving})
 	}
-	list.answer(httptest.NewRecorder(), 0, 1)
-	assert.Equal(t, list.changes[0].at+notifiedAfter, list.notices[0].At)
-	assert.Greater(t, list.notices[1].At, list.changes[1].at+second-1)
-	assert.LessOrEqual(t, list.notices[1].At, Now())
+	list.respond(httptest.NewRecorder(), 0, 1)
+	assert.Equal(t, list.changes[0].at+notificationDeadline, list.notifications[0].KnownAt)
+	assert.Greater(t, list.notifications[1].KnownAt, list.changes[1].at+second-1)
+	assert.LessOrEqual(t, list.notifications[1].KnownAt, Now())
 }
 
-// A change after the endpoint list for a dispatcher's start was taken counts as known notifiedAfter later, not at the start.
+// A change that happens after a dispatcher's start list was taken counts as known notificationDeadline later, not at the start.
 func TestChangeDuringAStartIsNotKnownFromIt(t *testing.T) {
-	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{Members: 1}}
+	f := &Fleet{dispatchers: []*dispatcherHandle{{}}, config: Config{WorkersPerProcess: 1}}
 	list := newEndpointList(f)
 	worker := newWorkerHandle(f, 0)
 	list.first = []change{{worker: worker.members[0], state: stateActive}}
 	run := DispatcherRun{Started: Now()}
-	_, known := list.known(0)
+	_, changes := list.currentList(0)
 	list.add(worker, stateLeaving, 0)
-	list.noteKnown(0, 0, startList{told: known, asOf: run.Started})
-	notices := list.allNotifications([]DispatcherRun{run})
-	assert.Len(t, notices, 2)
-	assert.Equal(t, stateActive, notices[0].State)
-	assert.Equal(t, Notification{Worker: worker.members[0].uid, State: stateLeaving, At: list.changes[0].at + notifiedAfter},
-		notices[1])
+	list.recordStartList(0, 0, startList{changes: changes, takenAt: run.Started})
+	notifications := list.allNotifications([]DispatcherRun{run})
+	assert.Len(t, notifications, 2)
+	assert.Equal(t, stateActive, notifications[0].State)
+	assert.Equal(t, Notification{Worker: worker.members[0].uid, State: stateLeaving,
+		KnownAt: list.changes[0].at + notificationDeadline}, notifications[1])
 }
 
 // Guards against a random plan that differs between two runs of the same seed, or is the same for two seeds.
--- a/internal/soak/oracle_workers.go
+++ b/internal/soak/oracle_workers.go
@@ -16,8 +16,8 @@
 	})
 }
 
-// checkDrains reports calls and load orders that arrive at a worker later than the grace after their dispatcher process was
-// notified, or counts as notified, that the worker drains or has ended. Load orders for no copies only ask and are allowed.
+// checkDrains reports calls and load orders that arrive at a worker later than the grace after its drain or its end counts as
+// known to their dispatcher process. Load orders for no copies only ask whether the function is loaded, and are allowed.
 func checkDrains(h *History) []Violation {
 	type processAndWorker struct {
 		dispatcherProcess
@@ -28,8 +28,8 @@
 		key := processAndWorker{dispatcherProcess{n.Dispatcher, n.Run}, n.Worker}
 		notifications[key] = append(notifications[key], n)
 	}
-	for _, notices := range notifications {
-		slices.SortStableFunc(notices, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
+	for _, list := range notifications {
+		slices.SortStableFunc(list, func(a, b Notification) int { return cmp.Compare(a.KnownAt, b.KnownAt) })
 	}
 	var violations []Violation
 	for _, e := range h.Workers {
@@ -50,14 +50,14 @@
 
 // unavailableSince reports whether, by the sorted notifications up to a time, a worker drains or has ended, and since when
 // without interruption.
-func unavailableSince(notices []Notification, at time.Duration) (since time.Duration, unavailable bool) {
-	for _, n := range notices {
-		if n.At > at {
+func unavailableSince(notifications []Notification, at time.Duration) (since time.Duration, unavailable bool) {
+	for _, n := range notifications {
+		if n.KnownAt > at {
 			break
 		}
 		isActive := n.State == stateActive
 		if !isActive && !unavailable {
-			since = n.At
+			since = n.KnownAt
 		}
 		unavailable = !isActive
 	}
@@ -91,24 +91,24 @@
 	return violations
 }
 
-// firstOverload returns the first overload of a worker within WarmAfter of a start. An overload is a number of calls within
-// OverloadSpan that exceeds what the worker's warmth allows by more than 2*sqrt(allowed)+2 calls, where more than
-// minNotifiedShare of the calls came from dispatchers that had been notified of the start.
+// firstOverload returns the first overload of a worker within WarmUpTime of a start. An overload is a number of calls within
+// OverloadWindow that exceeds what the worker's warmth allows by more than 2*sqrt(allowed)+2 calls, where more than
+// minStartKnownShare of the calls came from dispatchers to which the start counted as known.
 func (h *History) firstOverload(worker string, started time.Duration, calls []WorkerEvent) (Violation, bool) {
 	first := 0
 	for i, call := range calls {
 		age := call.At - started
-		if age < 0 || age > h.Rules.WarmAfter {
+		if age < 0 || age > h.Rules.WarmUpTime {
 			continue
 		}
-		for calls[first].At < max(started, call.At-h.Rules.OverloadSpan) {
+		for calls[first].At < max(started, call.At-h.Rules.OverloadWindow) {
 			first++
 		}
-		warmth := h.Rules.ColdFrom + (1-h.Rules.ColdFrom)*age.Seconds()/h.Rules.WarmAfter.Seconds()
-		allowed := h.Rules.OverloadTimes * warmth * h.Rules.WorkerRate * h.Rules.OverloadSpan.Seconds()
+		warmth := h.Rules.ColdCapacityShare + (1-h.Rules.ColdCapacityShare)*age.Seconds()/h.Rules.WarmUpTime.Seconds()
+		allowed := h.Rules.OverloadFactor * warmth * h.Rules.WorkerRate * h.Rules.OverloadWindow.Seconds()
 		limit := allowed + 2*math.Sqrt(allowed) + 2
 		window := calls[first : i+1]
-		if float64(len(window)) > limit && h.notifiedShare(worker, started, window) > minNotifiedShare {
+		if float64(len(window)) > limit && h.startKnownShare(worker, started, window) > minStartKnownShare {
 			return Violation{RuleSlowStart, call.At, fmt.Sprintf("%s, %.1f s after its start: %d calls, %.0f allowed", worker,
 				age.Seconds(), len(window), limit)}, true
 		}
@@ -116,25 +116,26 @@
 	return Violation{}, false
 }
 
-// notifiedShare returns the fraction of the calls that came from dispatcher processes already notified of the worker's start.
-func (h *History) notifiedShare(worker string, started time.Duration, calls []WorkerEvent) float64 {
-	notifiedAt := map[dispatcherProcess]time.Duration{}
+// startKnownShare returns the fraction of the calls that came from dispatcher processes to which the worker's start counted as
+// known.
+func (h *History) startKnownShare(worker string, started time.Duration, calls []WorkerEvent) float64 {
+	knownAt := map[dispatcherProcess]time.Duration{}
 	for _, n := range h.Notifications {
-		if n.Worker == worker && n.BootMS > 0 && n.At >= started {
+		if n.Worker == worker && n.BootMS > 0 && n.KnownAt >= started {
 			p := dispatcherProcess{n.Dispatcher, n.Run}
-			if at, ok := notifiedAt[p]; !ok || n.At < at {
-				notifiedAt[p] = n.At
+			if at, ok := knownAt[p]; !ok || n.KnownAt < at {
+				knownAt[p] = n.KnownAt
 			}
 		}
 	}
-	fromNotified := 0
+	startKnown := 0
 	for _, call := range calls {
-		at, ok := notifiedAt[dispatcherProcess{call.Dispatcher, h.runAt(call.Dispatcher, call.At)}]
+		at, ok := knownAt[dispatcherProcess{call.Dispatcher, h.runAt(call.Dispatcher, call.At)}]
 		if ok && call.At >= at {
-			fromNotified++
+			startKnown++
 		}
 	}
-	return float64(fromNotified) / float64(len(calls))
+	return float64(startKnown) / float64(len(calls))
 }
 
 // checkFrames reports frames that workers could not read.
--- a/internal/soak/outagerun_test.go
+++ b/internal/soak/outagerun_test.go
@@ -11,32 +11,32 @@
 
 // Times of an outage of discovery in which workers drain.
 const (
-	outageAfter  = 2 * time.Second        // from the start of the load until the first outage
-	drainAfter   = 500 * time.Millisecond // from the start of the outage until workers drain
-	outageLength = 12 * time.Second
-	outageGrace  = 500 * time.Millisecond // drain grace
-	returnWithin = 2 * time.Second        // from the end of the outage until a worker that is back must be used again
+	outageAfter    = 2 * time.Second        // from the start of the load until the first outage
+	drainAfter     = 500 * time.Millisecond // from the start of the outage until workers drain
+	outageLength   = 12 * time.Second
+	outageGrace    = 500 * time.Millisecond // drain grace
+	reuseTimeLimit = 2 * time.Second        // from the end of the outage until a worker that is back must be used again
 	// quietFrom and quietUntil bound the time without requests, from the start of the outage, in a run with quiet clients. No worker
-	// can reveal its drain by a rejection before the drain counts as told.
+	// can reveal its drain by a rejection before the drain counts as known.
 	quietFrom  = 200 * time.Millisecond
-	quietUntil = drainAfter + notifiedAfter + outageGrace + 300*time.Millisecond
+	quietUntil = drainAfter + notificationDeadline + outageGrace + 300*time.Millisecond
 )
 
 // outageRun describes a run with outages of discovery.
 type outageRun struct {
-	dispatchers int
-	workers     int // worker processes
-	members     int // workers in each process; 0: one
-	functions   int // number of functions called; 0: 12
-	limits      Limits
-	draining    int     // worker processes that drain in each outage
-	rate        float64 // requests per second to each dispatcher
-	warmUp      float64 // requests per second to each dispatcher before the first outage; 0: rate
-	kind        OutageKind
-	length      time.Duration // of each outage; 0: outageLength
-	quiet       bool          // clients send nothing from quietFrom to quietUntil
-	outages     int           // number of outages, one after the other; 0: one
-	restarts    int           // dispatchers restarted in each outage, alternately by SIGTERM and SIGKILL
+	dispatchers       int
+	workers           int // worker processes
+	workersPerProcess int // 0: one
+	functions         int // number of functions called; 0: 12
+	limits            Limits
+	drainingProcesses int     // worker processes that drain in each outage
+	rate              float64 // requests per second to each dispatcher
+	rateBeforeOutage  float64 // requests per second to each dispatcher before the first outage; 0: rate
+	kind              OutageKind
+	length            time.Duration // of each outage; 0: outageLength
+	quietClients      bool          // clients send nothing from quietFrom to quietUntil
+	outages           int           // number of outages, one after the other; 0: one
+	restarts          int           // dispatchers restarted in each outage, alternately by SIGTERM and SIGKILL
 	// oldListAfter is the time from the start of an outage until all dispatchers are restarted with the first list; 0: never.
 	oldListAfter time.Duration
 }
@@ -51,18 +51,18 @@
 	worker.Work = 20 * time.Millisecond
 	worker.KeepAlive = 10 * time.Second
 	f, err := Start(Config{Program: dispatcherProgram(t), Folder: t.TempDir(), Dispatchers: r.dispatchers, Workers: r.workers,
-		Members: max(1, r.members), Seed: 1, Rules: rules, Worker: worker, Deadline: time.Second, Limits: r.limits})
+		WorkersPerProcess: max(1, r.workersPerProcess), Seed: 1, Rules: rules, Worker: worker, Deadline: time.Second, Limits: r.limits})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	load := Load{Rate: r.rate, Functions: cmp.Or(r.functions, 12), MinWait: 500 * time.Millisecond, MaxWait: time.Second}
-	warmUp := load
-	warmUp.Rate = cmp.Or(r.warmUp, r.rate)
-	f.StartClients(warmUp)
+	loadBeforeOutage := load
+	loadBeforeOutage.Rate = cmp.Or(r.rateBeforeOutage, r.rate)
+	f.StartClients(loadBeforeOutage)
 	time.Sleep(outageAfter)
 	f.SetLoad(load)
 	for number := range max(1, r.outages) {
 		begin, end = r.playOutage(t, f, load, number)
-		time.Sleep(returnWithin + time.Second)
+		time.Sleep(reuseTimeLimit + time.Second)
 	}
 	h, err = f.Finish()
 	require.NoError(t, err)
@@ -78,19 +78,19 @@
 	length := cmp.Or(r.length, outageLength)
 	ended := make(chan error, 1)
 	go func() { ended <- f.BreakDiscovery(r.kind, f.allDispatchers(), length) }()
-	if r.quiet {
+	if r.quietClients {
 		time.Sleep(quietFrom)
-		silent := load
-		silent.Rate = 0
-		f.SetLoad(silent)
+		quietLoad := load
+		quietLoad.Rate = 0
+		f.SetLoad(quietLoad)
 	}
 	time.Sleep(begin + drainAfter - Now())
-	draining := make([]int, r.draining)
+	draining := make([]int, r.drainingProcesses)
 	for i := range draining {
-		draining[i] = (number*r.draining + i) % r.workers
+		draining[i] = (number*r.drainingProcesses + i) % r.workers
 		f.DrainWorker(draining[i])
 	}
-	if r.quiet {
+	if r.quietClients {
 		time.Sleep(begin + quietUntil - Now())
 		f.SetLoad(load)
 	}
@@ -108,7 +108,7 @@
 		f.RemoveWorker(worker)
 		require.NoError(t, f.ReturnWorker(worker))
 	}
-	assert.True(t, askReady(f.dispatcherAddr(0)), "a dispatcher stays ready while all dispatchers have lost discovery")
+	assert.True(t, askReady(f.dispatcherAddr(0)), "a dispatcher stays ready during an outage that affects all dispatchers")
 	require.NoError(t, <-ended)
 	return begin, Now()
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -37,14 +37,14 @@
 
 // Fault is one fault of a plan.
 type Fault struct {
-	At     time.Duration // from the start of the load
-	Kind   FaultKind
-	Target int             // number of the dispatcher or worker
-	Share  float64         // share of the dispatchers that a FaultOutage affects
-	Length time.Duration   // how long the fault lasts
-	Series []Step          // steps of a FaultSeries
-	Outage OutageKind      // kind of a FaultOutage
-	Steps  []wallstep.Step // steps of the wall clock of a restarted dispatcher
+	At             time.Duration // from the start of the load
+	Kind           FaultKind
+	Target         int             // number of the dispatcher or worker
+	OutageShare    float64         // share of the dispatchers that a FaultOutage affects
+	Length         time.Duration   // how long the fault lasts
+	Series         []Step          // steps of a FaultSeries
+	Outage         OutageKind      // kind of a FaultOutage
+	WallClockSteps []wallstep.Step // steps of the wall clock of a restarted dispatcher
 }
 
 func (f Fault) String() string {
@@ -53,18 +53,18 @@
 
 // Plan holds the fleet, the load and the faults of a run.
 type Plan struct {
-	Seed        uint64
-	Dispatchers int
-	Workers     int // worker processes
-	Members     int // workers in each process
-	Limits      Limits
-	Deadline    time.Duration
-	Grace       time.Duration // drain grace, see Rules
-	WarmAfter   time.Duration // from a worker's start until it is warm
-	Length      time.Duration // from the start of the load until the end of the plan
-	Load        Load
-	Steps       [][]wallstep.Step // steps of the dispatchers' wall clocks
-	Faults      []Fault           // by time
+	Seed              uint64
+	Dispatchers       int
+	Workers           int // worker processes
+	WorkersPerProcess int // workers in each process
+	Limits            Limits
+	Deadline          time.Duration
+	DrainGrace        time.Duration // drain grace, see Rules
+	WarmUpTime        time.Duration // from a worker's start until it is warm
+	Length            time.Duration // from the start of the load until the end of the plan
+	Load              Load
+	WallClockSteps    [][]wallstep.Step // steps of the dispatchers' wall clocks
+	Faults            []Fault           // by time
 }
 
 // Sizes of a random fleet, and its load.
@@ -88,7 +88,7 @@
 	largeSeeds      = 2
 )
 
-// One of three seeds has a long outage of discovery, one that lasts longer than notifiedAfter.
+// One of three seeds has a long outage of discovery, one that lasts longer than notificationDeadline.
 const (
 	longSeedPeriod      = 3
 	timeAfterLongOutage = 3 * time.Second // time that the plan continues after a long outage
@@ -102,15 +102,15 @@
 	drainGraces := []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}
 	warmUpTimes := []time.Duration{4 * time.Second, 16 * time.Second}
 	plan := Plan{
-		Seed:        seed,
-		Dispatchers: minDispatchers + random.IntN(maxDispatchers-minDispatchers+1),
-		Workers:     minWorkers + random.IntN(maxWorkers-minWorkers+1),
-		Members:     1,
-		Limits:      DefaultLimits(),
-		Deadline:    deadlines[random.IntN(len(deadlines))],
-		Grace:       drainGraces[random.IntN(len(drainGraces))],
-		WarmAfter:   warmUpTimes[random.IntN(len(warmUpTimes))],
-		Length:      length,
+		Seed:              seed,
+		Dispatchers:       minDispatchers + random.IntN(maxDispatchers-minDispatchers+1),
+		Workers:           minWorkers + random.IntN(maxWorkers-minWorkers+1),
+		WorkersPerProcess: 1,
+		Limits:            DefaultLimits(),
+		Deadline:          deadlines[random.IntN(len(deadlines))],
+		DrainGrace:        drainGraces[random.IntN(len(drainGraces))],
+		WarmUpTime:        warmUpTimes[random.IntN(len(warmUpTimes))],
+		Length:            length,
 	}
 	totalRate := min(capacityShare*float64(plan.Workers)*DefaultRules().WorkerRate, maxTotalRate)
 	if seed%largeSeedPeriod < largeSeeds {
@@ -131,7 +131,7 @@
 		SplitShare:  0.3,
 	}
 	for range plan.Dispatchers {
-		plan.Steps = append(plan.Steps, randomSteps(random, plan.Length))
+		plan.WallClockSteps = append(plan.WallClockSteps, randomSteps(random, plan.Length))
 	}
 	kinds := []FaultKind{FaultReload, FaultReload, FaultTerminate, FaultKill, FaultCrashWorker, FaultReplaceWorker,
 		FaultHangWorker, FaultFreezeWorker, FaultFlush, FaultReset, FaultReset, FaultOutage, FaultNewFunctions,
@@ -145,15 +145,15 @@
 	return plan
 }
 
-// addLongOutage adds an outage of discovery that lasts longer than notifiedAfter, and sets the plan's length to fit it. Some
-// workers begin to drain within 1.5 s of its start.
+// addLongOutage adds an outage of discovery that lasts longer than notificationDeadline, and sets the plan's length to fit it.
+// Some workers begin to drain within 1.5 s of its start.
 func (p *Plan) addLongOutage(random *rand.Rand) {
 	outage := Fault{
-		At:     time.Duration((1 + 2*random.Float64()) * float64(time.Second)),
-		Kind:   FaultOutage,
-		Outage: outageKinds[random.IntN(len(outageKinds))],
-		Share:  outageShares[random.IntN(len(outageShares))],
-		Length: randomLength(random, outageLengths[len(outageLengths)-1]),
+		At:          time.Duration((1 + 2*random.Float64()) * float64(time.Second)),
+		Kind:        FaultOutage,
+		Outage:      outageKinds[random.IntN(len(outageKinds))],
+		OutageShare: outageShares[random.IntN(len(outageShares))],
+		Length:      randomLength(random, outageLengths[len(outageLengths)-1]),
 	}
 	p.Length = outage.At + outage.Length + timeAfterLongOutage
 	p.Faults = append(p.Faults, outage)
@@ -167,10 +167,10 @@
 	}
 }
 
-// quietLengths bounds how long clients are quiet in a long outage.
+// quietLengths bounds how long clients send nothing in a long outage.
 var quietLengths = durationRange{200 * time.Millisecond, 12 * time.Second}
 
-// AddQuietTimes adds a time to each long outage of discovery in which clients send nothing. It draws the times from a separate
+// AddQuietTimes adds to each long outage of discovery a time in which clients send nothing. It draws the times from a separate
 // random stream, so that the rest of the plan does not change.
 func (p *Plan) AddQuietTimes() {
 	random := rand.New(rand.NewPCG(p.Seed, 2))
@@ -188,7 +188,7 @@
 type durationRange struct{ shortest, longest time.Duration }
 
 // outageLengths bounds how long outages last: shorter than the times that the protocol pages set (a poll, a grace, the 7 s after
-// which a change counts as told), about as long as these times, and longer.
+// which a change counts as known), about as long as these times, and longer.
 var outageLengths = []durationRange{
 	{200 * time.Millisecond, 3 * time.Second},
 	{3 * time.Second, 8 * time.Second},
@@ -207,7 +207,7 @@
 	workerTotals := []int{300, 1000, 1000, 2000, 3200}
 	p.Dispatchers = 2 + random.IntN(3)
 	p.Workers = 4 + random.IntN(4)
-	p.Members = workerTotals[random.IntN(len(workerTotals))] / p.Workers
+	p.WorkersPerProcess = workerTotals[random.IntN(len(workerTotals))] / p.Workers
 	p.Limits = Limits{Cores: 0.4, MemoryMB: 64, Sockets: []int{192, 384}[random.IntN(2)]}
 }
 
@@ -238,14 +238,14 @@
 	switch fault.Kind {
 	case FaultOutage:
 		fault.Outage = outageKinds[random.IntN(len(outageKinds))]
-		fault.Share = outageShares[random.IntN(len(outageShares))]
+		fault.OutageShare = outageShares[random.IntN(len(outageShares))]
 		fault.Length = randomLength(random, outageLengths[random.IntN(2)])
 	case FaultDrainWorker, FaultReuseAddress:
 		fault.Target = random.IntN(plan.Workers)
 		fault.Length = randomLength(random, durationRange{500 * time.Millisecond, 6 * time.Second})
 	case FaultReload, FaultTerminate, FaultKill, FaultEvacuate, FaultSeries, FaultCrowd:
 		fault.Target = random.IntN(plan.Dispatchers)
-		fault.Steps = randomSteps(random, plan.Length)
+		fault.WallClockSteps = randomSteps(random, plan.Length)
 		fault.Series = randomSeries(random)
 	default:
 		fault.Target = random.IntN(plan.Workers)
--- a/internal/soak/player.go
+++ b/internal/soak/player.go
@@ -10,30 +10,30 @@
 // configurations are written to folder.
 func Run(program, folder string, plan Plan) (*History, error) {
 	config := Config{
-		Program:     program,
-		Folder:      folder,
-		Dispatchers: plan.Dispatchers,
-		Workers:     plan.Workers,
-		Members:     plan.Members,
-		Limits:      plan.Limits,
-		Deadline:    plan.Deadline,
-		Spares:      maxSpares,
-		Seed:        plan.Seed,
-		Rules:       DefaultRules(),
-		Worker:      DefaultWorker(),
-		Steps:       plan.Steps,
+		Program:           program,
+		Folder:            folder,
+		Dispatchers:       plan.Dispatchers,
+		Workers:           plan.Workers,
+		WorkersPerProcess: plan.WorkersPerProcess,
+		Limits:            plan.Limits,
+		Deadline:          plan.Deadline,
+		Spares:            maxSpares,
+		Seed:              plan.Seed,
+		Rules:             DefaultRules(),
+		Worker:            DefaultWorker(),
+		WallClockSteps:    plan.WallClockSteps,
 	}
-	config.Rules.DrainGrace = plan.Grace
-	config.Rules.WarmAfter = plan.WarmAfter
+	config.Rules.DrainGrace = plan.DrainGrace
+	config.Rules.WarmUpTime = plan.WarmUpTime
 	config.Worker.ErrorRate = 0.01
 	f, err := Start(config)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	for _, steps := range plan.Steps {
+	for _, steps := range plan.WallClockSteps {
 		for range steps {
-			f.count(FaultWallStep)
+			f.countFault(FaultWallStep)
 		}
 	}
 	f.StartClients(plan.Load)
@@ -122,11 +122,11 @@
 			return
 		}
 	case FaultFlush:
-		f.FlushWorkers()
+		f.UnloadAllFunctions()
 	case FaultOutage:
 		p.keepFirstError(f.BreakDiscovery(fault.Outage, p.outageTargets(fault), fault.Length))
 	case FaultCrowd:
-		f.CrowdDispatcher(fault.Target, fault.Length)
+		f.HoldIncompleteRequests(fault.Target, fault.Length)
 	case FaultNewFunctions:
 		load := p.plan.Load
 		load.FirstFunction = int(fault.At / time.Millisecond)
@@ -144,7 +144,7 @@
 		time.Sleep(fault.Length)
 		f.SetLoad(p.plan.Load)
 	}
-	f.count(fault.Kind)
+	f.countFault(fault.Kind)
 }
 
 // injectDispatcher carries out a fault at a dispatcher.
@@ -154,13 +154,13 @@
 	case FaultReload:
 		err = p.fleet.Reload(fault.Target)
 	case FaultTerminate:
-		err = p.fleet.RestartDispatcher(fault.Target, true, fault.Steps)
+		err = p.fleet.RestartDispatcher(fault.Target, true, fault.WallClockSteps)
 	case FaultKill:
-		err = p.fleet.RestartDispatcher(fault.Target, false, fault.Steps)
+		err = p.fleet.RestartDispatcher(fault.Target, false, fault.WallClockSteps)
 	case FaultEvacuate:
 		p.fleet.EvacuateDispatcher(fault.Target, fault.Length/2)
 	case FaultSeries:
-		err = p.fleet.RunSeries(fault.Target, fault.Series, fault.Steps)
+		err = p.fleet.RunSeries(fault.Target, fault.Series, fault.WallClockSteps)
 	}
 	p.keepFirstError(err)
 }
@@ -176,9 +176,9 @@
 	case FaultFreezeWorker:
 		p.fleet.FreezeWorker(fault.Target, fault.Length)
 	case FaultReset:
-		p.fleet.ResetWorker(fault.Target)
+		p.fleet.ResetWorkerConnections(fault.Target)
 	case FaultDrainWorker:
-		err = p.fleet.CycleWorker(fault.Target, fault.Length)
+		err = p.fleet.DrainAndRestartWorker(fault.Target, fault.Length)
 	}
 	p.keepFirstError(err)
 }
@@ -196,7 +196,7 @@
 		return false
 	}
 	if fault.Kind == FaultReuseAddress {
-		p.keepFirstError(p.fleet.SucceedWorker(fault.Target, spare, fault.Length))
+		p.keepFirstError(p.fleet.ReplaceWorkerAtSameAddress(fault.Target, spare, fault.Length))
 	} else {
 		p.keepFirstError(p.fleet.ReplaceWorker(fault.Target, spare, replacementDrain))
 	}
@@ -206,7 +206,7 @@
 // outageTargets returns the dispatchers that an outage affects: the fault's share of them, but at least one.
 func (p *player) outageTargets(fault Fault) []int {
 	all := p.fleet.allDispatchers()
-	return all[:max(1, int(fault.Share*float64(len(all))))]
+	return all[:max(1, int(fault.OutageShare*float64(len(all))))]
 }
 
 // keepFirstError keeps the first error of a fault.
--- a/internal/soak/quiet_test.go
+++ b/internal/soak/quiet_test.go
@@ -16,14 +16,15 @@
 	maxServedGap     = time.Second // longest time allowed between two served answers
 )
 
-// Guards against a fleet that rejects every request until discovery is back, because its clients sent nothing when the leases of
-// its workers ended.
+// Guards against a fleet that rejects every request until the outage of discovery ends, because its clients sent nothing when the
+// leases of its workers ended.
 func TestFleetServesAfterAQuietTimeWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, kind := range detectableOutages {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: kind, quiet: true}.play(t)
+			h, begin, end := outageRun{dispatchers: 1, workers: 8, drainingProcesses: 2, rate: 160, kind: kind,
+				quietClients: true}.play(t)
 			quietEnd := begin + quietUntil
 			t.Log("served shares after the quiet time, in its first second and until the end of the outage:",
 				h.servedShare(quietEnd, quietEnd+time.Second), h.servedShare(quietEnd, end))
@@ -39,8 +40,8 @@
 // every few seconds, and by then the leases of all its workers have ended.
 func TestRareCallsAreServedWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	h, begin, end := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 0.24, kind: OutageRefused, length: 30 * time.Second,
-		warmUp: 160}.play(t)
+	h, begin, end := outageRun{dispatchers: 1, workers: 8, drainingProcesses: 2, rate: 0.24, kind: OutageRefused,
+		length: 30 * time.Second, rateBeforeOutage: 160}.play(t)
 	late := h.servedShare(begin+quietUntil, end)
 	t.Log("served share later than", quietUntil, "into the outage:", late)
 	assert.Empty(t, Check(h))
@@ -50,7 +51,7 @@
 // Guards against new work for workers that drained while discovery answered polls with nothing new and clients sent nothing.
 func TestNothingNewAfterAQuietTimeWithEmptyAnswers(t *testing.T) {
 	t.Parallel()
-	h, _, _ := outageRun{dispatchers: 1, workers: 8, draining: 2, rate: 160, kind: OutageEmpty, quiet: true}.play(t)
+	h, _, _ := outageRun{dispatchers: 1, workers: 8, drainingProcesses: 2, rate: 160, kind: OutageEmpty, quietClients: true}.play(t)
 	assert.Empty(t, Check(h))
 }
 
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -32,7 +32,7 @@
 	Class      string          `json:"class,omitempty"`
 	Function   string          `json:"function,omitempty"`
 	Timeout    time.Duration   `json:"max,omitempty"`    // a call's time limit, from its arrival
-	Copies     int             `json:"copies,omitempty"` // that a load order asks for; 0: it only asks whether the function is loaded
+	Copies     int             `json:"copies,omitempty"` // number ordered; 0: the order only asks whether the function is loaded
 }
 
 // readWorkerEvents reads the record of a worker's process. A last line that is cut off is ignored: the process was killed while
@@ -68,9 +68,9 @@
 	Wait       time.Duration   // how long the client waits for the answer, from Sent
 	Sent       time.Duration   // when its last byte was written; 0: it was not sent
 	Answers    []time.Duration // when each answer arrived
-	Words      []string        // the outcome word of each answer
+	Outcomes   []string        // the outcome word of each answer
 	WrongBody  bool            // the answer is wordOK, with a body that no worker returned for this request
-	Left       time.Duration   // when the client cancelled it or closed its connection; 0: it did neither
+	ClientLeft time.Duration   // when the client cancelled it or closed its connection; 0: it did neither
 	ConnEnded  time.Duration   // when the dispatcher ended the connection before an answer; 0: it did not
 	// OpenAtEnd is how many requests on the connection had no answer when the dispatcher ended it. EndedUnread is true if the
 	// dispatcher had not read the last of them.
@@ -79,41 +79,43 @@
 }
 
 // served reports whether the first answer was wordOK.
-func (r *Request) served() bool { return len(r.Words) > 0 && r.Words[0] == wordOK }
+func (r *Request) served() bool { return len(r.Outcomes) > 0 && r.Outcomes[0] == wordOK }
 
 // DispatcherRun is one process of a dispatcher.
 type DispatcherRun struct {
-	Dispatcher int
-	Run        int // number of the process, from 0
-	Started    time.Duration
-	ListedAt   time.Duration // when the endpoint list in its configuration was taken; 0: it is the first list
-	Terminated time.Duration // when SIGTERM was first sent; 0: never
-	Killed     time.Duration // when SIGKILL was sent; 0: never
-	Ended      time.Duration
-	Crash      string // how it ended without a signal, or failed after SIGTERM; empty: it did neither
+	Dispatcher  int
+	Run         int // number of the process, from 0
+	Started     time.Duration
+	ListTakenAt time.Duration // when its start list was taken; 0: it is the first list
+	Terminated  time.Duration // when SIGTERM was first sent; 0: never
+	Killed      time.Duration // when SIGKILL was sent; 0: never
+	Ended       time.Duration
+	Crash       string // how it ended without a signal, or failed after SIGTERM; empty: it did neither
 	// Descriptors and MemoryMB are the largest values that were measured.
-	Descriptors int
-	MemoryMB    int
-	Shortages   int // lines of its log that report a shortage of descriptors
-	Stopped     int // lines of its log that report a choice which was not carried out, as it would have broken a rule
+	Descriptors    int
+	MemoryMB       int
+	Shortages      int // lines of its log that report a shortage of descriptors
+	StoppedChoices int // lines of its log that report a choice which was not carried out, as it would have broken a rule
 }
 
 // Evacuation is an operators' call to a dispatcher to close its client connections, and the problems found after it.
 type Evacuation struct {
 	Dispatcher int
 	Run        int
-	Called     time.Duration
-	Problems   []string // deviations from the operation page
+	CalledAt   time.Duration // when the call was made
+	Problems   []string      // deviations from the operation page
 }
 
-// Notification is the time from which a dispatcher's process knows, or counts as knowing, a worker's state.
+// Notification is the time from which a worker's state counts as known to a dispatcher's process.
 type Notification struct {
 	Dispatcher int
 	Run        int
 	Worker     string
 	State      string
-	BootMS     int64         // wall-clock time of the worker's start, in ms; 0: the notification tells of no start
-	At         time.Duration // when it was delivered, notifiedAfter after the change at the latest
+	BootMS     int64 // wall-clock time of the worker's start, in ms; 0: the state does not come from a start
+	// KnownAt is when the state was delivered, or notificationDeadline after the change if that is earlier. For a state in a start
+	// list it is when the list was taken.
+	KnownAt time.Duration
 }
 
 // ListChange is the state that a worker has in the endpoint list from a time on.
--- a/internal/soak/reproduction_test.go
+++ b/internal/soak/reproduction_test.go
@@ -55,7 +55,7 @@
 	worker.LoadTime = 5 * time.Millisecond
 	worker.KeepAlive = time.Minute
 	f, err := Start(Config{Program: dispatcherProgram(t), Folder: t.TempDir(), Dispatchers: 2, Workers: 4, Seed: 1,
-		Rules: rules, Worker: worker, Steps: [][]wallstep.Step{steps}})
+		Rules: rules, Worker: worker, WallClockSteps: [][]wallstep.Step{steps}})
 	require.NoError(t, err)
 	defer f.Close()
 	f.StartClients(Load{Rate: 200, Functions: 1, MinWait: time.Second, MaxWait: 2 * time.Second})
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -40,8 +40,8 @@
 	return series
 }
 
-// RunSeries runs a series at a dispatcher, waits for the end of its process, and starts the dispatcher again with a wall
-// clock that takes the steps in clock. The series must contain SIGTERM.
+// RunSeries runs a series at a dispatcher, waits for the end of its process, and starts the dispatcher again. It applies the
+// steps in clock to the wall clock of the new process. The series must contain SIGTERM.
 func (f *Fleet) RunSeries(number int, series []Step, clock []wallstep.Step) error {
 	for _, step := range series {
 		time.Sleep(step.Pause)
@@ -65,21 +65,21 @@
 		f.terminateDispatcher(number)
 	case StepEvacuate:
 		f.callOperators(number, http.MethodPut, pathEvacuate)
-		f.setAcceptUntilUnlessTerminated(number, Now()+readyAskInterval+acceptAfterNo)
+		f.setConnectUntilUnlessTerminated(number, Now()+readyPollInterval+connectAfterNotReady)
 	case StepRejoin:
 		f.callOperators(number, http.MethodPut, pathRejoin)
-		f.setAcceptUntilUnlessTerminated(number, 0)
+		f.setConnectUntilUnlessTerminated(number, 0)
 	}
 	return nil
 }
 
-// setAcceptUntilUnlessTerminated sets until when clients make new connections to a dispatcher; 0: without a limit. It changes
-// nothing once the present process got SIGTERM.
-func (f *Fleet) setAcceptUntilUnlessTerminated(number int, until time.Duration) {
+// setConnectUntilUnlessTerminated sets until when clients open new connections to a dispatcher; 0: without a limit. It changes
+// nothing once the current process has got SIGTERM.
+func (f *Fleet) setConnectUntilUnlessTerminated(number int, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := f.dispatchers[number]
 	if d.runs[len(d.runs)-1].Terminated == 0 {
-		d.acceptUntil = until
+		d.connectUntil = until
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -57,9 +57,9 @@
 			history, err := Run(program, folder, plan)
 			require.NoError(t, err)
 			t.Logf("%d dispatchers, %d workers: %v, requests and served ones by state of discovery: %v", plan.Dispatchers,
-				plan.Workers*plan.Members, Counts(history), history.ServedByDiscovery())
+				plan.Workers*plan.WorkersPerProcess, Counts(history), history.ServedByDiscovery())
 			if violations := Check(history); !assert.Empty(t, violations) {
-				t.Log("plan", plan.Faults, "steps", plan.Steps, "folder", folder)
+				t.Log("plan", plan.Faults, "steps", plan.WallClockSteps, "folder", folder)
 				return
 			}
 			os.RemoveAll(folder)
--- a/internal/soak/workerhandle.go
+++ b/internal/soak/workerhandle.go
@@ -31,7 +31,7 @@
 // addr returns the address at which a dispatcher reaches the worker.
 func (m *member) addr(dispatcher int) string {
 	subnet, host := firstMemberSubnet+m.number/membersPerSubnet, 1+m.number%membersPerSubnet
-	return fmt.Sprintf("127.%d.%d.%d:%d", m.fleet.net, subnet, host, dispatcherPort+dispatcher)
+	return fmt.Sprintf("127.%d.%d.%d:%d", m.fleet.secondOctet, subnet, host, dispatcherPort+dispatcher)
 }
 
 // workerHandle starts, signals and kills a process that runs one or more workers.
@@ -47,17 +47,17 @@
 // newWorkerHandle returns the handle of a worker process that is not started yet.
 func newWorkerHandle(f *Fleet, number int) *workerHandle {
 	w := &workerHandle{number: number, fleet: f}
-	for i := range f.config.Members {
-		id := number*f.config.Members + i
+	for i := range f.config.WorkersPerProcess {
+		id := number*f.config.WorkersPerProcess + i
 		w.members = append(w.members, &member{uid: fmt.Sprintf("s-%02d", id), zone: fmt.Sprintf("z%d", id%2), number: id,
 			fleet: f})
 	}
 	return w
 }
 
-// takeAddresses gives the workers of this process, which is not started yet, the addresses of those of another one, which will
-// not be started again.
-func (w *workerHandle) takeAddresses(other *workerHandle) {
+// copyAddresses gives the workers of this process, which is not started yet, the addresses of another process's workers, which
+// will not be started again.
+func (w *workerHandle) copyAddresses(other *workerHandle) {
 	for i, m := range w.members {
 		m.number = other.members[i].number
 	}
--- a/internal/soak/workerproc.go
+++ b/internal/soak/workerproc.go
@@ -139,7 +139,7 @@
 // listen listens at the worker's address for each dispatcher and accepts connections in the background.
 func (w *fakeWorker) listen(addrs []string) error {
 	for dispatcher, addr := range addrs {
-		listener, err := listenRetrying(addr)
+		listener, err := listenWithRetries(addr)
 		if err != nil {
 			return err
 		}
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// listenRetrying listens at an address. It retries for up to a second, as a process that was just killed may still hold it.
-func listenRetrying(addr string) (net.Listener, error) {
+// listenWithRetries listens at an address. It retries for up to a second, as a process that was just killed may still hold it.
+func listenWithRetries(addr string) (net.Listener, error) {
 	var listener net.Listener
 	var err error
 	for range 100 {
--- a/internal/wallstep/wallstep.go
+++ b/internal/wallstep/wallstep.go
@@ -42,8 +42,8 @@
 	By time.Duration // in whole seconds; negative: backward
 }
 
-// Environment returns the environment entry ("NAME=value") that makes a process apply the steps to its wall clock.
-func Environment(steps []Step) string {
+// StepsEnvironment returns the environment entry ("NAME=value") that makes a process apply the steps to its wall clock.
+func StepsEnvironment(steps []Step) string {
 	var parts []string
 	for _, step := range steps {
 		parts = append(parts, step.At.String()+"="+step.By.String())
--- a/internal/wallstep/wallstep_test.go
+++ b/internal/wallstep/wallstep_test.go
@@ -42,7 +42,7 @@
 		return strings.TrimSpace(string(output))
 	}
 	assert.Equal(t, "0s 0s", run("NONE="))
-	assert.Equal(t, "-6m40s 0s", run(Environment([]Step{{At: 100 * time.Millisecond, By: -400 * time.Second}})))
-	assert.Equal(t, "1h0m0s 0s", run(Environment([]Step{{By: -time.Minute}, {At: 50 * time.Millisecond, By: time.Hour}})))
+	assert.Equal(t, "-6m40s 0s", run(StepsEnvironment([]Step{{At: 100 * time.Millisecond, By: -400 * time.Second}})))
+	assert.Equal(t, "1h0m0s 0s", run(StepsEnvironment([]Step{{By: -time.Minute}, {At: 50 * time.Millisecond, By: time.Hour}})))
 	assert.NotEqual(t, "0s 0s", run(JitterEnvironment(time.Hour)))
 }
