--- a/cmd/dispatcher/server.go
+++ b/cmd/dispatcher/server.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	if s.invokeConfig != nil {
-		if s.invoke, err = startInvoke(s.invokeConfig, s.config, s.core, s.descriptors.Devices, s.serveErrors); err != nil {
+		if s.invoke, err = startInvoke(s.invokeConfig, s.config, s.core, s.descriptors.InvokeClients, s.serveErrors); err != nil {
 			return err
 		}
 		go s.invoke.followDrain(s.drainState) // returns once drain has entered the phase Terminating
@@ -130,11 +130,11 @@
 		MaxBodyBytes: conf.MaxBodyBytes(),
 		Pool: worker.Config{
 			DialTimeout: conf.Settings.DialTimeout,
-			IdleTimeout: conf.Connections.IdleClose,
-			MaxStreams:  conf.Connections.Streams,
+			IdleTimeout: conf.Connections.IdleTimeout,
+			MaxStreams:  conf.Connections.MaxStreams,
 			MaxConns:    conf.MaxConnsPerWorker(),
 			ConnLimit:   worker.NewConnLimit(budget.Workers),
-			BreakRate:   worker.NewBreakRate(conf.Connections.Handshake),
+			BreakRate:   worker.NewBreakRate(conf.Connections.HandshakeCost),
 		},
 	}
 }
@@ -144,7 +144,7 @@
 func (s *server) watchEndpoints(ctx context.Context) {
 	s.watcher = discovery.NewWatcher(s.config.DiscoveryAddr, s.descriptors.Discovery, s.core)
 	go func() {
-		s.watcher.Seed(s.config.InitialEndpoints)
+		s.watcher.ApplyInitial(s.config.InitialEndpoints)
 		s.watcher.Run(ctx)
 	}()
 }
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -21,7 +21,7 @@
 	f.rotation++
 	r := b.addRequest(e, class, f)
 	b.adjustWeight(r)
-	b.retries.add(retryRatio)
+	b.retryBudget.add(retryRatio)
 	// A request that is too late for an attempt is finished now: the next sweep may be past its deadline.
 	if !b.backlogged || r.objective > b.now || b.tooLate(r) {
 		b.place(r)
@@ -49,8 +49,9 @@
 	}
 }
 
-// value returns the weight that an answer would earn for each second of work, if the request were sent now.
-func (b *Balancer) value(r *request) float64 {
+// valuePerSecond returns the weight that an answer would earn for each second of work, if the request were
+// sent now.
+func (b *Balancer) valuePerSecond(r *request) float64 {
 	if b.settings.WeightByWork || r.function.meanAnswer == 0 {
 		return r.weight
 	}
@@ -60,12 +61,12 @@
 // tooLate reports whether the deadline is too close for a new attempt to end in time.
 func (b *Balancer) tooLate(r *request) bool { return b.now+2*sweepInterval >= r.deadline }
 
-// decideAtHalfTime ends the wait of a request that has reached no worker when half of its time is over: a
-// later rejection costs more. If the load that the request waits for is under way, and its worker may get
-// the request, the request is sent there and waits at the worker; otherwise it is finished.
-func (b *Balancer) decideAtHalfTime(r *request) {
+// sendOrFinishAtHalfTime ends the wait of a request that has reached no worker when half of its time is
+// over: a later rejection costs more. If the load that the request waits for is under way, and its worker
+// may get the request, the request is sent there and waits at the worker; otherwise it is finished.
+func (b *Balancer) sendOrFinishAtHalfTime(r *request) {
 	p := r.waitingFor
-	loading := p != nil && p.ordered
+	loading := p != nil && p.orderPending
 	if loading && b.mayAttempt(r, p.worker) && b.healthy(r, p.worker) {
 		b.send(r, p.worker)
 	} else {
@@ -77,5 +78,6 @@
 // them recently. Any client can name a function that no worker knows, and retries would use up the load
 // budget.
 func (b *Balancer) unknownFunction(f *function) bool {
-	return !f.known && f.errors >= maxUnknownErrors && b.now-f.lastErrorAt < unknownFunctionPause
+	return !f.succeeded && f.errorsBeforeSuccess >= maxUnknownErrors &&
+		b.now-f.lastErrorAt < unknownFunctionPause
 }
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -19,8 +19,8 @@
 // mayAttempt reports whether a request may be sent to a worker. It applies the rules of package permit,
 // and those that only the balancer can check: deadline, deduplication of keyed requests and slow start.
 func (b *Balancer) mayAttempt(r *request, w *worker) bool {
-	start := permit.Start{Worker: w.State.Permitted(), ClientGone: r.closed, LeaseLeft: b.leaseLeft(w)}
-	if start.Check() != permit.Allowed || b.tooLate(r) || b.repeatFacts(r).Check() != permit.Allowed {
+	start := permit.StartConditions{Worker: w.State.Permitted(), ClientGone: r.closed, LeaseLeft: b.leaseLeft(w)}
+	if start.Check() != permit.Allowed || b.tooLate(r) || b.retryConditions(r).Check() != permit.Allowed {
 		return false
 	}
 	left, limited := r.dedupTimeLeft(b.now)
@@ -44,7 +44,7 @@
 	if w.unavailable() {
 		b.postponeProbe(w)
 	}
-	if class := w.class(r.class.Name); class.rejectedInARow >= maxRejectedInARow {
+	if class := w.class(r.class.Name); class.consecutiveRejections >= maxConsecutiveRejections {
 		b.ejectClass(class)
 	}
 	if b.warmth(w) < 1 {
@@ -54,9 +54,9 @@
 	b.emit(Send{ID: r.ID, Worker: w.ID, Timeout: timeout, StartWithin: startWithin})
 }
 
-// repeatFacts returns the facts by which package permit allows another attempt of a request.
-func (b *Balancer) repeatFacts(r *request) permit.Repeat {
-	return permit.Repeat{
+// retryConditions returns the conditions by which package permit allows another attempt of a request.
+func (b *Balancer) retryConditions(r *request) permit.RetryConditions {
+	return permit.RetryConditions{
 		Attempts:    len(r.attempts),
 		MaxAttempts: b.settings.MaxAttempts,
 		Pending:     r.outstanding > 0,
@@ -68,7 +68,7 @@
 
 // mustNotRepeat reports whether another attempt could run a request twice although its class forbids that.
 func (r *request) mustNotRepeat() bool {
-	return permit.Repeat{MayHaveRun: r.mayHaveRun(), Repeatable: r.repeatable()}.Forbidden()
+	return permit.RetryConditions{MayHaveRun: r.mayHaveRun(), Repeatable: r.repeatable()}.Forbidden()
 }
 
 // repeatable reports whether the class of the request lets it run more than once.
@@ -91,7 +91,7 @@
 	r.excluded[a.worker.ID] = true
 	if b.settings.Hedging {
 		if w, ready := b.pickWorker(r, true); ready {
-			b.retries.take()
+			b.retryBudget.take()
 			b.send(r, w)
 		}
 		return
@@ -111,7 +111,7 @@
 	if r.streaming || r.cancelledForRetry || !onlyPending {
 		return false
 	}
-	if !r.repeatable() || !b.attemptsLeft(r) || !b.retries.available() {
+	if !r.repeatable() || !b.attemptsLeft(r) || !b.retryBudget.available() {
 		return false
 	}
 	overdue := (b.now - a.sentAt).Seconds() >= r.function.meanAnswer
@@ -138,7 +138,7 @@
 	if !b.settings.SendRetryAfter {
 		return 0
 	}
-	return min(r.function.loadPatience(), b.settings.MaxRetryAfter)
+	return min(r.function.maxLoadWait(), b.settings.MaxRetryAfter)
 }
 
 // close ends a request. Pending attempts are cancelled if possible, unless the client receives a stream
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -28,7 +28,7 @@
 	restarts       restarts
 	keepalives     keepalives
 	rankBuffer     []rankedWorker // reused by rebuildOrder, to save allocations
-	emptyPlacement placement      // returned by look for a worker without a record
+	emptyPlacement placement      // returned by peekPlacement for a worker without a record
 	meanLoad       float64        // mean of load over the ready workers
 	failOpen       bool           // most ready workers are unavailable: ejections are ignored
 	functions      map[FunctionID]*function
@@ -38,7 +38,7 @@
 	unanswered      []*request               // requests without a final answer, in order of arrival
 	backlogged      bool                     // the last sweep left requests without a worker or load order
 	longestTimeLeft map[string]time.Duration // largest TimeLeft of any request so far, by class
-	retries         tokenBucket              // pays for hedged requests and retries
+	retryBudget     tokenBucket              // pays for hedged requests and retries
 	loads           loadBudget
 	stats           fleetStats
 }
@@ -65,7 +65,7 @@
 		functions:       map[FunctionID]*function{},
 		requests:        map[RequestID]*request{},
 		longestTimeLeft: map[string]time.Duration{},
-		retries:         tokenBucket{tokens: maxRetryBudget, limit: maxRetryBudget},
+		retryBudget:     tokenBucket{tokens: maxRetryBudget, limit: maxRetryBudget},
 		loads:           newLoadBudget(s),
 		stats:           fleetStats{failureRate: map[string]float64{}},
 	}
--- a/internal/balancer/classhealth.go
+++ b/internal/balancer/classhealth.go
@@ -7,10 +7,10 @@
 
 // classHealth holds a worker's record with one class of requests.
 type classHealth struct {
-	lastAnswerAt   time.Duration // time of the last answer
-	failureScore   float64       // evidence that the worker fails more requests than the fleet does
-	rejectedInARow int           // consecutive rejections; an answer halves the count
-	ejectedUntil   time.Duration // the worker gets no request of the class before this time
+	lastAnswerAt          time.Duration // time of the last answer
+	failureScore          float64       // evidence that the worker fails more requests than the fleet does
+	consecutiveRejections int           // consecutive rejections; an answer halves the count
+	ejectedUntil          time.Duration // the worker gets no request of the class before this time
 }
 
 // failureTest is a sequential test of whether a worker fails more requests than the fleet. It is Page's
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -107,9 +107,9 @@
 	return min(work/b.stats.meanWork, maxCallWeight)
 }
 
-// learnDemand updates the estimate of how many workers a function needs. The queue depth is how many
+// updateDemand updates the estimate of how many workers a function needs. The queue depth is how many
 // requests for the function a worker held when another one arrived.
-func (b *Balancer) learnDemand(f *function, queueDepth int) {
+func (b *Balancer) updateDemand(f *function, queueDepth int) {
 	callRate := b.hotSet.callsPerWorker / callDecay.Seconds() * float64(b.settings.Dispatchers)
 	meanInFlight := callRate * b.stats.meanAnswer // requests at one worker, from all dispatchers
 	if b.settings.ReportsQueueDepth && meanInFlight > 0 {
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -17,14 +17,14 @@
 )
 
 // Permitted returns the state as package permit names it.
-func (s WorkerState) Permitted() permit.Worker {
+func (s WorkerState) Permitted() permit.WorkerState {
 	switch s {
 	case Ready:
-		return permit.WorkerReady
+		return permit.WorkerStateReady
 	case Removed:
-		return permit.WorkerIsRemoved
+		return permit.WorkerStateRemoved
 	default:
-		return permit.WorkerIsDraining
+		return permit.WorkerStateDraining
 	}
 }
 
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -29,10 +29,10 @@
 func (b *Balancer) updateReady(workers []*worker) {
 	for _, w := range workers {
 		ready := b.available(w)
-		if ready == w.listed && (!ready || w.fullWeight == w.listedWeight) {
+		if ready == w.inReady && (!ready || w.fullWeight == w.listedWeight) {
 			continue
 		}
-		if ready != w.listed {
+		if ready != w.inReady {
 			b.setListed(w, ready)
 		}
 		w.listedWeight = w.fullWeight
@@ -42,7 +42,7 @@
 
 // setListed adds a worker to b.ready or removes it.
 func (b *Balancer) setListed(w *worker, ready bool) {
-	w.listed = ready
+	w.inReady = ready
 	index, _ := slices.BinarySearchFunc(b.ready, w, compareIDs)
 	if ready {
 		b.ready = slices.Insert(b.ready, index, w)
@@ -66,7 +66,7 @@
 // forget deletes the records of a removed worker, unless a load order to the worker is still pending.
 func (b *Balancer) forget(id WorkerID) {
 	for _, f := range b.functions {
-		if p := f.placements[id]; p != nil && p.ordered {
+		if p := f.placements[id]; p != nil && p.orderPending {
 			return
 		}
 	}
@@ -120,9 +120,9 @@
 		switch {
 		case w.State != Ready:
 		case e.Scope == ScopeStale:
-			w.lease.Assumed(e.AsOf)
+			w.lease.RecordStaleListing(e.AsOf)
 		default:
-			w.lease.Listed(e.AsOf)
+			w.lease.RecordListed(e.AsOf)
 		}
 		changed = append(changed, w)
 	}
--- a/internal/balancer/function.go
+++ b/internal/balancer/function.go
@@ -12,18 +12,18 @@
 
 // function is the state of one function.
 type function struct {
-	id             FunctionID
-	class          string        // class of its last request
-	concurrency    int           // requests that one copy runs at the same time
-	loadTime       float64       // running mean of the time that a load takes, in seconds
-	meanAnswer     float64       // running mean of the answer time, in seconds
-	calls          decayingCount // this dispatcher's requests for it, weighted by work
-	rotation       int           // group member at which a request starts its search; each request adds one
-	known          bool          // a request has been answered, or a load has succeeded
-	errors         int           // number of errors while known was false
-	lastErrorAt    time.Duration // when errors was last raised
-	erroredWorkers []*worker     // workers that returned the latest of these errors
-	references     int           // number of unanswered requests and pending load orders
+	id                  FunctionID
+	class               string        // class of its last request
+	concurrency         int           // requests that one copy runs at the same time
+	loadTime            float64       // running mean of the time that a load takes, in seconds
+	meanAnswer          float64       // running mean of the answer time, in seconds
+	calls               decayingCount // this dispatcher's requests for it, weighted by work
+	rotation            int           // group member at which a request starts its search; each request adds one
+	succeeded           bool          // a request has been answered, or a load has succeeded
+	errorsBeforeSuccess int           // number of errors while succeeded was false
+	lastErrorAt         time.Duration // when errorsBeforeSuccess was last raised
+	erroredWorkers      []*worker     // workers that returned the latest of these errors
+	references          int           // number of unanswered requests and pending load orders
 
 	// The group consists of groupSize workers, from index groupStart on in rendezvous order, that serve the
 	// function in turn. A rare function has a group of one, its primary worker.
@@ -45,7 +45,7 @@
 	missed       bool          // an attempt missed, and no copy has been reported as loaded since
 	missingUntil time.Duration // assumed not to be loaded until then, whatever other dispatchers do
 	avoidUntil   time.Duration // an attempt was rejected or not answered: others go first until then
-	ordered      bool          // a load order is pending
+	orderPending bool          // a load order is pending
 	orderedAt    time.Duration // when the last load order was sent
 	keepalive    keepaliveStep // step of the keepalive that the pending load order belongs to
 	noOrderUntil time.Duration // no load order is sent before
@@ -67,14 +67,14 @@
 	return f
 }
 
-// countError records an error, and reports whether the function is known. Only an error of a known function
-// is evidence against the worker or the store.
-func (f *function) countError(now time.Duration) (known bool) {
-	if !f.known {
-		f.errors++
+// countError records an error, and reports whether a request or a load of the function has succeeded. Only
+// then is the error evidence against the worker or the store.
+func (f *function) countError(now time.Duration) (succeeded bool) {
+	if !f.succeeded {
+		f.errorsBeforeSuccess++
 		f.lastErrorAt = now
 	}
-	return f.known
+	return f.succeeded
 }
 
 // demote makes a function rare: its group is reduced to its primary worker.
@@ -84,12 +84,13 @@
 	f.groupSize = 1
 }
 
-// loadPatience returns the longest time that a request waits for a load of the function.
-func (f *function) loadPatience() time.Duration { return seconds(loadWaitFactor * f.loadTime) }
+// maxLoadWait returns the longest time that a request waits for a load of the function.
+func (f *function) maxLoadWait() time.Duration { return seconds(loadWaitFactor * f.loadTime) }
 
-// look returns the placement of a function at a worker for reading; it is valid until the next call of
-// look. It adds no placement to the function, because a request may examine any number of workers.
-func (b *Balancer) look(f *function, w *worker) *placement {
+// peekPlacement returns the placement of a function at a worker for reading; it is valid until the next call
+// of peekPlacement. It adds no placement to the function, because a request may examine any number of
+// workers.
+func (b *Balancer) peekPlacement(f *function, w *worker) *placement {
 	if p := f.placements[w.ID]; p != nil {
 		return p
 	}
@@ -107,8 +108,8 @@
 	return p
 }
 
-// distrustCopies makes the copies at all workers count as not loaded from now on.
-func (f *function) distrustCopies(now time.Duration) {
+// expireCopies makes the copies at all workers count as not loaded from now on.
+func (f *function) expireCopies(now time.Duration) {
 	for _, p := range f.placements {
 		p.loadedUntil = min(p.loadedUntil, now)
 	}
--- a/internal/balancer/keepalive.go
+++ b/internal/balancer/keepalive.go
@@ -23,12 +23,12 @@
 	// keepaliveOrderReserve is the number of load orders that calls leave in the load budget for
 	// keepalives while discovery is silent.
 	keepaliveOrderReserve = 1
-	// minKeptFunctions is the number of functions that are kept in memory even if no client calls them,
+	// minRememberedFunctions is the number of functions that are kept in memory even if no client calls them,
 	// since a keepalive needs a function.
-	minKeptFunctions = 8
+	minRememberedFunctions = 8
 )
 
-// preferred chooses between two workers that suit a request equally well. best may be nil.
+// preferredWorker chooses between two workers that suit a request equally well. best may be nil.
 //
 // Without many calls, a worker with current evidence (accepted calls or loads) goes before one that is
 // ready only by the list. Thereby the dispatcher's calls keep evidence of as many workers as they can.
@@ -39,7 +39,7 @@
 //
 // With enough calls to renew the evidence of all workers, best is chosen while discovery is heard, since new
 // workers have to get calls, too.
-func (b *Balancer) preferred(best, other *worker) *worker {
+func (b *Balancer) preferredWorker(best, other *worker) *worker {
 	if best == nil {
 		return other
 	}
@@ -144,7 +144,7 @@
 	left := lasting.longest - b.now
 	spentThen := b.loads.budget.LeftAt(lasting.longest-lastLeaseLead) < 1
 	spentSoon := b.loads.budget.LeftAt(b.now+renewalLead) < 1
-	if spentThen && spentSoon && !lasting.pending && left < b.settings.leaseTerms.Loaded-lastLeaseLead {
+	if spentThen && spentSoon && !lasting.pending && left < b.settings.leaseTerms.AfterLoad-lastLeaseLead {
 		b.startNextKeepalive(lastingLeases{}, left)
 	}
 }
@@ -163,7 +163,7 @@
 	for _, w := range b.ready {
 		end := b.leaseEndsAt(w)
 		if w.keepaliveStartedAt > 0 && b.now-w.keepaliveStartedAt < keepaliveTimeout {
-			end = b.now + b.settings.leaseTerms.Loaded
+			end = b.now + b.settings.leaseTerms.AfterLoad
 			lasting.pending = true
 		}
 		if end-b.now <= ahead {
@@ -181,7 +181,7 @@
 
 // leaseEndsAt returns the time after which a worker's lease stays expired without further evidence.
 func (b *Balancer) leaseEndsAt(w *worker) time.Duration {
-	return w.lease.ProvenUntil(b.settings.leaseTerms, b.leases.syncedAt)
+	return w.lease.FinalExpiry(b.settings.leaseTerms, b.leases.syncedAt)
 }
 
 // startNextKeepalive starts a keepalive with a worker whose lease expires within ahead, and reports
@@ -222,8 +222,8 @@
 func (b *Balancer) startKeepaliveQuery(w *worker) bool {
 	var absent, loaded *function
 	for _, f := range b.functions {
-		p := b.look(f, w)
-		if !f.known || f.id == "" || p.ordered || p.inFlight > 0 {
+		p := b.peekPlacement(f, w)
+		if !f.succeeded || f.id == "" || p.orderPending || p.inFlight > 0 {
 			continue
 		}
 		if !b.isLoaded(p) && b.now >= p.noOrderUntil {
@@ -273,7 +273,7 @@
 	case e.Status != OK:
 		p.worker.noKeepaliveUntil = b.now + keepaliveRetryDelay
 	case step == keepaliveOrdered && e.WrittenAt > 0:
-		p.worker.lease.Loaded(e.WrittenAt-f.proofAge(), e.ConnectedSince, b.leases.syncedAt)
+		p.worker.lease.RecordLoaded(e.WrittenAt-f.proofAge(), e.ConnectedSince, b.leases.syncedAt)
 		b.onLeaseChanged(p.worker)
 	case step == keepaliveQueried && e.Copies == 0:
 		if b.orderKeepaliveCopy(f, p) {
--- a/internal/balancer/keepalive_test.go
+++ b/internal/balancer/keepalive_test.go
@@ -147,9 +147,9 @@
 
 // A few functions are kept in memory regardless of when they were last called, since a keepalive needs a function.
 func TestFunctionsForKeepalivesAreKept(t *testing.T) {
-	f := newSilentFleet(t, 3, 0, 2*minKeptFunctions)
+	f := newSilentFleet(t, 3, 0, 2*minRememberedFunctions)
 	f.advance(f.now + 10*time.Minute)
-	assert.Len(t, f.b.functions, minKeptFunctions)
+	assert.Len(t, f.b.functions, minRememberedFunctions)
 	without := newFleet(t, testSettings(), 1)
 	without.listWorkers(3)
 	without.serve("safe", "fn")
--- a/internal/balancer/leases.go
+++ b/internal/balancer/leases.go
@@ -43,19 +43,19 @@
 	b.leases.syncedAt = max(b.leases.syncedAt, e.AsOf)
 	b.clearAssumedRestarts(e.AsOf)
 	if b.leases.expired > 0 {
-		b.reviewLeases()
+		b.applyLeases()
 	}
 }
 
-// recordLease updates the lease of a worker by the outcome of an attempt: an accepted call renews the
+// updateLease updates the lease of a worker by the outcome of an attempt: an accepted call renews the
 // lease, and a rejected one may contest it.
-func (b *Balancer) recordLease(w *worker, e OutcomeEvent) {
+func (b *Balancer) updateLease(w *worker, e OutcomeEvent) {
 	if !b.settings.EndpointLeases || e.WrittenAt == 0 {
 		return
 	}
 	switch e.Status {
 	case OK, Miss, Failed:
-		w.lease.Accepted(e.WrittenAt, e.ConnectedSince, b.leases.syncedAt)
+		w.lease.RecordAccepted(e.WrittenAt, e.ConnectedSince, b.leases.syncedAt)
 	case Rejected:
 		b.contestLease(w, e.WrittenAt)
 	default:
@@ -67,8 +67,8 @@
 // onLeaseChanged updates the ready workers, or the time of the next lease check, after a worker's lease
 // has changed.
 func (b *Balancer) onLeaseChanged(w *worker) {
-	if b.available(w) != w.listed {
-		b.reviewLeases()
+	if b.available(w) != w.inReady {
+		b.applyLeases()
 	} else { // the lease may expire or become valid again sooner than before
 		b.leases.nextCheckAt = min(b.leases.nextCheckAt, b.nextLeaseChange([]*worker{w}))
 	}
@@ -85,20 +85,20 @@
 	if float64(len(b.leases.contested)+1) > limit {
 		return
 	}
-	w.lease.Rejected(writtenAt)
+	w.lease.RecordRejected(writtenAt)
 	b.leases.contested = append(b.leases.contested, w)
 }
 
 // checkLeases updates the ready workers once leases may have expired or become valid again.
 func (b *Balancer) checkLeases() {
 	if b.settings.EndpointLeases && b.now >= b.leases.nextCheckAt {
-		b.reviewLeases()
+		b.applyLeases()
 	}
 }
 
-// reviewLeases updates the ready workers by the current state of all leases, and reports the changes to the
+// applyLeases updates the ready workers by the current state of all leases, and reports the changes to the
 // operators.
-func (b *Balancer) reviewLeases() {
+func (b *Balancer) applyLeases() {
 	var ready, changed []*worker
 	change := LeasesChanged{SyncAge: b.now - b.leases.syncedAt}
 	for _, w := range b.workers {
@@ -106,7 +106,7 @@
 			continue
 		}
 		ready = append(ready, w)
-		if live := b.available(w); live != w.listed {
+		if live := b.available(w); live != w.inReady {
 			changed = append(changed, w)
 			change.record(w, live, b.leases.syncedAt)
 		}
@@ -122,16 +122,16 @@
 	}
 }
 
-// lapsedWarmWeight returns the total weight of the warm workers that the list calls ready and whose lease
+// expiredWarmWeight returns the total weight of the warm workers that the list calls ready and whose lease
 // has expired. They have served a part of the counted calls, and still serve calls of dispatchers that
 // have a valid lease for them.
-func (b *Balancer) lapsedWarmWeight() float64 {
+func (b *Balancer) expiredWarmWeight() float64 {
 	if b.leases.expired == 0 {
 		return 0
 	}
 	weight := 0.0
 	for _, w := range b.workers {
-		if w.State == Ready && !w.listed && b.warmth(w) >= 1 {
+		if w.State == Ready && !w.inReady && b.warmth(w) >= 1 {
 			weight += w.fullWeight
 		}
 	}
@@ -141,9 +141,9 @@
 // nextLeaseChange returns when the first of the workers' leases expires or becomes valid again without
 // further events, but no later than one sync term from now.
 func (b *Balancer) nextLeaseChange(workers []*worker) time.Duration {
-	next := b.now + b.settings.leaseTerms.Synced
+	next := b.now + b.settings.leaseTerms.AfterSync
 	for _, w := range workers {
-		if w.listed {
+		if w.inReady {
 			next = min(next, b.now+b.leaseLeft(w)+1)
 		} else if at := w.lease.ResumesAt(b.settings.leaseTerms, b.now); at > 0 {
 			next = min(next, at)
--- a/internal/balancer/leases_test.go
+++ b/internal/balancer/leases_test.go
@@ -23,7 +23,7 @@
 
 // leaseEnd returns when a lease expires that was last renewed by a sync at a time.
 func (f *testFleet) leaseEnd(syncedAt time.Duration) time.Duration {
-	return syncedAt + permit.NewLeaseTerms(f.settings.DrainGrace).Synced
+	return syncedAt + permit.NewLeaseTerms(f.settings.DrainGrace).AfterSync
 }
 
 // sync delivers a sync: all changes that discovery knew of at a time have been received.
@@ -88,7 +88,7 @@
 		f, listedAt := newLeaseFleet(t, 3)
 		w := f.b.workers["w00"]
 		f.advance(listedAt + 5*time.Second)
-		f.b.recordLease(w, OutcomeEvent{Status: status, WrittenAt: f.now, ConnectedSince: listedAt})
+		f.b.updateLease(w, OutcomeEvent{Status: status, WrittenAt: f.now, ConnectedSince: listedAt})
 		f.advance(f.leaseEnd(listedAt) + time.Second)
 		assert.Equal(t, renews, f.b.available(w), "%v", status)
 	}
@@ -220,9 +220,9 @@
 	fn.placement(f.b.workers[primary]).setLoaded(1, f.now+time.Minute)
 	f.advance(f.now + 8*time.Second)
 	f.sync(f.now)
-	other.lease.Accepted(f.now, 0, f.now)
+	other.lease.RecordAccepted(f.now, 0, f.now)
 	assert.Equal(t, other.ID, f.serve("safe", "fn"))
-	f.b.workers[primary].lease.Accepted(f.now, 0, f.now)
+	f.b.workers[primary].lease.RecordAccepted(f.now, 0, f.now)
 	assert.Equal(t, primary, f.serve("safe", "fn"))
 }
 
@@ -248,7 +248,7 @@
 	loadingAt := r.waitingFor.worker
 	for _, w := range f.b.ready {
 		if w != loadingAt {
-			w.lease.Accepted(f.now, 0, f.b.leases.syncedAt)
+			w.lease.RecordAccepted(f.now, 0, f.b.leases.syncedAt)
 		}
 	}
 	f.advance(f.now + 250*ms)
@@ -264,7 +264,7 @@
 	w := f.b.workers["w00"]
 	connectedSince := f.now
 	f.advance(f.now + 3*time.Second)
-	f.b.recordLease(w, OutcomeEvent{Status: OK, WrittenAt: f.now, ConnectedSince: connectedSince})
+	f.b.updateLease(w, OutcomeEvent{Status: OK, WrittenAt: f.now, ConnectedSince: connectedSince})
 	f.advance(f.leaseEnd(listedAt) + 300*ms)
 	assert.Empty(t, f.b.ready)
 	f.advance(connectedSince + permit.MaxNotificationDelay + time.Second)
@@ -281,7 +281,7 @@
 			f.sync(f.now)
 		}
 		for _, w := range f.b.workers {
-			f.b.recordLease(w, OutcomeEvent{Status: Rejected, WrittenAt: f.now})
+			f.b.updateLease(w, OutcomeEvent{Status: Rejected, WrittenAt: f.now})
 		}
 		assert.Len(t, f.b.ready, workers-excluded, "%d workers", workers)
 	}
--- a/internal/balancer/loadbudget.go
+++ b/internal/balancer/loadbudget.go
@@ -31,7 +31,7 @@
 func (l *loadBudget) orderSent(f *function, p *placement, now time.Duration) {
 	l.inFlight++
 	f.references++
-	p.ordered = true
+	p.orderPending = true
 	p.orderedAt = now
 }
 
@@ -39,7 +39,7 @@
 func (l *loadBudget) orderEnded(f *function, p *placement) {
 	l.inFlight--
 	f.references--
-	p.ordered = false
+	p.orderPending = false
 }
 
 // maxLoadOrderDelay returns how long a load order may take to reach its worker. That covers one connection
--- a/internal/balancer/loadbudget_test.go
+++ b/internal/balancer/loadbudget_test.go
@@ -16,19 +16,19 @@
 	budget.orderSent(f, p, time.Second)
 	require.Equal(t, 1, budget.inFlight)
 	require.Equal(t, 1, f.references, "a function with a pending order must not be forgotten")
-	require.Equal(t, placement{ordered: true, orderedAt: time.Second}, *p)
+	require.Equal(t, placement{orderPending: true, orderedAt: time.Second}, *p)
 	budget.orderEnded(f, p)
 	require.Zero(t, budget.inFlight)
 	require.Zero(t, f.references)
-	require.False(t, p.ordered)
+	require.False(t, p.orderPending)
 }
 
 // A request is credited to the load budget once, even if workers accept several of its attempts.
 func TestRequestEarnsLoadsOnce(t *testing.T) {
 	b := &Balancer{loads: newLoadBudget(Settings{LoadWindow: time.Second, LoadRatio: 1})}
 	r := &request{deadline: 1}
-	b.earnLoads(r)
-	b.earnLoads(r)
+	b.creditLoadBudget(r)
+	b.creditLoadBudget(r)
 	require.Equal(t, permit.Allowed, b.loads.budget.Take(2))
 	require.Equal(t, permit.BudgetSpent, b.loads.budget.Take(2))
 }
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -43,8 +43,8 @@
 
 // mayOrderLoad reports whether copies may be ordered at a worker, apart from the load budget.
 func (b *Balancer) mayOrderLoad(f *function, p *placement) bool {
-	start := permit.Start{Worker: p.worker.State.Permitted(), LeaseLeft: b.leaseLeft(p.worker)}
-	if p.ordered || b.now < p.noOrderUntil || start.Check() != permit.Allowed {
+	start := permit.StartConditions{Worker: p.worker.State.Permitted(), LeaseLeft: b.leaseLeft(p.worker)}
+	if p.orderPending || b.now < p.noOrderUntil || start.Check() != permit.Allowed {
 		return false
 	}
 	return b.settings.LoadOrders && f.id != "" && !b.unknownFunction(f)
@@ -60,14 +60,14 @@
 	b.emit(order)
 }
 
-// earnLoads credits a request to the load budget, as of its arrival, once a worker has accepted it as a
-// request. Requests that clients cancel at once, or that name unknown functions, earn no orders: clients
+// creditLoadBudget credits a request to the load budget, as of its arrival, once a worker has accepted it as
+// a request. Requests that clients cancel at once, or that name unknown functions, earn no orders: clients
 // can send many of them.
-func (b *Balancer) earnLoads(r *request) {
-	if r.earnedLoads {
+func (b *Balancer) creditLoadBudget(r *request) {
+	if r.countedForLoadBudget {
 		return
 	}
-	r.earnedLoads = true
+	r.countedForLoadBudget = true
 	b.loads.budget.Earn(r.arrivedAt())
 }
 
@@ -75,7 +75,7 @@
 func (b *Balancer) onLoadEnded(e LoadEndedEvent) {
 	f := b.functions[e.Function]
 	w := b.workers[e.Worker]
-	if f == nil || w == nil || !b.look(f, w).ordered {
+	if f == nil || w == nil || !b.peekPlacement(f, w).orderPending {
 		return
 	}
 	p := f.placement(w)
@@ -103,8 +103,8 @@
 	usual := f.loadTime
 	if e.Status == OK {
 		b.markReachable(p.worker)
-		f.known = true
-		p.setLoaded(e.Copies, b.now+b.loadedTrust())
+		f.succeeded = true
+		p.setLoaded(e.Copies, b.now+b.assumedLoadedTime())
 		b.loads.window.increase()
 		if elapsed > usual*smoothing { // a shorter time means that the copy was loaded already
 			updateMean(&f.loadTime, elapsed, smoothing)
@@ -116,7 +116,7 @@
 	case Failed:
 		return f.countError(b.now)
 	case Reset:
-		b.onReset(p.worker)
+		b.recordReset(p.worker)
 	case ConnectFailed:
 		b.eject(p.worker)
 	}
@@ -128,7 +128,7 @@
 func (b *Balancer) loadWaitOver(r *request) bool {
 	p := r.waitingFor
 	workerUnusable := !b.available(p.worker) || p.worker.unavailable()
-	return !p.ordered || b.now > r.waitUntil || workerUnusable
+	return !p.orderPending || b.now > r.loadWaitUntil || workerUnusable
 }
 
 // lastAttemptNeedsCopy reports whether a request may use its last attempt only at a worker where a copy is
@@ -144,7 +144,7 @@
 // stopped.
 func (b *Balancer) preloadHotSet() {
 	reserved := b.reservedOrders()
-	if reserved > 0 && b.loads.budget.LeftAt(b.now+b.settings.leaseTerms.Loaded) < 1+reserved {
+	if reserved > 0 && b.loads.budget.LeftAt(b.now+b.settings.leaseTerms.AfterLoad) < 1+reserved {
 		return
 	}
 	for _, f := range b.hotSet.functions {
@@ -160,8 +160,8 @@
 	var next *worker
 	for i := range min(f.groupSize, len(b.ready)) {
 		w := b.candidate(f, 0, i)
-		p := b.look(f, w)
-		if p.ordered {
+		p := b.peekPlacement(f, w)
+		if p.orderPending {
 			return
 		}
 		if next == nil && b.mayPreload(f, p) {
@@ -177,5 +177,6 @@
 	if b.isLoaded(p) || !b.needsLoadOrder(p) || b.now < p.noOrderUntil {
 		return false
 	}
-	return !p.worker.unavailable() && p.worker.healthOf(f.class).rejectedInARow < maxRejectedInARow
+	return !p.worker.unavailable() &&
+		p.worker.healthOf(f.class).consecutiveRejections < maxConsecutiveRejections
 }
--- a/internal/balancer/loadorders_test.go
+++ b/internal/balancer/loadorders_test.go
@@ -225,7 +225,7 @@
 	loadedEverywhere := f.b.functions["fn0"]
 	for _, w := range f.b.ready { // make the function count as loaded at all workers
 		p := loadedEverywhere.placement(w)
-		p.copies, p.loadedUntil = 1, f.now+f.b.loadedTrust()
+		p.copies, p.loadedUntil = 1, f.now+f.b.assumedLoadedTime()
 	}
 	f.loads = nil
 	for i := range functions {
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -14,7 +14,7 @@
 	b.recordLatency(a, e)
 	b.recordAttemptResult(a, e.Status)
 	b.recordContact(a, e)
-	b.recordLease(a.worker, e)
+	b.updateLease(a.worker, e)
 	switch e.Status {
 	case OK:
 		b.onAnswer(a, e)
@@ -37,12 +37,12 @@
 	}
 	if e.Status != Miss && e.Status != OK {
 		r.excluded[a.worker.ID] = true
-		a.placement.avoidUntil = b.now + b.loadedTrust()
+		a.placement.avoidUntil = b.now + b.assumedLoadedTime()
 	}
 	if r.outstanding > 0 {
 		return
 	}
-	if a.mayHaveRun && !b.retries.take() {
+	if a.mayHaveRun && !b.retryBudget.take() {
 		b.finish(r)
 	} else {
 		b.place(r)
@@ -56,39 +56,39 @@
 	w := a.worker
 	p := a.placement
 	class := w.class(a.request.class.Name)
-	class.rejectedInARow /= 2
+	class.consecutiveRejections /= 2
 	class.lastAnswerAt = b.now
 	for _, errored := range f.erroredWorkers { // the function works, so the errors were the workers' fault
 		b.recordResult(errored, f.class, 1)
 	}
 	f.erroredWorkers = nil
-	f.known = true
-	p.setLoaded(max(p.copies, 1), b.now+b.loadedTrust())
+	f.succeeded = true
+	p.setLoaded(max(p.copies, 1), b.now+b.assumedLoadedTime())
 	b.recordAnswerTime(a, e.Elapsed.Seconds())
 	if w.latency.objectiveRatio > maxObjectiveRatio {
 		b.decreaseWindow(w)
 	} else if w.window.full(len(w.outstanding) + 2) {
 		w.window.increase()
 	}
-	b.learnDemand(f, e.QueueDepth)
+	b.updateDemand(f, e.QueueDepth)
 	queueFull := b.settings.ReportsQueueDepth && e.QueueDepth >= f.concurrency*p.copies
 	if queueFull && p.copies < maxCopies && b.isLoaded(p) {
 		b.orderLoad(f, p, p.copies+1, b.loads.window.size)
 	}
 }
 
-// onRejected handles a rejection. The worker counts as full for a while. After maxRejectedInARow
+// onRejected handles a rejection. The worker counts as full for a while. After maxConsecutiveRejections
 // consecutive rejections it is taken to reject the class whatever its load, and the class is ejected
 // instead.
 func (b *Balancer) onRejected(a *attempt, e OutcomeEvent) {
-	b.learnDemand(a.request.function, e.QueueDepth)
+	b.updateDemand(a.request.function, e.QueueDepth)
 	class := a.worker.class(a.request.class.Name)
-	class.rejectedInARow++
-	if class.rejectedInARow >= maxRejectedInARow {
+	class.consecutiveRejections++
+	if class.consecutiveRejections >= maxConsecutiveRejections {
 		b.ejectClass(class)
 		return
 	}
-	a.worker.fullUntil = b.now + seconds(b.stats.meanAnswer/2)
+	a.worker.countsAsFullUntil = b.now + seconds(b.stats.meanAnswer/2)
 	b.decreaseWindow(a.worker)
 }
 
@@ -98,9 +98,9 @@
 	f := a.request.function
 	p := a.placement
 	if p.copies > 0 && e.Warmth != WarmthLoadFailed {
-		f.distrustCopies(b.now)
+		f.expireCopies(b.now)
 	}
-	p.setMissing(b.now + f.loadPatience())
+	p.setMissing(b.now + f.maxLoadWait())
 	if !b.settings.LoadOrders || e.Warmth == WarmthLoadFailed {
 		p.noOrderUntil = b.now + seconds(f.loadTime)
 	} else if f.hot && f.groupSize > 1 {
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -29,10 +29,10 @@
 	// Requests that are not idempotent have a lower limit of the failure score: this part of the usual one.
 	notIdempotentLimitRatio = 0.5
 
-	// From maxRejectedInARow consecutive rejections on, a class is ejected from a worker for
+	// From maxConsecutiveRejections consecutive rejections on, a class is ejected from a worker for
 	// minClassEjection. Each further rejection doubles that time, maxClassEjectionDoublings times and to
 	// maxProbeBackoff/4 at most.
-	maxRejectedInARow         = 4
+	maxConsecutiveRejections  = 4
 	minClassEjection          = 250 * time.Millisecond
 	maxClassEjectionDoublings = 5
 
@@ -84,7 +84,7 @@
 		f.erroredWorkers = append(lastN(f.erroredWorkers, maxUnknownErrors-1), a.worker)
 		return
 	}
-	if status != Reset || b.onReset(a.worker) {
+	if status != Reset || b.recordReset(a.worker) {
 		b.recordResult(a.worker, a.request.class.Name, failureSeverity[status])
 	}
 }
@@ -120,15 +120,15 @@
 // ejectClass keeps requests of a class from a worker that rejects them, for a time that doubles with each
 // further rejection. After that time one request probes the worker.
 func (b *Balancer) ejectClass(class *classHealth) {
-	doublings := min(class.rejectedInARow-maxRejectedInARow, maxClassEjectionDoublings)
+	doublings := min(class.consecutiveRejections-maxConsecutiveRejections, maxClassEjectionDoublings)
 	class.ejectedUntil = b.now + min(minClassEjection<<doublings, maxProbeBackoff/4)
 }
 
-// onReset records that a connection to a worker broke, and reports whether this is a new break: one break
+// recordReset records that a connection to a worker broke, and reports whether this is a new break: one break
 // ends all attempts on its connection, and is reported for each of them. A single break is weak evidence,
 // since a healthy worker may cause one too. A worker is ejected at a second break with no sign of life in
 // between.
-func (b *Balancer) onReset(w *worker) bool {
+func (b *Balancer) recordReset(w *worker) bool {
 	if b.now-w.lastReset < sweepInterval && w.lastReset > 0 {
 		return false
 	}
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -139,7 +139,7 @@
 		}
 		f.event(ClientGoneEvent{ID: id})
 	}
-	if rejections > maxRejectedInARow+4 {
+	if rejections > maxConsecutiveRejections+4 {
 		t.Errorf("the class was tried %d times in two seconds at a worker that rejects it", rejections)
 	}
 	f.serve("unsafe", "other")           // the other class is still sent to the worker
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -14,7 +14,7 @@
 
 	maxExtraCandidates = 3   // a request's group is extended until it has this many extra workers
 	minCallsPerIdleTTL = 3.0 // expected calls per IdleTTL from which on a copy is assumed to stay loaded
-	loadedTrustRatio   = 0.6 // fraction of IdleTTL for which a copy is assumed to be loaded after its last use
+	assumedLoadedRatio = 0.6 // fraction of IdleTTL for which a copy is assumed to be loaded after its last use
 
 	// A worker is overloaded above overloadFactor times the mean load, plus overloadAllowance requests of this
 	// dispatcher.
@@ -63,11 +63,11 @@
 	switch {
 	case ready:
 		b.send(r, w)
-	case b.orderLoad(f, p, 1, 2*b.loads.window.size) || p.ordered:
+	case b.orderLoad(f, p, 1, 2*b.loads.window.size) || p.orderPending:
 		r.waitingFor = p
-		r.waitUntil = p.orderedAt + f.loadPatience()
+		r.loadWaitUntil = p.orderedAt + f.maxLoadWait()
 	case b.now >= p.missingUntil && !b.lastAttemptNeedsCopy(r): // another dispatcher may have ordered a copy
-		p.missingUntil = b.now + f.loadPatience()
+		p.missingUntil = b.now + f.maxLoadWait()
 		b.send(r, w)
 	}
 }
@@ -84,8 +84,8 @@
 			r.extraCandidates += max(1, f.groupSize/4)
 			return b.pickWorker(r, loadedOnly)
 		}
-		if found.fallback == nil && found.unloaded != nil {
-			return found.unloaded, false
+		if found.fallback == nil && found.orderTarget != nil {
+			return found.orderTarget, false
 		}
 	}
 	best := cmp.Or(found.best, found.fallback)
@@ -93,10 +93,10 @@
 		return best, best != nil
 	}
 	if best == nil && !found.copyReady {
-		return found.unloaded, false
+		return found.orderTarget, false
 	}
-	if found.unloaded != nil { // order a copy there for later requests
-		b.orderLoad(f, f.placement(found.unloaded), 1, b.loads.window.size)
+	if found.orderTarget != nil { // order a copy there for later requests
+		b.orderLoad(f, f.placement(found.orderTarget), 1, b.loads.window.size)
 	}
 	return best, best != nil
 }
@@ -126,19 +126,19 @@
 		if b.lowTraffic() && visited > f.groupSize+r.extraCandidates+1 {
 			break
 		}
-		p := b.look(f, w)
+		p := b.peekPlacement(f, w)
 		overloaded := b.overloaded(w)
 		avoided := b.now < p.avoidUntil && b.lowTraffic()
 		inGroup := i < f.groupSize+r.extraCandidates
 		if !b.copyReady(r, p, inGroup && loadedByPeers) {
 			earlyInOrder := visited <= f.groupSize+1 || !b.lowTraffic()
 			if earlyInOrder && !overloaded && b.now >= p.noOrderUntil {
-				found.unloaded = cmp.Or(found.unloaded, w)
+				found.orderTarget = cmp.Or(found.orderTarget, w)
 			}
 			continue
 		}
 		if !overloaded && !avoided {
-			found.best = b.preferred(found.best, w)
+			found.best = b.preferredWorker(found.best, w)
 			if leasesEnd {
 				continue
 			}
@@ -159,7 +159,7 @@
 	}
 	for i := start; i < min(start+maxProvenCandidates, len(b.ready)); i++ {
 		w := b.candidate(r.function, r.rotation, i)
-		p := b.look(r.function, w)
+		p := b.peekPlacement(r.function, w)
 		if !b.isLoaded(p) || b.evidenceLeft(w) <= 0 || b.now < p.avoidUntil || b.overloaded(w) {
 			continue
 		}
--- a/internal/balancer/ranking.go
+++ b/internal/balancer/ranking.go
@@ -44,7 +44,7 @@
 // refreshWorkerStats clears the hot calls of the ready workers, decays their failure scores, and sums up
 // the weight of the warm ones.
 func (b *Balancer) refreshWorkerStats() {
-	b.hotSet.warmWeight = b.lapsedWarmWeight()
+	b.hotSet.warmWeight = b.expiredWarmWeight()
 	for _, w := range b.ready {
 		w.hotCalls = 0
 		if b.warmth(w) >= 1 {
@@ -69,7 +69,7 @@
 	}
 	slices.SortFunc(unused, (*function).compareCalls)
 	for _, f := range unused {
-		if !b.settings.EndpointLeases || !f.known || len(b.functions) > minKeptFunctions {
+		if !b.settings.EndpointLeases || !f.succeeded || len(b.functions) > minRememberedFunctions {
 			delete(b.functions, f.id)
 		}
 	}
--- a/internal/balancer/rendezvous.go
+++ b/internal/balancer/rendezvous.go
@@ -89,7 +89,7 @@
 	// key has changed may be out of order.
 	r.prefix = slices.DeleteFunc(r.prefix, func(w *worker) bool { return slices.Contains(changed, w) })
 	for i, w := range changed {
-		if w.listed && !slices.Contains(changed[:i], w) {
+		if w.inReady && !slices.Contains(changed[:i], w) {
 			r.insert(w)
 		}
 	}
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -9,22 +9,22 @@
 // is receiving a stream, or has left.
 type request struct {
 	RequestEvent
-	class             *Class
-	function          *function
-	weight            float64
-	objective         time.Duration // end of the latency objective
-	deadline          time.Duration // when the time left at arrival is over
-	attempts          []*attempt
-	outstanding       int // number of pending attempts
-	closed            bool
-	streaming         bool       // the client receives a stream
-	earnedLoads       bool       // the request was counted for the load budget
-	cancelledForRetry bool       // the pending attempt was cancelled so that a retry can follow
-	waitingFor        *placement // placement whose load order the request waits for, until waitUntil
-	waitUntil         time.Duration
-	rotation          int               // offset in the function's group at which the choice of a worker begins
-	extraCandidates   int               // workers beyond the group that the request may go to
-	excluded          map[WorkerID]bool // workers that are not tried again
+	class                *Class
+	function             *function
+	weight               float64
+	objective            time.Duration // end of the latency objective
+	deadline             time.Duration // when the time left at arrival is over
+	attempts             []*attempt
+	outstanding          int // number of pending attempts
+	closed               bool
+	streaming            bool       // the client receives a stream
+	countedForLoadBudget bool       // the request was counted for the load budget
+	cancelledForRetry    bool       // the pending attempt was cancelled so that a retry can follow
+	waitingFor           *placement // placement whose load order the request waits for, until loadWaitUntil
+	loadWaitUntil        time.Duration
+	rotation             int               // offset in the group at which the choice of a worker begins
+	extraCandidates      int               // workers beyond the group that the request may go to
+	excluded             map[WorkerID]bool // workers that are not tried again
 }
 
 // addRequest creates the record of a new request and adds it to the unanswered ones.
@@ -51,7 +51,7 @@
 	best         *worker // the preferred worker that needs no load order and is neither overloaded nor avoided
 	fallback     *worker // needs no load order, but is overloaded or avoided: the one with the shortest wait
 	fallbackWait float64 // estimated wait there, as a multiple of that at an idle worker
-	unloaded     *worker // the first worker where a copy could be ordered
+	orderTarget  *worker // the first worker where a copy could be ordered
 	copyReady    bool    // a worker that is not avoided needs no load order
 }
 
@@ -96,8 +96,8 @@
 	a.worker.outstanding = remove(a.worker.outstanding, a)
 }
 
-// giveUpLoad ends the request's wait for a load order and excludes the worker of that order.
-func (r *request) giveUpLoad() {
+// abandonLoadWait ends the request's wait for a load order and excludes the worker of that order.
+func (r *request) abandonLoadWait() {
 	r.excluded[r.waitingFor.worker.ID] = true
 	r.waitingFor = nil
 }
--- a/internal/balancer/restarts.go
+++ b/internal/balancer/restarts.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// noteFirstContact moves the assumed start of a worker to the time of the first attempt that reached the
+// recordFirstContact moves the assumed start of a worker to the time of the first attempt that reached the
 // worker again. The worker may have started at any time before this attempt.
-func (b *Balancer) noteFirstContact(a *attempt) {
+func (b *Balancer) recordFirstContact(a *attempt) {
 	w := a.worker
 	if w.assumedCold && w.slowStart.startedAt <= w.goneAt && a.sentAt > w.goneAt {
 		w.slowStart.startedAt = a.sentAt
--- a/internal/balancer/restarts_test.go
+++ b/internal/balancer/restarts_test.go
@@ -40,9 +40,9 @@
 	f, w := newFleetWithGoneWorker(t, StaleSync)
 	f.advance(f.now + 500*ms)
 	before := f.now
-	f.b.noteFirstContact(&attempt{worker: w, sentAt: before})
+	f.b.recordFirstContact(&attempt{worker: w, sentAt: before})
 	assert.Equal(t, before, w.slowStart.startedAt)
-	f.b.noteFirstContact(&attempt{worker: w, sentAt: before + 1})
+	f.b.recordFirstContact(&attempt{worker: w, sentAt: before + 1})
 	assert.Equal(t, before, w.slowStart.startedAt)
 }
 
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -51,13 +51,13 @@
 	contested := 0
 	for _, w := range f.b.workers {
 		if w.ID != "cold" && contested < 4 {
-			f.b.recordLease(w, OutcomeEvent{Status: Rejected, WrittenAt: f.now})
+			f.b.updateLease(w, OutcomeEvent{Status: Rejected, WrittenAt: f.now})
 			contested++
 		}
 	}
 	f.b.now += permit.MaxNotificationDelay + time.Second
 	f.b.leases.syncedAt = f.b.now
-	f.b.reviewLeases()
+	f.b.applyLeases()
 	require.Len(t, f.b.ready, 5)
 	assert.LessOrEqual(t, rate(), 1.1*before)
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -28,7 +28,7 @@
 	failureRate map[string]float64 // fraction of the attempts that fail, by class
 }
 
-// loadedTrust returns how long after its last use a copy of a function is believed to be still loaded.
-func (b *Balancer) loadedTrust() time.Duration {
-	return time.Duration(loadedTrustRatio * float64(b.settings.IdleTTL))
+// assumedLoadedTime returns how long after its last use a copy of a function is believed to be still loaded.
+func (b *Balancer) assumedLoadedTime() time.Duration {
+	return time.Duration(assumedLoadedRatio * float64(b.settings.IdleTTL))
 }
--- a/internal/balancer/sweep.go
+++ b/internal/balancer/sweep.go
@@ -30,11 +30,11 @@
 		case b.tooLate(r):
 			b.finish(r)
 		case b.now+sweepInterval > r.halfTime() && !r.reachedWorker():
-			b.decideAtHalfTime(r)
+			b.sendOrFinishAtHalfTime(r)
 		case r.waitingFor == nil:
 			waiting = append(waiting, r)
 		case b.loadWaitOver(r):
-			r.giveUpLoad()
+			r.abandonLoadWait()
 			waiting = append(waiting, r)
 		}
 	}
@@ -47,7 +47,9 @@
 func (b *Balancer) placeWaiting(waiting []*request) {
 	b.backlogged = false
 	slices.Reverse(waiting) // newest first: under overload, some are served in time rather than all late
-	slices.SortStableFunc(waiting, func(q, r *request) int { return cmp.Compare(b.value(r), b.value(q)) })
+	slices.SortStableFunc(waiting, func(q, r *request) int {
+		return cmp.Compare(b.valuePerSecond(r), b.valuePerSecond(q))
+	})
 	for _, r := range waiting {
 		if b.now+seconds(r.function.meanAnswer) > r.objective && len(b.ready) > 0 {
 			b.finish(r)
--- a/internal/balancer/worker.go
+++ b/internal/balancer/worker.go
@@ -9,22 +9,22 @@
 // worker is the balancer's record of one worker.
 type worker struct {
 	Worker
-	zone         *zone         // the record of Worker.Zone
-	fullWeight   float64       // Worker.Weight, or its largest value so far with Settings.LiveWeights
-	hash         uint64        // hash of the ID
-	listed       bool          // the list calls the worker ready, and its lease is valid
-	listedWeight float64       // fullWeight when the ready workers last changed by this worker
-	hotCalls     float64       // the worker's share of this dispatcher's calls of hot functions
-	removedAt    time.Duration // when the endpoint list last removed the worker
-	outstanding  []*attempt    // pending attempts, oldest first
-	slowStart    slowStart
-	window       concurrencyWindow // limits this dispatcher's attempts in flight
-	latency      latencyHistory
-	lastContact  time.Duration // when the worker last showed that it is reachable
-	lastReset    time.Duration // when a connection to the worker last broke
-	ejection     ejection
-	fullUntil    time.Duration           // the worker counts as full until then, as it rejected an attempt
-	classes      map[string]*classHealth // by class name
+	zone              *zone         // the record of Worker.Zone
+	fullWeight        float64       // Worker.Weight, or its largest value so far with Settings.LiveWeights
+	hash              uint64        // hash of the ID
+	inReady           bool          // the list calls the worker ready, and its lease is valid
+	listedWeight      float64       // fullWeight when the ready workers last changed by this worker
+	hotCalls          float64       // the worker's share of this dispatcher's calls of hot functions
+	removedAt         time.Duration // when the endpoint list last removed the worker
+	outstanding       []*attempt    // pending attempts, oldest first
+	slowStart         slowStart
+	window            concurrencyWindow // limits this dispatcher's attempts in flight
+	latency           latencyHistory
+	lastContact       time.Duration // when the worker last showed that it is reachable
+	lastReset         time.Duration // when a connection to the worker last broke
+	ejection          ejection
+	countsAsFullUntil time.Duration           // the worker counts as full until then, as it rejected an attempt
+	classes           map[string]*classHealth // by class name
 
 	// The fields below come last because sweeps over thousands of workers read only the fields above.
 
@@ -72,7 +72,7 @@
 	w.window.size = window
 	w.latency = newLatencyHistory()
 	for _, health := range w.classes {
-		health.rejectedInARow = 0
+		health.consecutiveRejections = 0
 		health.ejectedUntil = 0
 	}
 }
@@ -88,7 +88,7 @@
 // hasRoom reports whether the worker's concurrency window is not full, and the worker has not rejected an
 // attempt recently for lack of capacity.
 func (w *worker) hasRoom(now time.Duration) bool {
-	return now >= w.fullUntil && !w.window.full(len(w.outstanding))
+	return now >= w.countsAsFullUntil && !w.window.full(len(w.outstanding))
 }
 
 // unavailable reports whether the worker is excluded from placement, because it is ejected or its zone is
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -10,8 +10,8 @@
 	w := a.worker
 	switch e.Status {
 	case OK, Rejected, Miss:
-		b.noteFirstContact(a)
-		b.earnLoads(a.request)
+		b.recordFirstContact(a)
+		b.creditLoadBudget(a.request)
 		b.markHealthy(w)
 	case Failed: // an error is a sign of life
 		b.markReachable(w)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -95,9 +95,9 @@
 // applyDefaults replaces missing limits by safe values, because a dispatcher with default limits serves its clients better than
 // one that refuses to start.
 func (c *Config) applyDefaults() {
-	c.Connections.Streams = max(1, c.Connections.Streams)
-	if c.Connections.IdleClose <= 0 {
-		c.Connections.IdleClose = defaultIdleTimeout
+	c.Connections.MaxStreams = max(1, c.Connections.MaxStreams)
+	if c.Connections.IdleTimeout <= 0 {
+		c.Connections.IdleTimeout = defaultIdleTimeout
 	}
 	if c.Limits.Sockets <= 0 {
 		c.Limits.Sockets = defaultSockets
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,20 +25,20 @@
 	for _, test := range []struct {
 		name         string
 		limits, caps string
-		streams      int
-		idleClose    time.Duration
+		maxStreams   int
+		idleTimeout  time.Duration
 		sockets      int
 		memoryMB     float64
 	}{
-		{name: "nothing set", streams: 1, idleClose: time.Hour, sockets: 1024, memoryMB: 192},
+		{name: "nothing set", maxStreams: 1, idleTimeout: time.Hour, sockets: 1024, memoryMB: 192},
 		{name: "all set", limits: `"cores":0.2,"memory_mb":24,"sockets":48`, caps: `"idle_close_us":500000,"max_streams":4`,
-			streams: 4, idleClose: 500 * time.Millisecond, sockets: 48, memoryMB: 24},
+			maxStreams: 4, idleTimeout: 500 * time.Millisecond, sockets: 48, memoryMB: 24},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, err := readConfig(t, test.limits, test.caps)
 			require.NoError(t, err)
-			assert.Equal(t, test.streams, c.Connections.Streams)
-			assert.Equal(t, test.idleClose, c.Connections.IdleClose)
+			assert.Equal(t, test.maxStreams, c.Connections.MaxStreams)
+			assert.Equal(t, test.idleTimeout, c.Connections.IdleTimeout)
 			assert.Equal(t, test.sockets, c.Limits.Sockets)
 			assert.Equal(t, test.memoryMB, c.Limits.MemoryMB)
 		})
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -24,7 +24,7 @@
 	Workers        *Share
 	Discovery      *Share
 	Operators      *Share
-	Devices        *Share
+	InvokeClients  *Share
 	ownDescriptors int
 }
 
@@ -35,15 +35,15 @@
 		Workers:        NewShare(s.Workers),
 		Discovery:      NewShare(s.Discovery),
 		Operators:      NewShare(s.Operators),
-		Devices:        NewShare(s.Devices),
-		ownDescriptors: ownDescriptors(s.Devices),
+		InvokeClients:  NewShare(s.InvokeClients),
+		ownDescriptors: ownDescriptors(s.InvokeClients),
 	}
 }
 
 // Granted returns the number of descriptors in use over all shares.
 func (b *Budget) Granted() int {
 	granted := 0
-	for _, share := range []*Share{b.Clients, b.Workers, b.Discovery, b.Operators, b.Devices} {
+	for _, share := range []*Share{b.Clients, b.Workers, b.Discovery, b.Operators, b.InvokeClients} {
 		granted += share.InUse()
 	}
 	return granted
@@ -73,5 +73,5 @@
 func (b *Budget) String() string {
 	return fmt.Sprintf("clients=%d/%d workers=%d/%d discovery=%d/%d operators=%d/%d devices=%d/%d",
 		b.Clients.InUse(), b.Clients.Limit(), b.Workers.InUse(), b.Workers.Limit(), b.Discovery.InUse(), b.Discovery.Limit(),
-		b.Operators.InUse(), b.Operators.Limit(), b.Devices.InUse(), b.Devices.Limit())
+		b.Operators.InUse(), b.Operators.Limit(), b.InvokeClients.InUse(), b.InvokeClients.Limit())
 }
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -16,12 +16,12 @@
 // The shares plus the descriptors of the process itself must not exceed the limit, and no share may be empty.
 func TestSharesStayWithinTheLimit(t *testing.T) {
 	for _, limit := range []int{48, 64, 96, 192, 256, 384, 576, 1024, 4096} {
-		for _, devices := range []int{0, 128} {
-			if devices > 0 && limit < 192 {
+		for _, invokeConns := range []int{0, 128} {
+			if invokeConns > 0 && limit < 192 {
 				continue // too few descriptors for the invoke API
 			}
-			s := Divide(limit, devices)
-			assert.LessOrEqual(t, s.Total()+ownDescriptors(devices), limit, "%d: %+v", limit, s)
+			s := Divide(limit, invokeConns)
+			assert.LessOrEqual(t, s.Total()+ownDescriptors(invokeConns), limit, "%d: %+v", limit, s)
 			for _, share := range []int{s.Clients, s.Workers, s.Discovery, s.Operators} {
 				assert.Positive(t, share, "%d: %+v", limit, s)
 			}
@@ -67,7 +67,7 @@
 	conn, err := s.DialContext(ctx, "tcp", ln.Addr().String())
 	require.NoError(t, err)
 	_, err = s.DialContext(ctx, "tcp", ln.Addr().String())
-	assert.ErrorIs(t, err, ErrNone)
+	assert.ErrorIs(t, err, ErrExhausted)
 	conn.Close()
 	conn.Close()
 	assert.Zero(t, s.InUse())
--- a/internal/descriptors/share.go
+++ b/internal/descriptors/share.go
@@ -12,8 +12,8 @@
 	"kitefall/internal/metrics"
 )
 
-// ErrNone means that a share has no free descriptor. The shortage is in this process, not at the peer.
-var ErrNone = errors.New("no file descriptor is left in the share")
+// ErrExhausted means that a share has no free descriptor. The shortage is in this process, not at the peer.
+var ErrExhausted = errors.New("no file descriptor is left in the share")
 
 // Share limits and counts the file descriptors of one holder. It is safe for concurrent use. None of its
 // methods waits for a free descriptor, but the listener that Listener returns does.
@@ -31,8 +31,8 @@
 // InUse returns the number of descriptors in use.
 func (s *Share) InUse() int { return int(s.used.Load()) }
 
-// HasRoom reports whether a descriptor is free. Another goroutine may take it at any moment.
-func (s *Share) HasRoom() bool { return s.used.Load() < int64(s.limit) }
+// HasFree reports whether a descriptor is free. Another goroutine may take it at any moment.
+func (s *Share) HasFree() bool { return s.used.Load() < int64(s.limit) }
 
 // TryAcquire takes one descriptor if one is free, and reports whether it did.
 func (s *Share) TryAcquire() bool {
@@ -58,11 +58,11 @@
 const violationDoubleRelease = "descriptor_released_twice"
 
 // DialContext connects like net.Dialer, with a descriptor of the share that is released when the connection
-// is closed. If no descriptor is free, it fails at once with ErrNone.
+// is closed. If no descriptor is free, it fails at once with ErrExhausted.
 func (s *Share) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	if !s.TryAcquire() {
 		metrics.Shortages.Add("discovery")
-		return nil, ErrNone
+		return nil, ErrExhausted
 	}
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, addr)
@@ -94,7 +94,7 @@
 	}
 	if !l.share.TryAcquire() {
 		conn.Close()
-		return nil, ErrNone
+		return nil, ErrExhausted
 	}
 	return &countedConn{Conn: conn, share: l.share}, nil
 }
--- a/internal/descriptors/shares.go
+++ b/internal/descriptors/shares.go
@@ -32,31 +32,31 @@
 
 // Shares holds the number of descriptors in each share, without those of the process itself.
 type Shares struct {
-	Clients   int // connections of the platform's clients
-	Workers   int // connections to all workers
-	Discovery int // connections to the discovery service
-	Operators int // connections of operators
-	Devices   int // connections of the invoke API's clients
+	Clients       int // connections of the platform's clients
+	Workers       int // connections to all workers
+	Discovery     int // connections to the discovery service
+	Operators     int // connections of operators
+	InvokeClients int // connections of the invoke API's clients
 }
 
-// Divide divides limit into shares. devices is the number of connections configured for the invoke API; 0:
-// the API is disabled. Every other share has at least one descriptor.
-func Divide(limit, devices int) Shares {
+// Divide divides limit into shares. invokeConns is the number of connections configured for the invoke API;
+// 0: the API is disabled. Every other share has at least one descriptor.
+func Divide(limit, invokeConns int) Shares {
 	s := Shares{
-		Clients:   max(1, int(clientFraction*float64(limit))),
-		Discovery: discoveryShare,
-		Operators: min(max(minOperators, int(operatorFraction*float64(limit))), maxOperators),
-		Devices:   min(devices, int(invokeFraction*float64(limit))),
+		Clients:       max(1, int(clientFraction*float64(limit))),
+		Discovery:     discoveryShare,
+		Operators:     min(max(minOperators, int(operatorFraction*float64(limit))), maxOperators),
+		InvokeClients: min(invokeConns, int(invokeFraction*float64(limit))),
 	}
-	remaining := limit - s.Clients - s.Discovery - s.Operators - s.Devices - ownDescriptors(devices)
+	remaining := limit - s.Clients - s.Discovery - s.Operators - s.InvokeClients - ownDescriptors(invokeConns)
 	s.Workers = max(1, min(remaining, int(workerFraction*float64(limit))))
 	return s
 }
 
-// ownDescriptors returns the number of descriptors reserved for the process itself. devices is the number of
-// connections configured for the invoke API; 0: the API is disabled.
-func ownDescriptors(devices int) int {
-	if devices == 0 {
+// ownDescriptors returns the number of descriptors reserved for the process itself. invokeConns is the
+// number of connections configured for the invoke API; 0: the API is disabled.
+func ownDescriptors(invokeConns int) int {
+	if invokeConns == 0 {
 		return runtimeDescriptors
 	}
 	return runtimeDescriptors + storeDescriptors
@@ -64,5 +64,5 @@
 
 // Total returns the sum of all shares.
 func (s Shares) Total() int {
-	return s.Clients + s.Workers + s.Discovery + s.Operators + s.Devices
+	return s.Clients + s.Workers + s.Discovery + s.Operators + s.InvokeClients
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -55,7 +55,7 @@
 
 // Watcher polls the endpoint list and passes on each event once, in the order of revisions.
 //
-// Seed must not be called during Run. SetAddress may be called from any goroutine at any time.
+// ApplyInitial must not be called during Run. SetAddress may be called from any goroutine at any time.
 type Watcher struct {
 	receiver Receiver
 	client   *http.Client
@@ -69,7 +69,7 @@
 	addrChanged chan struct{} // closed and replaced when addr changes
 }
 
-// Receiver receives the updates of a Watcher. It is called from the goroutine of Seed or Run.
+// Receiver receives the updates of a Watcher. It is called from the goroutine of ApplyInitial or Run.
 type Receiver interface {
 	// UpdateEndpoints is called with each new endpoint list or change to it.
 	UpdateEndpoints(update Update)
@@ -106,9 +106,11 @@
 	return w.addr, w.addrChanged
 }
 
-// Seed passes on the events of the configuration at startup. Later changes may be missing from them, so an event with the
-// whole list gets the scope balancer.ScopeStale.
-func (w *Watcher) Seed(known WatchResponse) { w.apply(known, balancer.ScopeStale, time.Now()) }
+// ApplyInitial passes on the events of the configuration at startup. Later changes may be missing from them, so an event with
+// the whole list gets the scope balancer.ScopeStale.
+func (w *Watcher) ApplyInitial(initial WatchResponse) {
+	w.apply(initial, balancer.ScopeStale, time.Now())
+}
 
 // Run polls the server until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -57,12 +57,12 @@
 func (r *recorder) UpdateEndpoints(update discovery.Update) { r.updates = append(r.updates, update) }
 func (r *recorder) ConfirmEndpoints(asOf time.Time)         { r.confirmed = append(r.confirmed, asOf) }
 
-// newSeededWatcher returns a watcher that was seeded with fullList, and the recorder of its updates.
-func newSeededWatcher(t *testing.T, server *httptest.Server) (*discovery.Watcher, *recorder) {
+// newInitializedWatcher returns a watcher that has applied fullList as the initial list, and the recorder of its updates.
+func newInitializedWatcher(t *testing.T, server *httptest.Server) (*discovery.Watcher, *recorder) {
 	t.Helper()
 	recorded := &recorder{}
 	watcher := discovery.NewWatcher(address(server), descriptors.NewShare(4), recorded)
-	watcher.Seed(parse(t, fullList))
+	watcher.ApplyInitial(parse(t, fullList))
 	return watcher, recorded
 }
 
@@ -86,14 +86,14 @@
 		}
 		answers = answers[min(1, len(answers)):]
 	})
-	watcher, recorded := newSeededWatcher(t, server)
+	watcher, recorded := newInitializedWatcher(t, server)
 	watcher.Run(ctx)
 	assert.Equal(t, []string{"41", "41", "42"}, []string{<-revisions, <-revisions, <-revisions})
 	require.Len(t, recorded.updates, 2)
-	seeded, changed := recorded.updates[0], recorded.updates[1]
-	assert.Equal(t, balancer.ScopeStale, seeded.Scope)
+	initial, changed := recorded.updates[0], recorded.updates[1]
+	assert.Equal(t, balancer.ScopeStale, initial.Scope)
 	assert.Equal(t, discovery.Endpoint{Addr: "10.1.0.9:4100", Worker: balancer.Worker{ID: "s-1", Kind: "std", Zone: "east",
-		Cell: 2, Weight: 4}, ReportedStart: 7 * time.Millisecond}, seeded.Endpoints[0])
+		Cell: 2, Weight: 4}, ReportedStart: 7 * time.Millisecond}, initial.Endpoints[0])
 	assert.Equal(t, balancer.ScopeDelta, changed.Scope)
 	assert.Equal(t, []balancer.WorkerState{balancer.Draining, balancer.Ready},
 		[]balancer.WorkerState{changed.Endpoints[0].State, changed.Endpoints[1].State})
@@ -114,7 +114,7 @@
 		revision <- polledRevision(r)
 		cancel()
 	})
-	watcher, _ := newSeededWatcher(t, oldServer)
+	watcher, _ := newInitializedWatcher(t, oldServer)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -149,7 +149,7 @@
 		polledAt <- time.Now()
 		revisions <- polledRevision(r)
 	})
-	watcher, recorded := newSeededWatcher(t, server)
+	watcher, recorded := newInitializedWatcher(t, server)
 	watcher.Run(ctx)
 	require.Len(t, polledAt, answered+1)
 	previous := <-polledAt
@@ -170,15 +170,15 @@
 func TestChangesAheadOfTheFirstFullListAreSkipped(t *testing.T) {
 	recorded := &recorder{}
 	watcher := discovery.NewWatcher("", descriptors.NewShare(4), recorded)
-	watcher.Seed(parse(t, `{"rev":3,"notices":[{"rev":1,"pool":{"targets":[{"uid":"s-1","state":"active"}]}}]}`))
+	watcher.ApplyInitial(parse(t, `{"rev":3,"notices":[{"rev":1,"pool":{"targets":[{"uid":"s-1","state":"active"}]}}]}`))
 	assert.Empty(t, recorded.updates)
-	watcher.Seed(parse(t, `{"rev":3,"notices":[{"rev":2,"pool":{"all":true,"targets":[{"uid":"s-2","state":"left"}]}}]}`))
+	watcher.ApplyInitial(parse(t, `{"rev":3,"notices":[{"rev":2,"pool":{"all":true,"targets":[{"uid":"s-2","state":"left"}]}}]}`))
 	require.Len(t, recorded.updates, 1)
 	assert.WithinDuration(t, time.Now(), recorded.updates[0].AsOf, time.Minute)
 	recorded.updates[0].AsOf = time.Time{}
 	assert.Equal(t, []discovery.Update{{Scope: balancer.ScopeStale, Endpoints: []discovery.Endpoint{
 		{Worker: balancer.Worker{ID: "s-2", Weight: 1, State: balancer.Removed}}}}}, recorded.updates)
-	assert.Empty(t, recorded.confirmed, "no server has confirmed the seeded list")
+	assert.Empty(t, recorded.confirmed, "no server has confirmed the initial list")
 }
 
 // Only a complete answer is a sync: not an answer from a server with an older revision, and not an answer whose last event is
@@ -211,7 +211,7 @@
 				}
 				w.Write([]byte(test.answer))
 			})
-			watcher, recorded := newSeededWatcher(t, server)
+			watcher, recorded := newInitializedWatcher(t, server)
 			start := time.Now()
 			watcher.Run(ctx)
 			if !test.isSync {
@@ -243,7 +243,7 @@
 			cancel()
 		}
 	})
-	watcher, _ := newSeededWatcher(t, server)
+	watcher, _ := newInitializedWatcher(t, server)
 	watcher.Run(ctx)
 	require.Len(t, polledAt, polls)
 	for i, least := range []time.Duration{50, 100, 200, 400, 400} {
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -34,7 +34,7 @@
 
 // addReadyEndpoint adds a worker that the endpoint list names as ready now, at an address where nothing listens.
 func (c *Core) addReadyEndpoint(id balancer.WorkerID) {
-	c.ensureEndpoint(id, "127.0.0.1:1").lease.Listed(c.clock.balancerTime(time.Now()))
+	c.ensureEndpoint(id, "127.0.0.1:1").lease.RecordListed(c.clock.balancerTime(time.Now()))
 }
 
 // idempotentSettings returns settings with one class, whose requests may run more than once.
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -26,7 +26,7 @@
 type endpoint struct {
 	addr  string
 	pool  *worker.Pool
-	state permit.Worker // state by the endpoint list; a removed endpoint is kept until its pool is idle
+	state permit.WorkerState // state by the endpoint list; a removed endpoint is kept until its pool is idle
 	lease permit.Lease
 }
 
@@ -86,8 +86,8 @@
 func (c *Core) updateEndpoint(entry discovery.Endpoint, asOf time.Duration) {
 	e := c.ensureEndpoint(entry.ID, entry.Addr)
 	c.setEndpointState(entry.ID, e, entry.State.Permitted())
-	if e.state == permit.WorkerReady {
-		e.lease.Listed(asOf)
+	if e.state == permit.WorkerStateReady {
+		e.lease.RecordListed(asOf)
 		e.pool.MarkReady(c.clock.systemTime(entry.Started))
 	} else {
 		e.pool.MarkUnavailable(e.state)
@@ -95,13 +95,13 @@
 }
 
 // setEndpointState sets the state of an endpoint and adds it to, or deletes it from, the removed workers.
-func (c *Core) setEndpointState(id balancer.WorkerID, e *endpoint, state permit.Worker) {
+func (c *Core) setEndpointState(id balancer.WorkerID, e *endpoint, state permit.WorkerState) {
 	if e.state != state {
 		workerStateLog.Log(slog.LevelInfo, "core: worker changed its state", "worker", string(id), "from", e.state.String(),
 			"to", state.String())
 	}
 	e.state = state
-	if state == permit.WorkerIsRemoved {
+	if state == permit.WorkerStateRemoved {
 		c.removed[id] = true
 	} else {
 		delete(c.removed, id)
@@ -116,7 +116,7 @@
 		return existing
 	}
 	if existing != nil { // the worker has a new address; its attempts at the old address may still be answered
-		existing.pool.MarkUnavailable(permit.WorkerIsRemoved)
+		existing.pool.MarkUnavailable(permit.WorkerStateRemoved)
 	}
 	e := &endpoint{addr: addr, pool: worker.NewPool(string(id), addr, &c.config.Pool)}
 	c.endpoints[id] = e
@@ -127,7 +127,7 @@
 func (c *Core) markAbsentRemoved(listed map[balancer.WorkerID]bool) {
 	for id, e := range c.endpoints {
 		if !listed[id] {
-			c.setEndpointState(id, e, permit.WorkerIsRemoved)
+			c.setEndpointState(id, e, permit.WorkerStateRemoved)
 			e.pool.MarkUnavailable(e.state)
 		}
 	}
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -125,7 +125,7 @@
 	}
 	writtenAt = c.clock.balancerTime(result.WrittenAt)
 	if order.proofAge > 0 && result.Status == balancer.OK {
-		e.lease.Loaded(writtenAt-order.proofAge, c.clock.balancerTime(result.ConnectedSince), c.syncedAt)
+		e.lease.RecordLoaded(writtenAt-order.proofAge, c.clock.balancerTime(result.ConnectedSince), c.syncedAt)
 	}
 	return writtenAt
 }
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -42,7 +42,7 @@
 // checkAttempt checks whether an attempt may be handed to its worker's pool.
 func (c *Core) checkAttempt(a *attempt) permit.Reason {
 	r := a.request
-	start := permit.Start{
+	start := permit.StartConditions{
 		Worker:     c.endpointState(a.workerID),
 		ClientGone: r.handle.finished.Load(),
 		TimeLeft:   time.Until(a.deadline),
@@ -51,23 +51,23 @@
 	if reason := start.Check(); reason != permit.Allowed {
 		return reason
 	}
-	repeat := permit.Repeat{
+	retry := permit.RetryConditions{
 		Attempts:    a.number,
 		MaxAttempts: c.permits.maxAttempts,
 		Repeatable:  c.permits.repeatable[r.call.Class],
 		Hedging:     c.permits.hedging,
 	}
 	for _, other := range r.attempts[:a.number] {
-		repeat.Pending = repeat.Pending || !other.ended()
-		repeat.MayHaveRun = repeat.MayHaveRun || other.mayHaveRun()
+		retry.Pending = retry.Pending || !other.ended()
+		retry.MayHaveRun = retry.MayHaveRun || other.mayHaveRun()
 	}
-	return repeat.Check()
+	return retry.Check()
 }
 
 // checkLoad checks whether a load order may be handed to its worker's pool. An order for at least one copy is deducted from
 // the load budget; an order for 0 copies only asks for their number and is not.
 func (c *Core) checkLoad(load balancer.Load, now time.Time) permit.Reason {
-	start := permit.Start{Worker: c.endpointState(load.Worker), LeaseLeft: c.leaseLeft(load.Worker, now)}
+	start := permit.StartConditions{Worker: c.endpointState(load.Worker), LeaseLeft: c.leaseLeft(load.Worker, now)}
 	if reason := start.Check(); reason != permit.Allowed || load.Copies == 0 {
 		return reason
 	}
@@ -75,10 +75,10 @@
 }
 
 // endpointState returns the state of a worker by the last update of the endpoint list. Unknown workers count as removed.
-func (c *Core) endpointState(id balancer.WorkerID) permit.Worker {
+func (c *Core) endpointState(id balancer.WorkerID) permit.WorkerState {
 	e := c.endpoints[id]
 	if e == nil {
-		return permit.WorkerIsRemoved
+		return permit.WorkerStateRemoved
 	}
 	return e.state
 }
@@ -109,7 +109,7 @@
 	writtenAt = c.clock.balancerTime(result.WrittenAt)
 	switch result.Status { // the balancer evaluates rejections: a worker that rejects may be full rather than draining
 	case balancer.OK, balancer.Miss, balancer.Failed:
-		e.lease.Accepted(writtenAt, c.clock.balancerTime(result.ConnectedSince), c.syncedAt)
+		e.lease.RecordAccepted(writtenAt, c.clock.balancerTime(result.ConnectedSince), c.syncedAt)
 	}
 	return writtenAt
 }
--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -80,7 +80,7 @@
 	c, scripted := newScriptedCore(t, idempotentSettings(), func(id balancer.RequestID) []balancer.Action {
 		return []balancer.Action{balancer.Send{ID: id, Worker: "s-1"}}
 	})
-	c.endpoints["s-1"].state = permit.WorkerIsDraining
+	c.endpoints["s-1"].state = permit.WorkerStateDraining
 	violations, refusals := metrics.Violations.Get("worker_draining"), metrics.Refusals.Get("worker_draining")
 	acceptCall(c, "consulta")
 	assert.Equal(t, []balancer.Status{balancer.NotSent}, scripted.outcomes())
@@ -113,17 +113,17 @@
 	c.endpoints["s-1"].lease = permit.Lease{}
 	polled := time.Now()
 	c.handle(endpointsConfirmed{asOf: polled})
-	assert.Equal(t, terms.Synced, c.leaseLeft("s-1", polled))
+	assert.Equal(t, terms.AfterSync, c.leaseLeft("s-1", polled))
 	written := polled
 	// A worker that rejects calls because it is draining returns none of these statuses.
 	for _, status := range []balancer.Status{balancer.OK, balancer.Miss, balancer.Failed} {
 		acceptCall(c, "consulta")
 		written = written.Add(time.Minute)
 		c.handle(attemptEnded{attempt: c.requests[c.lastID].attempts[0], result: worker.Result{Status: status, WrittenAt: written}})
-		assert.Equal(t, terms.Accepted, c.leaseLeft("s-1", written), "%s", status)
+		assert.Equal(t, terms.AfterAccepted, c.leaseLeft("s-1", written), "%s", status)
 	}
 	c.handle(attemptTimedOut{attempt: c.requests[c.lastID].attempts[0]})
-	assert.Equal(t, terms.Accepted, c.leaseLeft("s-1", written))
+	assert.Equal(t, terms.AfterAccepted, c.leaseLeft("s-1", written))
 	assert.Negative(t, c.leaseLeft("s-2", polled), "an unknown worker has no lease")
 }
 
@@ -152,7 +152,7 @@
 	endLoadWith(balancer.OK)
 	assert.Equal(t, keepalives+1, metrics.Keepalives.Get(balancer.OK.String()))
 	assert.Equal(t, orders+1, metrics.LoadOrders.Get(balancer.OK.String()), "a keepalive that is a load order must count as a load order too")
-	assert.Equal(t, terms.Loaded-order.ProofAge, c.leaseLeft("s-1", written))
+	assert.Equal(t, terms.AfterLoad-order.ProofAge, c.leaseLeft("s-1", written))
 	order.Copies = 0
 	acceptCall(c, "consulta")
 	assert.NotNil(t, c.loads[loadKey{"s-1", testFunction}], "an order for 0 copies must be sent although the budget is spent")
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -145,8 +145,8 @@
 }
 
 // pendingAnswersLocked returns the numbers of unanswered requests and of unwritten answers. The caller holds c.mu.
-func (c *clientConn) pendingAnswersLocked() permit.Connection {
-	return permit.Connection{Open: len(c.requests), Unwritten: c.unwritten}
+func (c *clientConn) pendingAnswersLocked() permit.ConnectionUse {
+	return permit.ConnectionUse{Open: len(c.requests), Unwritten: c.unwritten}
 }
 
 // close closes the connection and cancels its requests in flight. Calls after the first have no effect.
--- a/internal/frontend/resp/trackedconn.go
+++ b/internal/frontend/resp/trackedconn.go
@@ -88,7 +88,7 @@
 // whether it did. An incomplete request also prevents this if reason.waitsForIncomplete. If reading has stopped, the caller
 // closes the connection: a request that arrives in between stays unread, so that the operating system resets the connection and
 // the client knows that the request had no effect.
-func (t *trackedConn) stopReadingIfIdle(reason closeReason, pendingAnswers permit.Connection) bool {
+func (t *trackedConn) stopReadingIfIdle(reason closeReason, pendingAnswers permit.ConnectionUse) bool {
 	return t.StopReadingIf(func(unread bool) bool {
 		use := pendingAnswers
 		use.Unhandled = int(t.unhandled.Load())
@@ -102,7 +102,7 @@
 func (t *trackedConn) closeIfIdle(reason closeReason) (closed bool) {
 	t.server.mu.Lock()
 	client := t.client
-	closing := client == nil && !t.closed && t.stopReadingIfIdle(reason, permit.Connection{})
+	closing := client == nil && !t.closed && t.stopReadingIfIdle(reason, permit.ConnectionUse{})
 	if closing {
 		t.closed = true // attach refuses a first request that arrives now
 	}
--- a/internal/permit/attempt.go
+++ b/internal/permit/attempt.go
@@ -2,35 +2,39 @@
 
 import "time"
 
-// Worker is the state of a worker, which decides whether it accepts new calls and load orders.
-type Worker int
+// WorkerState is the state of a worker, which decides whether it accepts new calls and load orders.
+type WorkerState int
 
 // The states of a worker. Only a ready worker accepts new calls and load orders.
 const (
-	WorkerReady Worker = iota
-	WorkerIsDraining
-	WorkerIsRemoved
+	WorkerStateReady WorkerState = iota
+	WorkerStateDraining
+	WorkerStateRemoved
 )
 
-var workerNames = [...]string{WorkerReady: "ready", WorkerIsDraining: "draining", WorkerIsRemoved: "removed"}
+var workerStateNames = [...]string{
+	WorkerStateReady:    "ready",
+	WorkerStateDraining: "draining",
+	WorkerStateRemoved:  "removed",
+}
 
 // String returns the name of the state in logs and metrics.
-func (w Worker) String() string { return workerNames[w] }
+func (s WorkerState) String() string { return workerStateNames[s] }
 
-// Start holds the facts that decide whether an attempt or a load order may start at a worker.
-type Start struct {
-	Worker     Worker
+// StartConditions holds the facts that decide whether an attempt or a load order may start at a worker.
+type StartConditions struct {
+	Worker     WorkerState
 	ClientGone bool          // the client no longer waits for an answer; always false for a load order
 	TimeLeft   time.Duration // until the latest permitted start; if negative, the start is refused
 	LeaseLeft  time.Duration // until the worker's lease ends; if negative, the start is refused
 }
 
 // Check returns Allowed, or the reason why the start is refused.
-func (s Start) Check() Reason {
+func (s StartConditions) Check() Reason {
 	switch {
-	case s.Worker == WorkerIsRemoved:
+	case s.Worker == WorkerStateRemoved:
 		return WorkerRemoved
-	case s.Worker == WorkerIsDraining:
+	case s.Worker == WorkerStateDraining:
 		return WorkerDraining
 	case s.LeaseLeft < 0:
 		return LeaseEnded
@@ -42,9 +46,9 @@
 	return Allowed
 }
 
-// Repeat holds the facts that decide whether a request may have another attempt. They also apply to the first
-// attempt, for which Attempts is 0.
-type Repeat struct {
+// RetryConditions holds the facts that decide whether a request may have another attempt. They also apply to
+// the first attempt, for which Attempts is 0.
+type RetryConditions struct {
 	Attempts    int  // attempts of the request that were started before
 	MaxAttempts int  // attempts that the request may have in total
 	Pending     bool // an earlier attempt is pending
@@ -54,10 +58,10 @@
 }
 
 // Forbidden reports whether another attempt could run a request twice that must run at most once.
-func (r Repeat) Forbidden() bool { return r.MayHaveRun && !r.Repeatable }
+func (r RetryConditions) Forbidden() bool { return r.MayHaveRun && !r.Repeatable }
 
 // Check returns Allowed, or the reason why another attempt is refused.
-func (r Repeat) Check() Reason {
+func (r RetryConditions) Check() Reason {
 	switch {
 	case r.Forbidden():
 		return RepeatForbidden
@@ -69,9 +73,9 @@
 	return Allowed
 }
 
-// Connection holds the facts that decide whether a connection may be closed while its peer follows the
+// ConnectionUse holds the facts that decide whether a connection may be closed while its peer follows the
 // protocol.
-type Connection struct {
+type ConnectionUse struct {
 	Open       int  // requests without an answer
 	Unwritten  int  // messages that are queued or being written
 	Unhandled  int  // requests that were read and not processed yet
@@ -80,7 +84,7 @@
 }
 
 // Check returns Allowed, or the reason why the connection may not be closed.
-func (c Connection) Check() Reason {
+func (c ConnectionUse) Check() Reason {
 	if c.Open > 0 || c.Unwritten > 0 || c.Unhandled > 0 || c.Incomplete || c.Unread {
 		return InUse
 	}
--- a/internal/permit/lease.go
+++ b/internal/permit/lease.go
@@ -30,9 +30,9 @@
 
 // LeaseTerms holds how long each kind of evidence that a worker is ready keeps its lease valid.
 type LeaseTerms struct {
-	Synced   time.Duration // from when the poll of a sync was sent; the answer of a sync is complete
-	Accepted time.Duration // from when a call was written that the worker accepted
-	Loaded   time.Duration // from when a load started that the worker was ordered to do
+	AfterSync     time.Duration // from when the poll of a sync was sent; the answer of a sync is complete
+	AfterAccepted time.Duration // from when a call was written that the worker accepted
+	AfterLoad     time.Duration // from when a load started that the worker was ordered to do
 }
 
 // NewLeaseTerms returns the terms for a drain grace. The protocol forbids new calls and load orders at a
@@ -43,9 +43,9 @@
 func NewLeaseTerms(drainGrace time.Duration) LeaseTerms {
 	latestStart := MaxNotificationDelay + drainGrace - deliveryMargin
 	return LeaseTerms{
-		Synced:   latestStart - listDelay,
-		Accepted: latestStart - max(minDrainAcceptance, drainGrace+extraDrainAcceptance),
-		Loaded:   latestStart - listDelay,
+		AfterSync:     latestStart - listDelay,
+		AfterAccepted: latestStart - max(minDrainAcceptance, drainGrace+extraDrainAcceptance),
+		AfterLoad:     latestStart - listDelay,
 	}
 }
 
@@ -87,10 +87,10 @@
 // end returns until when the evidence shows that the worker is ready, or 0 if there is no evidence.
 func (e evidence) end(terms LeaseTerms) (end time.Duration) {
 	if e.acceptedAt > 0 {
-		end = e.acceptedAt + terms.Accepted
+		end = e.acceptedAt + terms.AfterAccepted
 	}
 	if e.loadedAt > 0 {
-		end = max(end, e.loadedAt+terms.Loaded)
+		end = max(end, e.loadedAt+terms.AfterLoad)
 	}
 	return end
 }
@@ -121,31 +121,31 @@
 	return 0
 }
 
-// Assumed records that an endpoint list names the worker as ready, where the list may be old, as the one
-// that a dispatcher uses at its start. The list counts as current as of the given time until the worker
-// rejects a call without having accepted one shortly before.
-func (l *Lease) Assumed(asOf time.Duration) {
-	l.Listed(asOf)
+// RecordStaleListing records that an endpoint list names the worker as ready, where the list may be old, as
+// the one that a dispatcher uses at its start. The list counts as current as of the given time until the
+// worker rejects a call without having accepted one shortly before.
+func (l *Lease) RecordStaleListing(asOf time.Duration) {
+	l.RecordListed(asOf)
 	l.listMayBeStale = true
 }
 
-// Listed records that the endpoint list names the worker as ready, as of a time.
-func (l *Lease) Listed(asOf time.Duration) {
+// RecordListed records that the endpoint list names the worker as ready, as of a time.
+func (l *Lease) RecordListed(asOf time.Duration) {
 	l.listMayBeStale = false
 	l.listedAt = max(l.listedAt, asOf)
 	l.endContest(asOf)
 }
 
-// Accepted records that the worker accepted a call that was written at writtenAt: the worker served the
-// call, failed to serve it, or reported that its function is not loaded. Since connectedSince there has
+// RecordAccepted records that the worker accepted a call that was written at writtenAt: the worker served
+// the call, failed to serve it, or reported that its function is not loaded. Since connectedSince there has
 // always been a connection to the worker's process. The poll of the last sync was sent at syncedAt.
-func (l *Lease) Accepted(writtenAt, connectedSince, syncedAt time.Duration) {
+func (l *Lease) RecordAccepted(writtenAt, connectedSince, syncedAt time.Duration) {
 	l.addEvidence(pendingEvidence{evidence{acceptedAt: writtenAt}, connectedSince}, syncedAt)
 }
 
-// Loaded records that the worker carried out a load order, with a load that started at startedAt or
-// later. The other parameters are those of Accepted.
-func (l *Lease) Loaded(startedAt, connectedSince, syncedAt time.Duration) {
+// RecordLoaded records that the worker carried out a load order, with a load that started at startedAt or
+// later. The other parameters are those of RecordAccepted.
+func (l *Lease) RecordLoaded(startedAt, connectedSince, syncedAt time.Duration) {
 	l.addEvidence(pendingEvidence{evidence{loadedAt: startedAt}, connectedSince}, syncedAt)
 }
 
@@ -163,11 +163,11 @@
 	}
 }
 
-// Rejected records that the worker rejected a call that was written at writtenAt. The worker may be full,
-// or it may be draining while discovery does not report the drain. So syncs do not renew its lease for
-// contestDuration, unless the worker accepts a call, carries out a load order or is named by the list
-// before that.
-func (l *Lease) Rejected(writtenAt time.Duration) {
+// RecordRejected records that the worker rejected a call that was written at writtenAt. The worker may be
+// full, or it may be draining while discovery does not report the drain. So syncs do not renew its lease for
+// contestDuration, unless the worker accepts a call, carries out a load order or is named by the list before
+// that.
+func (l *Lease) RecordRejected(writtenAt time.Duration) {
 	if writtenAt <= max(l.established.latest(), l.listedAt) {
 		return
 	}
@@ -205,9 +205,9 @@
 	var end time.Duration
 	switch confirmed := l.confirmedAt(syncedAt); {
 	case confirmed > 0:
-		end = confirmed + terms.Synced
+		end = confirmed + terms.AfterSync
 	case l.listMayBeStale: // after a rejection, the old list counts only while evidence supports it
-		end = min(l.listedAt+terms.Synced, l.pending.evidence.end(terms))
+		end = min(l.listedAt+terms.AfterSync, l.pending.evidence.end(terms))
 	}
 	end = max(end, l.established.end(terms))
 	if now >= l.pending.validFrom() {
@@ -223,9 +223,9 @@
 	return l.established.merge(l.pending.evidence).end(terms) - now
 }
 
-// ProvenUntil returns the time after which the lease stays expired without further evidence. The lease may be
-// expired for a while before that time, see ResumesAt.
-func (l *Lease) ProvenUntil(terms LeaseTerms, syncedAt time.Duration) time.Duration {
+// FinalExpiry returns the time after which the lease stays expired without further evidence. The lease may
+// be expired for a while before that time, see ResumesAt.
+func (l *Lease) FinalExpiry(terms LeaseTerms, syncedAt time.Duration) time.Duration {
 	return max(l.Left(terms, syncedAt, 0), l.pending.end(terms))
 }
 
--- a/internal/permit/lease_test.go
+++ b/internal/permit/lease_test.go
@@ -25,13 +25,13 @@
 		assert.Less(t, bySync.end(terms, synced), drained+MaxNotificationDelay+grace, "by a sync")
 		assert.Greater(t, bySync.end(terms, synced), synced+MaxNotificationDelay-listDelay-deliveryMargin, "by a sync")
 		var accepted Lease
-		accepted.Listed(time.Minute)
-		accepted.Accepted(time.Hour, time.Second, 0)
+		accepted.RecordListed(time.Minute)
+		accepted.RecordAccepted(time.Hour, time.Second, 0)
 		drained = time.Hour - grace - 500*time.Millisecond // a draining worker still accepts calls for this long
 		assert.Less(t, accepted.end(terms, 0), drained+MaxNotificationDelay+grace, "by an accepted call")
 		var loaded Lease
-		loaded.Listed(time.Minute)
-		loaded.Loaded(time.Hour, time.Second, 0)
+		loaded.RecordListed(time.Minute)
+		loaded.RecordLoaded(time.Hour, time.Second, 0)
 		assert.Less(t, loaded.end(terms, 0), time.Hour+MaxNotificationDelay+grace, "by a load: the worker drains right after the load started")
 	}
 }
@@ -45,40 +45,44 @@
 		want     time.Duration
 	}{
 		"no evidence":                     {func(*Lease) {}, 0, 0},
-		"listed":                          {func(l *Lease) { l.Listed(now) }, 0, now + terms.Synced},
-		"listed, then synced":             {func(l *Lease) { l.Listed(now) }, now + 3, now + 3 + terms.Synced},
-		"served":                          {func(l *Lease) { l.Listed(1); l.Accepted(now, 1, 0) }, 0, now + terms.Accepted},
-		"served late":                     {func(l *Lease) { l.Listed(1); l.Accepted(now, 1, 0); l.Accepted(now-1, 1, 0) }, 0, now + terms.Accepted},
-		"rejected: a sync does not renew": {func(l *Lease) { l.Listed(now); l.Rejected(now + 1) }, now + 5, now + terms.Synced},
-		"rejected, never served":          {func(l *Lease) { l.Rejected(now + 1) }, now + 5, 0},
-		"served on a new connection": {func(l *Lease) { l.Listed(now); l.Accepted(now+5*time.Second, now+1, now) }, now,
-			now + 5*time.Second + terms.Accepted},
-		"served on a connection as old as the last sync": {func(l *Lease) { l.Listed(now); l.Accepted(now+9*time.Second, now+2, now+2) }, now + 2,
-			now + 9*time.Second + terms.Accepted},
-		"served on a connection older than the last evidence": {func(l *Lease) { l.Listed(now); l.Accepted(now+5, now, now); l.Accepted(now+9*time.Second, now+1, now) },
-			now, now + 9*time.Second + terms.Accepted},
-		"rejected, served on a new connection": {func(l *Lease) { l.Listed(1); l.Rejected(now); l.Accepted(now+2, now+1, now) }, now + 5,
-			now + 5 + terms.Synced},
-		"rejected, then served":            {func(l *Lease) { l.Rejected(now); l.Accepted(now+1, 1, 0) }, now + 5, now + 5 + terms.Synced},
-		"rejected, served before":          {func(l *Lease) { l.Listed(1); l.Accepted(now-1, 1, 0); l.Rejected(now) }, now + 5, now - 1 + terms.Accepted},
-		"rejected, then listed":            {func(l *Lease) { l.Rejected(now); l.Listed(now + 1) }, now + 5, now + 5 + terms.Synced},
-		"served, an earlier call rejected": {func(l *Lease) { l.Listed(1); l.Accepted(now, 1, 0); l.Rejected(now - 1) }, now + 5, now + 5 + terms.Synced},
-		"loaded":                           {func(l *Lease) { l.Listed(1); l.Loaded(now, 1, 0) }, 0, now + terms.Loaded},
-		"loaded, a call accepted later": {func(l *Lease) { l.Listed(1); l.Loaded(now, 1, 0); l.Accepted(now+1, 1, 0) }, 0,
-			now + terms.Loaded},
-		"rejected, then loaded":                {func(l *Lease) { l.Listed(1); l.Rejected(now); l.Loaded(now+1, 1, 0) }, now + 5, now + 5 + terms.Synced},
-		"listed by an old list":                {func(l *Lease) { l.Assumed(now) }, now, now + terms.Synced},
-		"listed by an old list, rejected":      {func(l *Lease) { l.Assumed(now); l.Rejected(now + 1) }, now, 0},
-		"the same, and a sync since":           {func(l *Lease) { l.Assumed(now); l.Rejected(now + 1) }, now + 5, 0},
-		"the same, and a call accepted since":  {func(l *Lease) { l.Assumed(now); l.Rejected(now + 1); l.Accepted(now+2, 1, now) }, now, now + terms.Synced},
-		"listed by an old list, served before": {func(l *Lease) { l.Assumed(now); l.Accepted(now+1, 1, now); l.Rejected(now + 2) }, now, now + 1 + terms.Accepted},
+		"listed":                          {func(l *Lease) { l.RecordListed(now) }, 0, now + terms.AfterSync},
+		"listed, then synced":             {func(l *Lease) { l.RecordListed(now) }, now + 3, now + 3 + terms.AfterSync},
+		"served":                          {func(l *Lease) { l.RecordListed(1); l.RecordAccepted(now, 1, 0) }, 0, now + terms.AfterAccepted},
+		"served late":                     {func(l *Lease) { l.RecordListed(1); l.RecordAccepted(now, 1, 0); l.RecordAccepted(now-1, 1, 0) }, 0, now + terms.AfterAccepted},
+		"rejected: a sync does not renew": {func(l *Lease) { l.RecordListed(now); l.RecordRejected(now + 1) }, now + 5, now + terms.AfterSync},
+		"rejected, never served":          {func(l *Lease) { l.RecordRejected(now + 1) }, now + 5, 0},
+		"served on a new connection": {func(l *Lease) { l.RecordListed(now); l.RecordAccepted(now+5*time.Second, now+1, now) }, now,
+			now + 5*time.Second + terms.AfterAccepted},
+		"served on a connection as old as the last sync": {func(l *Lease) { l.RecordListed(now); l.RecordAccepted(now+9*time.Second, now+2, now+2) }, now + 2,
+			now + 9*time.Second + terms.AfterAccepted},
+		"served on a connection older than the last evidence": {func(l *Lease) {
+			l.RecordListed(now)
+			l.RecordAccepted(now+5, now, now)
+			l.RecordAccepted(now+9*time.Second, now+1, now)
+		},
+			now, now + 9*time.Second + terms.AfterAccepted},
+		"rejected, served on a new connection": {func(l *Lease) { l.RecordListed(1); l.RecordRejected(now); l.RecordAccepted(now+2, now+1, now) }, now + 5,
+			now + 5 + terms.AfterSync},
+		"rejected, then served":            {func(l *Lease) { l.RecordRejected(now); l.RecordAccepted(now+1, 1, 0) }, now + 5, now + 5 + terms.AfterSync},
+		"rejected, served before":          {func(l *Lease) { l.RecordListed(1); l.RecordAccepted(now-1, 1, 0); l.RecordRejected(now) }, now + 5, now - 1 + terms.AfterAccepted},
+		"rejected, then listed":            {func(l *Lease) { l.RecordRejected(now); l.RecordListed(now + 1) }, now + 5, now + 5 + terms.AfterSync},
+		"served, an earlier call rejected": {func(l *Lease) { l.RecordListed(1); l.RecordAccepted(now, 1, 0); l.RecordRejected(now - 1) }, now + 5, now + 5 + terms.AfterSync},
+		"loaded":                           {func(l *Lease) { l.RecordListed(1); l.RecordLoaded(now, 1, 0) }, 0, now + terms.AfterLoad},
+		"loaded, a call accepted later": {func(l *Lease) { l.RecordListed(1); l.RecordLoaded(now, 1, 0); l.RecordAccepted(now+1, 1, 0) }, 0,
+			now + terms.AfterLoad},
+		"rejected, then loaded":                {func(l *Lease) { l.RecordListed(1); l.RecordRejected(now); l.RecordLoaded(now+1, 1, 0) }, now + 5, now + 5 + terms.AfterSync},
+		"listed by an old list":                {func(l *Lease) { l.RecordStaleListing(now) }, now, now + terms.AfterSync},
+		"listed by an old list, rejected":      {func(l *Lease) { l.RecordStaleListing(now); l.RecordRejected(now + 1) }, now, 0},
+		"the same, and a sync since":           {func(l *Lease) { l.RecordStaleListing(now); l.RecordRejected(now + 1) }, now + 5, 0},
+		"the same, and a call accepted since":  {func(l *Lease) { l.RecordStaleListing(now); l.RecordRejected(now + 1); l.RecordAccepted(now+2, 1, now) }, now, now + terms.AfterSync},
+		"listed by an old list, served before": {func(l *Lease) { l.RecordStaleListing(now); l.RecordAccepted(now+1, 1, now); l.RecordRejected(now + 2) }, now, now + 1 + terms.AfterAccepted},
 		"listed by an old list, served by a new connection, rejected": {func(l *Lease) {
-			l.Assumed(now)
-			l.Accepted(now+1, now+1, now)
-			l.Rejected(now + 2)
-		}, now, now + 1 + terms.Accepted},
-		"listed by an old list, then anew":   {func(l *Lease) { l.Assumed(now); l.Listed(now + 1); l.Rejected(now + 2) }, now, now + 1 + terms.Synced},
-		"rejected, and a sync long after it": {func(l *Lease) { l.Rejected(now) }, now + contestDuration, now + contestDuration + terms.Synced},
+			l.RecordStaleListing(now)
+			l.RecordAccepted(now+1, now+1, now)
+			l.RecordRejected(now + 2)
+		}, now, now + 1 + terms.AfterAccepted},
+		"listed by an old list, then anew":   {func(l *Lease) { l.RecordStaleListing(now); l.RecordListed(now + 1); l.RecordRejected(now + 2) }, now, now + 1 + terms.AfterSync},
+		"rejected, and a sync long after it": {func(l *Lease) { l.RecordRejected(now) }, now + contestDuration, now + contestDuration + terms.AfterSync},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var l Lease
@@ -94,29 +98,29 @@
 	const listed, connected, served = time.Hour, time.Hour + 3*time.Second, time.Hour + 6*time.Second
 	terms := NewLeaseTerms(time.Second)
 	var l Lease
-	l.Listed(listed)
-	l.Accepted(served, connected, listed)
+	l.RecordListed(listed)
+	l.RecordAccepted(served, connected, listed)
 	for _, test := range []struct {
 		now  time.Duration
 		live bool
 	}{
 		{served, true},
-		{listed + terms.Synced, true},
-		{listed + terms.Synced + 1, false},
+		{listed + terms.AfterSync, true},
+		{listed + terms.AfterSync + 1, false},
 		{connected + MaxNotificationDelay, false},
 		{connected + restartNotificationDelay, true},
-		{served + terms.Accepted, true},
-		{served + terms.Accepted + 1, false},
+		{served + terms.AfterAccepted, true},
+		{served + terms.AfterAccepted + 1, false},
 	} {
 		assert.Equal(t, test.live, l.Left(terms, listed, test.now) >= 0, "%s", test.now-listed)
 	}
 	assert.Equal(t, connected+restartNotificationDelay, l.ResumesAt(terms, served))
-	assert.Equal(t, served+terms.Accepted, l.ProvenUntil(terms, listed), "although the lease is expired for a while before")
-	assert.Equal(t, terms.Accepted, l.EvidenceLeft(terms, served), "although the evidence does not renew the lease yet")
+	assert.Equal(t, served+terms.AfterAccepted, l.FinalExpiry(terms, listed), "although the lease is expired for a while before")
+	assert.Equal(t, terms.AfterAccepted, l.EvidenceLeft(terms, served), "although the evidence does not renew the lease yet")
 	assert.Zero(t, l.ResumesAt(terms, connected+restartNotificationDelay), "the lease is valid again")
-	l.Accepted(served+1, served, listed)
+	l.RecordAccepted(served+1, served, listed)
 	assert.Zero(t, l.ResumesAt(terms, served+2), "after another new connection the evidence would expire before it counts")
-	l.Accepted(served+restartNotificationDelay, served, listed)
-	assert.Positive(t, l.Left(terms, listed, served+restartNotificationDelay+terms.Accepted-1), "the dispatcher counts as notified of the restart by now")
-	assert.Equal(t, served+restartNotificationDelay+terms.Accepted, l.ProvenUntil(terms, listed))
+	l.RecordAccepted(served+restartNotificationDelay, served, listed)
+	assert.Positive(t, l.Left(terms, listed, served+restartNotificationDelay+terms.AfterAccepted-1), "the dispatcher counts as notified of the restart by now")
+	assert.Equal(t, served+restartNotificationDelay+terms.AfterAccepted, l.FinalExpiry(terms, listed))
 }
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -10,16 +10,16 @@
 
 func TestStart(t *testing.T) {
 	for _, test := range []struct {
-		start Start
+		start StartConditions
 		want  Reason
 	}{
-		{Start{}, Allowed},
-		{Start{TimeLeft: -1}, TooLate},
-		{Start{ClientGone: true, TimeLeft: 1}, ClientGone},
-		{Start{Worker: WorkerIsDraining, ClientGone: true}, WorkerDraining},
-		{Start{Worker: WorkerIsRemoved}, WorkerRemoved},
-		{Start{LeaseLeft: -1, ClientGone: true}, LeaseEnded},
-		{Start{Worker: WorkerIsDraining, LeaseLeft: -1}, WorkerDraining},
+		{StartConditions{}, Allowed},
+		{StartConditions{TimeLeft: -1}, TooLate},
+		{StartConditions{ClientGone: true, TimeLeft: 1}, ClientGone},
+		{StartConditions{Worker: WorkerStateDraining, ClientGone: true}, WorkerDraining},
+		{StartConditions{Worker: WorkerStateRemoved}, WorkerRemoved},
+		{StartConditions{LeaseLeft: -1, ClientGone: true}, LeaseEnded},
+		{StartConditions{Worker: WorkerStateDraining, LeaseLeft: -1}, WorkerDraining},
 	} {
 		assert.Equal(t, test.want, test.start.Check(), "%+v", test.start)
 		assert.False(t, test.want.IsViolation(), "the reason may arise between the choice and the start")
@@ -28,28 +28,28 @@
 
 func TestRepeat(t *testing.T) {
 	for _, test := range []struct {
-		repeat Repeat
-		want   Reason
+		retry RetryConditions
+		want  Reason
 	}{
-		{Repeat{MaxAttempts: 1}, Allowed},
-		{Repeat{MaxAttempts: 2, Attempts: 2}, AttemptsExhausted},
-		{Repeat{MaxAttempts: 2, Attempts: 1, MayHaveRun: true}, RepeatForbidden},
-		{Repeat{MaxAttempts: 2, Attempts: 1, MayHaveRun: true, Repeatable: true}, Allowed},
-		{Repeat{MaxAttempts: 2, Attempts: 1, MayHaveRun: true, Pending: true, Repeatable: true}, AttemptPending},
-		{Repeat{MaxAttempts: 2, Attempts: 1, MayHaveRun: true, Pending: true, Repeatable: true, Hedging: true}, Allowed},
+		{RetryConditions{MaxAttempts: 1}, Allowed},
+		{RetryConditions{MaxAttempts: 2, Attempts: 2}, AttemptsExhausted},
+		{RetryConditions{MaxAttempts: 2, Attempts: 1, MayHaveRun: true}, RepeatForbidden},
+		{RetryConditions{MaxAttempts: 2, Attempts: 1, MayHaveRun: true, Repeatable: true}, Allowed},
+		{RetryConditions{MaxAttempts: 2, Attempts: 1, MayHaveRun: true, Pending: true, Repeatable: true}, AttemptPending},
+		{RetryConditions{MaxAttempts: 2, Attempts: 1, MayHaveRun: true, Pending: true, Repeatable: true, Hedging: true}, Allowed},
 	} {
-		assert.Equal(t, test.want, test.repeat.Check(), "%+v", test.repeat)
+		assert.Equal(t, test.want, test.retry.Check(), "%+v", test.retry)
 		assert.Equal(t, test.want != Allowed, test.want.IsViolation())
 	}
 }
 
 func TestConnection(t *testing.T) {
-	assert.Equal(t, Allowed, Connection{}.Check())
-	assert.Equal(t, InUse, Connection{Open: 1}.Check())
-	assert.Equal(t, InUse, Connection{Unwritten: 1}.Check())
-	assert.Equal(t, InUse, Connection{Unhandled: 1}.Check())
-	assert.Equal(t, InUse, Connection{Incomplete: true}.Check())
-	assert.Equal(t, InUse, Connection{Unread: true}.Check())
+	assert.Equal(t, Allowed, ConnectionUse{}.Check())
+	assert.Equal(t, InUse, ConnectionUse{Open: 1}.Check())
+	assert.Equal(t, InUse, ConnectionUse{Unwritten: 1}.Check())
+	assert.Equal(t, InUse, ConnectionUse{Unhandled: 1}.Check())
+	assert.Equal(t, InUse, ConnectionUse{Incomplete: true}.Check())
+	assert.Equal(t, InUse, ConnectionUse{Unread: true}.Check())
 }
 
 func TestAfter(t *testing.T) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -36,9 +36,9 @@
 
 // Conns are the settings that only a dispatcher on real sockets needs.
 type Conns struct {
-	IdleClose time.Duration // workers close a connection that was idle for this long
-	Streams   int           // concurrent calls on one connection
-	Handshake float64       // cost of a new connection, as a fraction of the weight of a call; 0: no cost
+	IdleTimeout   time.Duration // workers close a connection that was idle for this long
+	MaxStreams    int           // concurrent calls on one connection
+	HandshakeCost float64       // cost of a new connection, as a fraction of the weight of a call; 0: no cost
 }
 
 // ParseConns decodes the settings of connections from the settings object of a deployment.
@@ -46,9 +46,9 @@
 	var doc connsDocument
 	err := json.Unmarshal(data, &doc)
 	conns := Conns{
-		IdleClose: doc.Caps.IdleClose.Duration(),
-		Streams:   doc.Caps.MaxStreams,
-		Handshake: doc.Prices.HandshakeCost,
+		IdleTimeout:   doc.Caps.IdleClose.Duration(),
+		MaxStreams:    doc.Caps.MaxStreams,
+		HandshakeCost: doc.Prices.HandshakeCost,
 	}
 	return conns, err
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -65,7 +65,7 @@
 func TestParseConns(t *testing.T) {
 	got, err := ParseConns([]byte(fullDocument))
 	require.NoError(t, err)
-	assert.Equal(t, Conns{IdleClose: 19 * time.Microsecond, Streams: 20, Handshake: 0.75}, got)
+	assert.Equal(t, Conns{IdleTimeout: 19 * time.Microsecond, MaxStreams: 20, HandshakeCost: 0.75}, got)
 }
 
 func TestParseErrors(t *testing.T) {
--- a/internal/worker/closereason.go
+++ b/internal/worker/closereason.go
@@ -52,7 +52,7 @@
 
 // shortages lists the errors that mean that this process or its machine has run out of a resource.
 var shortages = []error{
-	descriptors.ErrNone,
+	descriptors.ErrExhausted,
 	syscall.EMFILE,
 	syscall.ENFILE,
 	syscall.ENOBUFS,
--- a/internal/worker/conn.go
+++ b/internal/worker/conn.go
@@ -83,7 +83,7 @@
 
 // idleLocked reports whether the connection has nothing to write and no request in flight.
 func (c *conn) idleLocked() bool {
-	usage := permit.Connection{Open: len(c.inFlight), Unwritten: len(c.writeQueue)}
+	usage := permit.ConnectionUse{Open: len(c.inFlight), Unwritten: len(c.writeQueue)}
 	return usage.Check() == permit.Allowed && c.writing == nil
 }
 
@@ -186,7 +186,7 @@
 	if !alreadyClosed && c.shouldLogEndLocked(cause) {
 		connEndedLog.Log(slog.LevelWarn, "worker: connection ended", "worker", c.pool.uid, "err", cause)
 	}
-	established := c.netConn != nil && c.pool.state != permit.WorkerIsRemoved
+	established := c.netConn != nil && c.pool.state != permit.WorkerStateRemoved
 	if established && !alreadyClosed && len(c.inFlight) > 0 { // broken under load
 		c.pool.config.BreakRate.recordBroken()
 	}
--- a/internal/worker/conn_test.go
+++ b/internal/worker/conn_test.go
@@ -21,8 +21,8 @@
 		event   func(*Pool)
 	}{
 		"its client leaves":         {Attempt{Abandoned: func() bool { return abandoned }}, func(*Pool) { abandoned = true }},
-		"its worker drains":         {Attempt{}, func(p *Pool) { p.MarkUnavailable(permit.WorkerIsDraining) }},
-		"its worker is removed":     {Attempt{}, func(p *Pool) { p.MarkUnavailable(permit.WorkerIsRemoved) }},
+		"its worker drains":         {Attempt{}, func(p *Pool) { p.MarkUnavailable(permit.WorkerStateDraining) }},
+		"its worker is removed":     {Attempt{}, func(p *Pool) { p.MarkUnavailable(permit.WorkerStateRemoved) }},
 		"its start time has passed": {Attempt{StartBy: time.Now().Add(-time.Millisecond)}, func(*Pool) {}},
 		"its deadline has passed":   {Attempt{Deadline: time.Now().Add(-time.Millisecond)}, func(*Pool) {}},
 		"its lease has ended":       {Attempt{LeaseEnd: time.Now().Add(-time.Millisecond)}, func(*Pool) {}},
--- a/internal/worker/connlimit.go
+++ b/internal/worker/connlimit.go
@@ -52,7 +52,7 @@
 }
 
 // hasCapacity reports whether tryAcquire would currently succeed. Another pool may take the descriptor at any moment.
-func (l *ConnLimit) hasCapacity() bool { return !l.hasWaiters() && l.share.HasRoom() }
+func (l *ConnLimit) hasCapacity() bool { return !l.hasWaiters() && l.share.HasFree() }
 
 // acquire acquires a descriptor for c. If none is free, it closes an idle connection and waits until a descriptor is granted,
 // the deadline passes or c is closed. It must not be called with a pool's mutex held.
@@ -79,7 +79,7 @@
 		}
 	}
 	if l.removeWaiter(element) {
-		return descriptors.ErrNone
+		return descriptors.ErrExhausted
 	}
 	return nil
 }
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -34,9 +34,9 @@
 	config *Config
 
 	mu         sync.Mutex
-	state      permit.Worker // as in the last endpoint list update; a removed worker's address may belong to another worker
-	conns      []*conn       // connections that are not closed
-	lastAnswer time.Time     // when the last answer came on any connection
+	state      permit.WorkerState // as in the last endpoint list update; a removed worker's address may belong to another worker
+	conns      []*conn            // connections that are not closed
+	lastAnswer time.Time          // when the last answer came on any connection
 	// connectedSince is the start of the uninterrupted time with at least one established connection. All connections of
 	// that time lead to the same process.
 	connectedSince time.Time
@@ -101,7 +101,7 @@
 
 // MarkUnavailable records that the worker is draining or was removed. Until MarkReady is called, no request is written to the
 // worker, not even one that is already queued: another worker may already listen at the address of a removed one.
-func (p *Pool) MarkUnavailable(state permit.Worker) {
+func (p *Pool) MarkUnavailable(state permit.WorkerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = state
@@ -114,7 +114,7 @@
 func (p *Pool) MarkReady(started time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state = permit.WorkerReady
+	p.state = permit.WorkerStateReady
 	for _, c := range p.conns {
 		if c.createdAt.Before(started) {
 			c.advanceLocked(connStale)
@@ -160,7 +160,7 @@
 
 // enqueueLocked picks a connection for a request and puts the request into its write queue.
 func (p *Pool) enqueueLocked(request *PendingRequest) error {
-	if p.state == permit.WorkerIsRemoved {
+	if p.state == permit.WorkerStateRemoved {
 		return errWorkerRemoved
 	}
 	c := p.pickConnLocked(request.id)
@@ -230,7 +230,7 @@
 // closeIdleLocked closes the idle connections that are stale or unused for too long, and all idle ones of a removed worker.
 func (p *Pool) closeIdleLocked(now time.Time) {
 	for _, c := range slices.Clone(p.conns) {
-		obsolete := c.state == connStale || p.state == permit.WorkerIsRemoved
+		obsolete := c.state == connStale || p.state == permit.WorkerStateRemoved
 		unusedFor := now.Sub(c.lastUsed)
 		if c.idleLocked() && (obsolete || unusedFor > p.config.idleCloseAfter()) {
 			closedIdle.count()
--- a/internal/worker/pool_test.go
+++ b/internal/worker/pool_test.go
@@ -58,7 +58,7 @@
 	pool := newPool(t, w, unchanged)
 	_, late := call(t, pool, 1, time.Now().Add(-time.Millisecond))
 	assert.Equal(t, balancer.NotSent, fakes.Receive(t, late).Status)
-	pool.MarkUnavailable(permit.WorkerIsDraining)
+	pool.MarkUnavailable(permit.WorkerStateDraining)
 	_, drained := call(t, pool, 2, fakes.Deadline())
 	assert.Equal(t, balancer.NotSent, fakes.Receive(t, drained).Status)
 	loaded := make(chan worker.Result, 1)
@@ -183,7 +183,7 @@
 	w := fakes.NewWorker(t)
 	config := fakes.PoolConfig()
 	removed := worker.NewPool("s-1", w.Addr, &config)
-	removed.MarkUnavailable(permit.WorkerIsRemoved)
+	removed.MarkUnavailable(permit.WorkerStateRemoved)
 	attempt := worker.Attempt{ID: 1, Class: "reserva", Function: "aa", Deadline: fakes.Deadline(), LeaseEnd: fakes.Deadline()}
 	_, err := removed.Call(attempt, func(worker.Result) {})
 	assert.Error(t, err)
--- a/internal/worker/request.go
+++ b/internal/worker/request.go
@@ -127,8 +127,8 @@
 
 // checkStart returns permit.Allowed if the request may be written at the time now to a worker in the given state, else the
 // reason why not.
-func (r *PendingRequest) checkStart(state permit.Worker, now time.Time) permit.Reason {
-	start := permit.Start{
+func (r *PendingRequest) checkStart(state permit.WorkerState, now time.Time) permit.Reason {
+	start := permit.StartConditions{
 		Worker:     state,
 		ClientGone: r.abandoned != nil && r.abandoned(),
 		TimeLeft:   r.startBy.Sub(now),
