--- a/cmd/dispatcher/invoke.go
+++ b/cmd/dispatcher/invoke.go
@@ -164,7 +164,7 @@
 	for _, step := range []struct {
 		after time.Duration
 		run   func()
-	}{{schedule.Linger, s.server.Evacuate}, {schedule.AnswerBy, s.server.EndWaits}} {
+	}{{schedule.AcceptAllFor, s.server.Evacuate}, {schedule.AnswerBy, s.server.EndLongPolls}} {
 		select {
 		case <-time.After(time.Until(start.Add(step.after))):
 			step.run()
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestAdmits(t *testing.T) {
-	s := Schedule{Linger: 700 * ms, AnswerBy: 2 * time.Second}
+	s := Schedule{AcceptAllFor: 700 * ms, AnswerBy: 2 * time.Second}
 	assert.True(t, s.Admits(0, time.Hour))
 	assert.True(t, s.Admits(700*ms-1, time.Hour))
 	assert.True(t, s.Admits(700*ms, 1300*ms))
@@ -41,7 +41,7 @@
 }
 
 func TestActionFor(t *testing.T) {
-	s := Schedule{Linger: 700 * ms, AnswerBy: 2 * time.Second, ExemptIfIdleSince: time.Second, CloseBy: 3 * time.Second}
+	s := Schedule{AcceptAllFor: 700 * ms, AnswerBy: 2 * time.Second, ExemptIfIdleSince: time.Second, CloseBy: 3 * time.Second}
 	for _, test := range []struct {
 		elapsed, lastRequest, accepted time.Duration
 		want                           Action
@@ -69,8 +69,8 @@
 	s.Evacuate(start)
 	s.Terminate(start.Add(3 * time.Second))
 	closeBy := start.Add(Evacuation().CloseBy)
-	assert.Equal(t, Close, s.Judge(closeBy, start, closeBy))
-	assert.Equal(t, CloseIfIdle, s.Judge(closeBy, start, start), "exempt from CloseBy of the evacuation")
+	assert.Equal(t, Close, s.ActionFor(closeBy, start, closeBy))
+	assert.Equal(t, CloseIfIdle, s.ActionFor(closeBy, start, start), "exempt from CloseBy of the evacuation")
 	assert.False(t, s.Admits(closeBy, closeBy.Add(ms)))
 }
 
@@ -121,11 +121,11 @@
 		assert.Equal(t, before == want, stillOpen, "%v: the channel is closed exactly if the phase changed", calls)
 	}
 	assert.Equal(t, want, s.Phase(), "%v", calls)
-	lingerEnd := since.Add(700 * ms)
-	assert.Equal(t, want == Serving, s.Judge(lingerEnd, lingerEnd, lingerEnd) == Keep, "%v", calls)
-	assert.Equal(t, want == Serving, s.Admits(lingerEnd, lingerEnd.Add(time.Hour)), "%v", calls)
-	actionDuringLinger := s.Judge(since.Add(700*ms-1), since, since)
-	assert.Equal(t, !whileEvacuating, actionDuringLinger == Keep, "%v: schedule runs from the call that entered the phase", calls)
+	acceptAllEnd := since.Add(700 * ms)
+	assert.Equal(t, want == Serving, s.ActionFor(acceptAllEnd, acceptAllEnd, acceptAllEnd) == Keep, "%v", calls)
+	assert.Equal(t, want == Serving, s.Admits(acceptAllEnd, acceptAllEnd.Add(time.Hour)), "%v", calls)
+	actionWhileAcceptingAll := s.ActionFor(since.Add(700*ms-1), since, since)
+	assert.Equal(t, !whileEvacuating, actionWhileAcceptingAll == Keep, "%v: schedule runs from the call that entered the phase", calls)
 }
 
 // closedOrDefault returns the channel if it is closed, otherwise a channel that holds a value.
--- a/internal/drain/schedule.go
+++ b/internal/drain/schedule.go
@@ -11,9 +11,10 @@
 
 // Schedule sets the time limits of a drain. All durations run from the start of the drain.
 type Schedule struct {
-	// Linger is how long new connections and all requests are still accepted, and idle connections stay open.
-	// Clients notice late that the process is not ready, and would reopen a connection that is closed sooner.
-	Linger time.Duration
+	// AcceptAllFor is how long new connections and all requests are still accepted, and idle connections
+	// stay open. Clients notice late that the process is not ready, and would reopen a connection that is
+	// closed sooner.
+	AcceptAllFor time.Duration
 	// AnswerBy is when all accepted requests have been answered.
 	AnswerBy time.Duration
 	// ExemptIfIdleSince exempts connections whose last request came before this time from the limits AnswerBy
@@ -26,7 +27,7 @@
 
 // Limits from the client protocol and the operations page.
 const (
-	linger = 700 * time.Millisecond
+	acceptAllFor = 700 * time.Millisecond
 	// The earliest SIGKILL comes killDelay after the longest deadline of a class, of which at most
 	// maxCountedDeadline counts. Both run from SIGTERM.
 	maxCountedDeadline = 3 * time.Second
@@ -53,13 +54,13 @@
 		longestDeadline = maxCountedDeadline
 	}
 	kill := longestDeadline + killDelay
-	return Schedule{Linger: linger, AnswerBy: kill - answerMargin, CloseBy: kill - closeMargin}
+	return Schedule{AcceptAllFor: acceptAllFor, AnswerBy: kill - answerMargin, CloseBy: kill - closeMargin}
 }
 
 // Evacuation returns the schedule that starts when operators request an evacuation.
 func Evacuation() Schedule {
 	return Schedule{
-		Linger:            linger,
+		AcceptAllFor:      acceptAllFor,
 		AnswerBy:          evacuationLimit - evacuateAnswerMargin,
 		ExemptIfIdleSince: evacuationLimit - recentRequest - recentRequestMargin,
 		CloseBy:           evacuationLimit - evacuateCloseMargin,
@@ -70,7 +71,7 @@
 // deadline is timeLeft away. A request with a deadline after AnswerBy would have to be failed before its
 // deadline, or would keep its connection in use until the last moment.
 func (s Schedule) Admits(elapsed, timeLeft time.Duration) bool {
-	return elapsed < s.Linger || elapsed+timeLeft <= s.AnswerBy
+	return elapsed < s.AcceptAllFor || elapsed+timeLeft <= s.AnswerBy
 }
 
 // Action is what to do with a client's connection. A higher value takes precedence.
@@ -96,7 +97,7 @@
 	exempt := s.ExemptIfIdleSince > 0 && conn.LastRequest < s.ExemptIfIdleSince
 	closeBy := max(s.CloseBy, conn.Accepted+s.CloseBy-s.AnswerBy)
 	switch {
-	case elapsed < s.Linger:
+	case elapsed < s.AcceptAllFor:
 		return Keep
 	case exempt || elapsed < s.AnswerBy:
 		return CloseIfIdle
--- a/internal/drain/state.go
+++ b/internal/drain/state.go
@@ -106,9 +106,9 @@
 	return true
 }
 
-// Judge returns what to do at now with a connection that was accepted at accepted and whose last request
+// ActionFor returns what to do at now with a connection that was accepted at accepted and whose last request
 // arrived at lastRequest.
-func (s *State) Judge(now, accepted, lastRequest time.Time) Action {
+func (s *State) ActionFor(now, accepted, lastRequest time.Time) Action {
 	action := Keep
 	for _, schedule := range s.current.Load().running {
 		times := ConnTimes{Accepted: accepted.Sub(schedule.start), LastRequest: lastRequest.Sub(schedule.start)}
@@ -120,5 +120,5 @@
 // Evacuation returns the schedule of an evacuation.
 func (s *State) Evacuation() Schedule { return s.evacuation }
 
-// Linger returns how long after SIGTERM new connections are still accepted.
-func (s *State) Linger() time.Duration { return s.termination.Linger }
+// AcceptAllFor returns how long after SIGTERM new connections are still accepted.
+func (s *State) AcceptAllFor() time.Duration { return s.termination.AcceptAllFor }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -158,7 +158,7 @@
 
 // fullDisk is a disk on which no segment can be created while full is set.
 type fullDisk struct {
-	wal.Disk
+	wal.OSFileSystem
 	mu   sync.Mutex
 	full bool
 }
@@ -169,7 +169,7 @@
 	if d.full {
 		return nil, errors.New("no space left on device")
 	}
-	return d.Disk.Create(path)
+	return d.OSFileSystem.Create(path)
 }
 
 func (d *fullDisk) setFull(full bool) {
--- a/internal/durable/options.go
+++ b/internal/durable/options.go
@@ -31,7 +31,7 @@
 
 func (o *Options) setDefaults() {
 	if o.FS == nil {
-		o.FS = wal.Disk{}
+		o.FS = wal.OSFileSystem{}
 	}
 	if o.SegmentBytes == 0 {
 		o.SegmentBytes = wal.DefaultSegmentSize
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -102,5 +102,5 @@
 	if err := os.Rename(from, to); err != nil {
 		return err
 	}
-	return wal.Disk{}.SyncDir(filepath.Dir(to))
+	return wal.OSFileSystem{}.SyncDir(filepath.Dir(to))
 }
--- a/internal/frontend/invoke/config.go
+++ b/internal/frontend/invoke/config.go
@@ -32,20 +32,20 @@
 // Deferred holds the limits of deferred invocations, which are stored and then run by the scheduler. A scheduler setting
 // that the file leaves out keeps its value from schedule.Default.
 type Deferred struct {
-	DeadRetention   time.Duration `toml:"dead_retention"`    // how long a dead letter is kept after its completion
-	MaxPerTenant    int64         `toml:"tenant_tickets"`    // stored invocations of one tenant at most; 0: no such limit
-	MaxMiBPerTenant int64         `toml:"tenant_mb"`         // MiB of bodies and results of one tenant at most; 0: no such limit
-	MinConcurrency  int           `toml:"least_running"`     // runs that may always be in flight, unless the fleet is stalled
-	MaxConcurrency  int           `toml:"most_running"`      // maximum number of runs in flight
-	MaxPerFunction  int           `toml:"most_per_function"` // maximum number of runs in flight of one function
-	MaxRuns         int           `toml:"most_runs"`         // runs of one invocation until it becomes a dead letter
-	Backoff         time.Duration `toml:"backoff"`           // bound of the pause after the first run; doubles with each run
-	MaxBackoff      time.Duration `toml:"most_backoff"`      // upper bound of the pause after any run
-	RetryRatio      float64       `toml:"retry_share"`       // retries allowed for each first run, besides RetryRate
-	RetryRate       float64       `toml:"retry_per_second"`  // retries allowed per second, besides RetryRatio
-	BatchWait       time.Duration `toml:"gather"`            // how long a run may wait for others of its function before a load
-	BatchSize       int           `toml:"gather_runs"`       // number of ready runs of one function that ends this wait
-	StarvationLimit time.Duration `toml:"starve"`            // an invocation ready for longer goes first in its tenant
+	DeadLetterRetention time.Duration `toml:"dead_retention"`    // how long a dead letter is kept after its completion
+	MaxPerTenant        int64         `toml:"tenant_tickets"`    // stored invocations of one tenant at most; 0: no such limit
+	MaxMiBPerTenant     int64         `toml:"tenant_mb"`         // MiB of bodies and results of one tenant at most; 0: no such limit
+	MinConcurrency      int           `toml:"least_running"`     // runs that may always be in flight, unless the fleet is stalled
+	MaxConcurrency      int           `toml:"most_running"`      // maximum number of runs in flight
+	MaxPerFunction      int           `toml:"most_per_function"` // maximum number of runs in flight of one function
+	MaxRuns             int           `toml:"most_runs"`         // runs of one invocation until it becomes a dead letter
+	Backoff             time.Duration `toml:"backoff"`           // bound of the pause after the first run; doubles with each run
+	MaxBackoff          time.Duration `toml:"most_backoff"`      // upper bound of the pause after any run
+	RetryRatio          float64       `toml:"retry_share"`       // retries allowed for each first run, besides RetryRate
+	RetryRate           float64       `toml:"retry_per_second"`  // retries allowed per second, besides RetryRatio
+	BatchWait           time.Duration `toml:"gather"`            // how long a run may wait for others of its function before a load
+	BatchSize           int           `toml:"gather_runs"`       // number of ready runs of one function that ends this wait
+	StarvationLimit     time.Duration `toml:"starve"`            // an invocation ready for longer goes first in its tenant
 
 	schedulerConfig schedule.Config // from the fields above and the settings of tenants and classes
 }
@@ -71,15 +71,15 @@
 
 // Defaults of the operator's file. The defaults of the scheduler's settings in Deferred are in schedule.Default.
 const (
-	defaultRetention      = 24 * time.Hour
-	defaultDeadRetention  = 7 * 24 * time.Hour
-	defaultMaxWait        = 20 * time.Second
-	defaultMaxInFlight    = 512
-	defaultMaxInvocations = 100_000
-	defaultMaxConns       = 128
-	defaultLifetime       = time.Hour
-	defaultMaxLifetime    = 24 * time.Hour
-	defaultContentType    = "application/json"
+	defaultRetention           = 24 * time.Hour
+	defaultDeadLetterRetention = 7 * 24 * time.Hour
+	defaultMaxWait             = 20 * time.Second
+	defaultMaxInFlight         = 512
+	defaultMaxInvocations      = 100_000
+	defaultMaxConns            = 128
+	defaultLifetime            = time.Hour
+	defaultMaxLifetime         = 24 * time.Hour
+	defaultContentType         = "application/json"
 )
 
 // controlSocketSuffix is appended to the path of the store to get the path of the control socket if the file sets none.
@@ -119,18 +119,18 @@
 func defaultDeferred() Deferred {
 	defaults := schedule.Default()
 	return Deferred{
-		DeadRetention:   defaultDeadRetention,
-		MinConcurrency:  defaults.MinConcurrency,
-		MaxConcurrency:  defaults.MaxConcurrency,
-		MaxPerFunction:  defaults.MaxPerFunction,
-		MaxRuns:         defaults.MaxRuns,
-		Backoff:         defaults.Backoff,
-		MaxBackoff:      defaults.MaxBackoff,
-		RetryRatio:      defaults.RetryRatio,
-		RetryRate:       defaults.RetryRate,
-		BatchWait:       defaults.BatchWait,
-		BatchSize:       defaults.BatchSize,
-		StarvationLimit: defaults.StarvationLimit,
+		DeadLetterRetention: defaultDeadLetterRetention,
+		MinConcurrency:      defaults.MinConcurrency,
+		MaxConcurrency:      defaults.MaxConcurrency,
+		MaxPerFunction:      defaults.MaxPerFunction,
+		MaxRuns:             defaults.MaxRuns,
+		Backoff:             defaults.Backoff,
+		MaxBackoff:          defaults.MaxBackoff,
+		RetryRatio:          defaults.RetryRatio,
+		RetryRate:           defaults.RetryRate,
+		BatchWait:           defaults.BatchWait,
+		BatchSize:           defaults.BatchSize,
+		StarvationLimit:     defaults.StarvationLimit,
 	}
 }
 
--- a/internal/frontend/invoke/create.go
+++ b/internal/frontend/invoke/create.go
@@ -37,7 +37,7 @@
 
 // createSynchronous runs a synchronous invocation and responds with its outcome.
 func (s *Server) createSynchronous(w http.ResponseWriter, r *http.Request, request invocation.Request) error {
-	answerDeadline := s.executor.Clock().Machine(request.Expires).Add(answerGrace)
+	answerDeadline := s.executor.Clock().ToSystemTime(request.Expires).Add(answerGrace)
 	ctx, cancel := context.WithDeadline(r.Context(), answerDeadline)
 	defer cancel()
 	view, err := s.executor.Invoke(ctx, request)
--- a/internal/frontend/invoke/evacuation.go
+++ b/internal/frontend/invoke/evacuation.go
@@ -20,11 +20,11 @@
 // after its next response. Invocations in flight continue, and polls are still answered.
 func (s *Server) Evacuate() { s.draining.Store(true) }
 
-// EndWaits makes every poll return at once with the current state of its invocation, until Rejoin, because a waiting poll
-// would keep its connection open. EndWaits also closes idle connections. A request that a client sends on an idle connection
-// while the server closes that connection gets a reset. EndWaits must therefore be called long enough after Evacuate that
+// EndLongPolls makes every poll return at once with the current state of its invocation, until Rejoin, because a waiting poll
+// would keep its connection open. EndLongPolls also closes idle connections. A request that a client sends on an idle connection
+// while the server closes that connection gets a reset. EndLongPolls must therefore be called long enough after Evacuate that
 // clients have noticed the evacuation.
-func (s *Server) EndWaits() {
+func (s *Server) EndLongPolls() {
 	s.pollContext.Load().cancel()
 	s.httpServer.SetKeepAlivesEnabled(false)
 }
--- a/internal/frontend/invoke/explain.go
+++ b/internal/frontend/invoke/explain.go
@@ -14,7 +14,7 @@
 	writeLine("listens on %s, at most %d connections and %d requests in hand", c.Listen, c.MaxConns, c.MaxInFlight)
 	writeLine("identity by the Workload API at %s; %d SPIFFE IDs may call", c.WorkloadAPI, len(c.Tenants))
 	writeLine("tickets in %s, control socket %s", c.Store, c.Control)
-	writeLine("at most %d tickets; answers kept %v, dead letters %v", c.MaxInvocations, c.Retention, c.Deferred.DeadRetention)
+	writeLine("at most %d tickets; answers kept %v, dead letters %v", c.MaxInvocations, c.Retention, c.Deferred.DeadLetterRetention)
 	writeLine("deferred: %d to %d runs at once, at most %d of one function, at most %d runs of a ticket",
 		c.Deferred.MinConcurrency, c.Deferred.MaxConcurrency, c.Deferred.MaxPerFunction, c.Deferred.MaxRuns)
 	for _, name := range slices.Sorted(maps.Keys(c.Functions)) {
--- a/internal/frontend/invoke/options.go
+++ b/internal/frontend/invoke/options.go
@@ -11,11 +11,11 @@
 // StoreOptions returns the retention times and limits of the invocation store.
 func (c *Config) StoreOptions() store.Options {
 	return store.Options{
-		Retention:         c.Retention,
-		DeadRetention:     c.Deferred.DeadRetention,
-		MaxInvocations:    c.MaxInvocations,
-		MaxPerTenant:      c.Deferred.MaxPerTenant,
-		MaxBytesPerTenant: c.Deferred.MaxMiBPerTenant * bytesPerMiB,
+		Retention:           c.Retention,
+		DeadLetterRetention: c.Deferred.DeadLetterRetention,
+		MaxInvocations:      c.MaxInvocations,
+		MaxPerTenant:        c.Deferred.MaxPerTenant,
+		MaxBytesPerTenant:   c.Deferred.MaxMiBPerTenant * bytesPerMiB,
 	}
 }
 
--- a/internal/frontend/invoke/poll.go
+++ b/internal/frontend/invoke/poll.go
@@ -33,7 +33,7 @@
 }
 
 // awaitAndWriteView waits for the outcome of an invocation until waitUntil, and then writes the outcome or a pending
-// document. EndWaits ends the wait early.
+// document. EndLongPolls ends the wait early.
 func (s *Server) awaitAndWriteView(w http.ResponseWriter, r *http.Request, waitUntil time.Time,
 	tenant, id string) error {
 	ctx, cancel := context.WithDeadline(r.Context(), waitUntil)
--- a/internal/frontend/invoke/validate.go
+++ b/internal/frontend/invoke/validate.go
@@ -64,7 +64,7 @@
 // require records an error for a setting, given by its key, unless ok is true.
 func (v *configValidator) require(ok bool, message string, key ...string) {
 	if !ok {
-		v.errs = append(v.errs, v.file.Errorf(message, key...))
+		v.errs = append(v.errs, v.file.KeyError(message, key...))
 	}
 }
 
@@ -117,7 +117,7 @@
 func (v *configValidator) checkDeferred(d *Deferred, settings balancer.Settings) {
 	d.setSchedulerConfig(settings)
 	err := d.schedulerConfig.Validate()
-	if d.DeadRetention <= 0 || d.MaxPerTenant < 0 || d.MaxMiBPerTenant < 0 {
+	if d.DeadLetterRetention <= 0 || d.MaxPerTenant < 0 || d.MaxMiBPerTenant < 0 {
 		err = errors.Join(err, errors.New("dead_retention has to be above 0, tenant_tickets and tenant_mb 0 or more"))
 	}
 	if err != nil {
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -135,7 +135,7 @@
 	c.sendCall(1, "reserva", "book")
 	c.sendCall(2, "consulta", "look")
 	c.Close()
-	allEnded := func() bool { return server.ActiveConns() == 0 && server.Core.InFlight() == 0 }
+	allEnded := func() bool { return server.OpenConns() == 0 && server.Core.InFlight() == 0 }
 	require.Eventually(t, allEnded, 10*time.Second, time.Millisecond)
 	other := connect()
 	other.sendCall(3, "reserva", "other")
--- a/internal/frontend/resp/drain.go
+++ b/internal/frontend/resp/drain.go
@@ -51,7 +51,7 @@
 	if client != nil {
 		lastRequest, open = client.requestActivity()
 	}
-	switch s.DrainState.Judge(now, conn.acceptedAt, lastRequest) {
+	switch s.DrainState.ActionFor(now, conn.acceptedAt, lastRequest) {
 	case drain.Keep:
 		conn.pastCloseDeadline = false // a sweep of an earlier drain, which a rejoin has ended, may have set it
 	case drain.CloseIfIdle:
@@ -96,7 +96,7 @@
 // closeIfDraining closes the connection if it is idle and idle connections are being closed to send clients away.
 func (c *clientConn) closeIfDraining() {
 	now := time.Now()
-	if c.server.DrainState.Judge(now, now, now) != drain.Keep {
+	if c.server.DrainState.ActionFor(now, now, now) != drain.Keep {
 		c.closeIfIdle(closedWhenDraining)
 	}
 }
--- a/internal/frontend/resp/drain_test.go
+++ b/internal/frontend/resp/drain_test.go
@@ -42,10 +42,10 @@
 // closeIdleOnly closes idle connections at once and leaves the others open for an hour.
 var closeIdleOnly = drain.Schedule{AnswerBy: time.Hour, CloseBy: time.Hour}
 
-// Clients notice late that the server is being evacuated. Until the end of Linger, idle connections stay open, and new
+// Clients notice late that the server is being evacuated. For Schedule.AcceptAllFor, idle connections stay open, and new
 // connections are accepted and served.
-func TestEvacuationKeepsConnectionsOpenDuringLinger(t *testing.T) {
-	server, connect := startDraining(t, drain.Schedule{Linger: 400 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour},
+func TestEvacuationKeepsConnectionsOpenWhileAcceptingAll(t *testing.T) {
+	server, connect := startDraining(t, drain.Schedule{AcceptAllFor: 400 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour},
 		fakes.NewWorker(t))
 	early := connect()
 	evacuate(server)
@@ -136,7 +136,7 @@
 // After a rejoin the server keeps the connections that it has not closed yet.
 func TestRejoinKeepsConnections(t *testing.T) {
 	w := fakes.NewWorker(t)
-	server, connect := startDraining(t, drain.Schedule{Linger: 10 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour}, w)
+	server, connect := startDraining(t, drain.Schedule{AcceptAllFor: 10 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour}, w)
 	busy := connect()
 	busy.sendCall(1, "reserva", "book")
 	received := w.Next()
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -81,7 +81,7 @@
 		synctest.Wait()
 		ln.Close()
 		synctest.Wait()
-		require.Equal(t, 1, server.ActiveConns(), "the connection must stay open after the listener is closed")
+		require.Equal(t, 1, server.OpenConns(), "the connection must stay open after the listener is closed")
 		go client.Write([]byte(checkRequest))
 		answer := make([]byte, 64)
 		n, err := client.Read(answer)
--- a/internal/frontend/resp/server.go
+++ b/internal/frontend/resp/server.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// ActiveConns returns the number of open connections. It is safe for concurrent use.
-func (s *Server) ActiveConns() int {
+// OpenConns returns the number of open connections. It is safe for concurrent use.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -125,7 +125,7 @@
 // returns when listenerEnded is closed and no connection is open.
 func (s *Server) sweepUntilLastConn(listenerEnded <-chan struct{}) {
 	accepting := true
-	for accepting || s.ActiveConns() > 0 {
+	for accepting || s.OpenConns() > 0 {
 		timer := time.NewTimer(s.sweepInterval())
 		select {
 		case <-timer.C:
--- a/internal/frontend/resp/unread_test.go
+++ b/internal/frontend/resp/unread_test.go
@@ -31,7 +31,7 @@
 		assert.False(t, conn.closeIfIdle(reason), "the request was read but not handled yet")
 		conn.unhandled.Add(-1)
 		assert.True(t, conn.closeIfIdle(reason))
-		assert.Zero(t, s.ActiveConns())
+		assert.Zero(t, s.OpenConns())
 		assert.Zero(t, s.descriptors.InUse(), "the descriptor must be released on close")
 	}
 }
--- a/internal/invocation/executor/harness_test.go
+++ b/internal/invocation/executor/harness_test.go
@@ -180,19 +180,19 @@
 
 // faultyDisk is a disk on which writes to files fail with errDiskFull while full is set.
 type faultyDisk struct {
-	wal.Disk
+	wal.OSFileSystem
 	full atomic.Bool
 }
 
 var errDiskFull = errors.New("no space left on device")
 
 func (d *faultyDisk) Create(path string) (wal.File, error) {
-	file, err := d.Disk.Create(path)
+	file, err := d.OSFileSystem.Create(path)
 	return faultyFile{file, d}, err
 }
 
 func (d *faultyDisk) Open(path string) (wal.File, error) {
-	file, err := d.Disk.Open(path)
+	file, err := d.OSFileSystem.Open(path)
 	return faultyFile{file, d}, err
 }
 
--- a/internal/invocation/executor/invoke.go
+++ b/internal/invocation/executor/invoke.go
@@ -51,7 +51,7 @@
 // accepted; fg.invocation may have changed since.
 func (e *Executor) submitForeground(fg *foregroundInvocation, inv *invocation.Invocation, coreCall *call.Call) {
 	coreCall.ID = mathrand.Uint64()
-	coreCall.Deadline = e.clock.Machine(inv.Expires)
+	coreCall.Deadline = e.clock.ToSystemTime(inv.Expires)
 	if !inv.Idempotent {
 		coreCall.BeforeFirstAttempt = func() error { return e.persistForegroundStart(fg) }
 	}
--- a/internal/invocation/executor/run.go
+++ b/internal/invocation/executor/run.go
@@ -82,7 +82,7 @@
 func (e *Executor) submitRun(inv *invocation.Invocation, coreCall *call.Call) {
 	// Each run has its own call ID, since an answer to an earlier run may still arrive.
 	coreCall.ID = mathrand.Uint64()
-	coreCall.Deadline = e.clock.Machine(e.runDeadline(inv))
+	coreCall.Deadline = e.clock.ToSystemTime(e.runDeadline(inv))
 	if !inv.Idempotent {
 		coreCall.BeforeFirstAttempt = func() error { return e.persistStart(inv.ID) }
 	}
--- a/internal/invocation/store/apply.go
+++ b/internal/invocation/store/apply.go
@@ -79,7 +79,7 @@
 func (s *Store) retentionKey(inv *invocation.Invocation) []byte {
 	retention := s.options.Retention
 	if inv.DeadLetter {
-		retention = s.options.DeadRetention
+		retention = s.options.DeadLetterRetention
 	}
 	return timeKey(inv.CompletedAt.Add(retention), inv.ID)
 }
--- a/internal/invocation/store/store.go
+++ b/internal/invocation/store/store.go
@@ -20,8 +20,8 @@
 	// kept for another Retention.
 	Retention time.Duration
 
-	// DeadRetention is how long a dead letter is kept after it has completed. A value below Retention is raised to it.
-	DeadRetention time.Duration
+	// DeadLetterRetention is how long a dead letter is kept after it has completed. A value below Retention is raised to it.
+	DeadLetterRetention time.Duration
 
 	MaxInvocations    int64 // maximum number of invocations of all tenants
 	MaxPerTenant      int64 // maximum number of invocations per tenant; 0: no limit per tenant
@@ -45,7 +45,7 @@
 			return nil, storageError(err)
 		}
 	}
-	options.DeadRetention = max(options.DeadRetention, options.Retention)
+	options.DeadLetterRetention = max(options.DeadLetterRetention, options.Retention)
 	s := &Store{options: options, cache: newInvocationCache()}
 	options.Durable.MemoryBuckets = memoryBuckets
 	options.Durable.OnRollback = s.cache.clear
--- a/internal/invocation/store/store_test.go
+++ b/internal/invocation/store/store_test.go
@@ -93,7 +93,7 @@
 // A completed invocation is kept for its retention, then only a record that it expired, for Retention, and then nothing.
 // The 600 invocations make more than one batch.
 func TestDeleteExpired(t *testing.T) {
-	s, _ := openNew(t, Options{DeadRetention: 3 * time.Hour})
+	s, _ := openNew(t, Options{DeadLetterRetention: 3 * time.Hour})
 	for i := range 600 {
 		id := fmt.Sprintf("t%03d", i)
 		create(t, s, id, newRequest(id))
--- a/internal/monotonic/monotonic.go
+++ b/internal/monotonic/monotonic.go
@@ -26,5 +26,5 @@
 // Now returns the current time of the clock.
 func (c *Clock) Now() time.Time { return c.base.Add(c.elapsed()) }
 
-// Machine converts a time of this clock to one that can be compared with time.Now: the time left until t stays the same.
-func (c *Clock) Machine(t time.Time) time.Time { return time.Now().Add(t.Sub(c.Now())) }
+// ToSystemTime converts a time of this clock to one that can be compared with time.Now: the time left until t stays the same.
+func (c *Clock) ToSystemTime(t time.Time) time.Time { return time.Now().Add(t.Sub(c.Now())) }
--- a/internal/monotonic/monotonic_test.go
+++ b/internal/monotonic/monotonic_test.go
@@ -20,6 +20,6 @@
 	clock := Start(time.Now())
 	start := clock.Now()
 	assert.False(t, clock.Now().Before(start))
-	assert.WithinDuration(t, time.Now().Add(time.Minute), clock.Machine(start.Add(time.Minute)), time.Second)
+	assert.WithinDuration(t, time.Now().Add(time.Minute), clock.ToSystemTime(start.Add(time.Minute)), time.Second)
 	assert.Equal(t, start, start.Round(0), "no monotonic reading, so that two times differ by their wall times")
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -30,7 +30,7 @@
 		return nil, decodeError(path, err)
 	}
 	for _, key := range f.meta.Undecoded() {
-		err = errors.Join(err, f.Errorf("there is no such setting", key...))
+		err = errors.Join(err, f.KeyError("there is no such setting", key...))
 	}
 	return f, err
 }
@@ -51,9 +51,9 @@
 // Has reports whether the file sets a key.
 func (f *File) Has(key ...string) bool { return f.meta.IsDefined(key...) }
 
-// Errorf returns an error about a key. It names the line that sets the key, or, if the key is missing, the line of the innermost
-// enclosing table that the file has.
-func (f *File) Errorf(message string, key ...string) error {
+// KeyError returns an error about a key. It names the line that sets the key, or, if the key is missing, the line of the
+// innermost enclosing table that the file has.
+func (f *File) KeyError(message string, key ...string) error {
 	for length := len(key); length > 0; length-- {
 		if line := f.keyLines[toml.Key(key[:length]).String()]; line > 0 {
 			return fmt.Errorf("%s:%d: %s: %s", f.path, line, toml.Key(key), message)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -33,9 +33,9 @@
 func TestErrorsNameTheLineOfTheKey(t *testing.T) {
 	f, errorText := readText(t, "name = 'x'\n\n[rooms.\"sala.sur\"]\nwait = '1s'\n# most = 3\n[rooms.norte]\n")
 	require.Empty(t, errorText)
-	assert.ErrorContains(t, f.Errorf("too short", "rooms", "sala.sur", "wait"), `:4: rooms."sala.sur".wait: too short`)
-	assert.ErrorContains(t, f.Errorf("is missing", "rooms", "sala.sur", "most"), ":3: ")
-	assert.ErrorContains(t, f.Errorf("is missing", "rooms", "norte", "most"), ":6: ")
+	assert.ErrorContains(t, f.KeyError("too short", "rooms", "sala.sur", "wait"), `:4: rooms."sala.sur".wait: too short`)
+	assert.ErrorContains(t, f.KeyError("is missing", "rooms", "sala.sur", "most"), ":3: ")
+	assert.ErrorContains(t, f.KeyError("is missing", "rooms", "norte", "most"), ":6: ")
 	assert.True(t, f.Has("rooms", "norte"))
 }
 
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -22,37 +22,37 @@
 	SyncDir(path string) error // when it returns nil, the entries of the directory are on the disk
 }
 
-// Disk is the FS of the operating system.
-type Disk struct{}
+// OSFileSystem is the FS of the operating system.
+type OSFileSystem struct{}
 
 const fileMode = 0o600
 
-type diskFile struct{ *os.File }
+type osFile struct{ *os.File }
 
 // Sync uses fdatasync, which does not write the timestamps of the file. The size of the file need not be written either,
 // as segments do not grow.
-func (f diskFile) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
+func (f osFile) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
 
 // Create creates a file. It fails if the file exists.
-func (Disk) Create(path string) (File, error) {
+func (OSFileSystem) Create(path string) (File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, fileMode)
-	return diskFile{f}, err
+	return osFile{f}, err
 }
 
 // Open opens an existing file for writing.
-func (Disk) Open(path string) (File, error) {
+func (OSFileSystem) Open(path string) (File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR, fileMode)
-	return diskFile{f}, err
+	return osFile{f}, err
 }
 
 // Rename renames a file.
-func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
-func (Disk) Remove(path string) error { return os.Remove(path) }
+func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
 // SyncDir flushes the entries of a directory to the disk.
-func (Disk) SyncDir(path string) error {
+func (OSFileSystem) SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/wal/replay_test.go
+++ b/internal/wal/replay_test.go
@@ -16,7 +16,7 @@
 // error. It must not skip an acknowledged record without an error.
 func TestReplayDetectsDamage(t *testing.T) {
 	dir := t.TempDir()
-	l := reopen(t, Disk{}, dir)
+	l := reopen(t, OSFileSystem{}, dir)
 	want := appendRecords(t, l, 1, 4)
 	path := segmentPath(dir, 1)
 	intact, err := os.ReadFile(path)
@@ -54,7 +54,7 @@
 func TestTornRecordIsSkipped(t *testing.T) {
 	for keep := 0; keep < 1500; keep += 100 {
 		dir := t.TempDir()
-		l := reopen(t, Disk{}, dir)
+		l := reopen(t, OSFileSystem{}, dir)
 		want := appendRecords(t, l, 1, 3)
 		start := int(l.end)
 		require.NoError(t, l.Append([]byte(fmt.Sprintf("%01500d", 7))))
@@ -71,7 +71,7 @@
 		require.NoError(t, err, "cut at %d", cut)
 		assert.Equal(t, want, payloads)
 		assert.Equal(t, uint64(3), nextSequence)
-		reopened := reopen(t, Disk{}, dir)
+		reopened := reopen(t, OSFileSystem{}, dir)
 		want = append(want, appendRecords(t, reopened, 3, 9)...)
 		payloads, _, _, err = replay(t, dir, 0)
 		require.NoError(t, err)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -45,10 +45,10 @@
 
 func TestRecordsAreReplayedInOrderAcrossSegmentsAndRestarts(t *testing.T) {
 	dir := t.TempDir()
-	want := appendRecords(t, reopen(t, Disk{}, dir), 1, 200)
-	want = append(want, appendRecords(t, reopen(t, Disk{}, dir), 200, 400)...)
-	reopen(t, Disk{}, dir) // opening the log without appending must not affect replay
-	l := reopen(t, Disk{}, dir)
+	want := appendRecords(t, reopen(t, OSFileSystem{}, dir), 1, 200)
+	want = append(want, appendRecords(t, reopen(t, OSFileSystem{}, dir), 200, 400)...)
+	reopen(t, OSFileSystem{}, dir) // opening the log without appending must not affect replay
+	l := reopen(t, OSFileSystem{}, dir)
 	payloads, nextSequence, _, err := replay(t, dir, 0)
 	require.NoError(t, err)
 	assert.Equal(t, want, payloads)
@@ -64,7 +64,7 @@
 
 // failingDisk is a disk whose writes or syncs fail after a given number of them.
 type failingDisk struct {
-	Disk
+	OSFileSystem
 	writesLeft int // number of writes that still succeed; negative: all
 	syncsLeft  int // number of syncs that still succeed; negative: all
 }
@@ -88,12 +88,12 @@
 }
 
 func (d *failingDisk) Create(path string) (File, error) {
-	file, err := d.Disk.Create(path)
+	file, err := d.OSFileSystem.Create(path)
 	return failingFile{file, d}, err
 }
 
 func (d *failingDisk) Open(path string) (File, error) {
-	file, err := d.Disk.Open(path)
+	file, err := d.OSFileSystem.Open(path)
 	return failingFile{file, d}, err
 }
 
