--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -119,7 +119,7 @@
 	k.invokeFile, k.url = writeInvokeFile(t, authority)
 	addLookFunction(t, k.invokeFile)
 	k.setFastRetries()
-	k.client = authority.Client(fakes.Domain + clientIdentity)
+	k.client = authority.Client(fakes.TrustDomain + clientIdentity)
 	k.client.Transport.(*http.Transport).DisableKeepAlives = true
 	return k
 }
@@ -150,7 +150,7 @@
 			call.ResetConn()
 		case choice == 4: // no answer is sent
 		default:
-			call.OK(strconv.Quote("done " + strings.Trim(call.Body, `"`)))
+			call.AnswerOK(strconv.Quote("done " + strings.Trim(call.Body, `"`)))
 		}
 	}
 }
--- a/cmd/dispatcher/measure_start_test.go
+++ b/cmd/dispatcher/measure_start_test.go
@@ -69,7 +69,7 @@
 	process := programCommand(program, s.configPath, invokeFile)
 	start := time.Now()
 	require.NoError(t, process.Start())
-	client := authority.Client(fakes.Domain + clientIdentity)
+	client := authority.Client(fakes.TrustDomain + clientIdentity)
 	require.Eventually(t, func() bool {
 		resp, err := client.Get(url + "/v1/invocations/none")
 		if err == nil {
--- a/cmd/dispatcher/measure_test.go
+++ b/cmd/dispatcher/measure_test.go
@@ -86,14 +86,14 @@
 func startMeasuredProgram(t *testing.T, program string) (p *measuredProgram, stop func()) {
 	t.Helper()
 	authority, worker := fakes.NewAuthority(t), fakes.NewWorker(t)
-	worker.Serve(func(call *fakes.Call) { call.OK(`"done"`) })
+	worker.Serve(func(call *fakes.Call) { call.AnswerOK(`"done"`) })
 	s := newService(t, newIdleDiscovery(t), worker)
 	invokeFile, url := writeInvokeFile(t, authority)
 	addLookFunction(t, invokeFile)
 	process := programCommand(program, s.configPath, invokeFile)
 	require.NoError(t, process.Start())
 	dial(t, s.addr).Close()
-	client := authority.Client(fakes.Domain + clientIdentity)
+	client := authority.Client(fakes.TrustDomain + clientIdentity)
 	client.Transport.(*http.Transport).ForceAttemptHTTP2 = true
 	return &measuredProgram{t: t, url: url, client: client}, func() { terminate(process) }
 }
--- a/cmd/dispatcher/operators_test.go
+++ b/cmd/dispatcher/operators_test.go
@@ -110,7 +110,7 @@
 // The invoke API rejects new invocations with 503 during an evacuation, and accepts them again after a rejoin.
 func TestInvokeAPIFollowsAnEvacuation(t *testing.T) {
 	worker, authority := fakes.NewWorker(t), fakes.NewAuthority(t)
-	worker.Serve(func(c *fakes.Call) { c.OK(`"booked"`) })
+	worker.Serve(func(c *fakes.Call) { c.AnswerOK(`"booked"`) })
 	invokeFile, url := writeInvokeFile(t, authority)
 	s := newService(t, unreachableDiscovery, worker)
 	adminAddr := freeAddress(t)
@@ -122,7 +122,7 @@
 	invoke := func() int {
 		request, err := newInvocationRequest(url, "book", `"slot"`)
 		require.NoError(t, err)
-		client := authority.Client(fakes.Domain + clientIdentity) // a new connection for each request
+		client := authority.Client(fakes.TrustDomain + clientIdentity) // a new connection for each request
 		defer client.CloseIdleConnections()
 		answer, err := client.Do(request)
 		require.NoError(t, err)
--- a/cmd/dispatcher/server_test.go
+++ b/cmd/dispatcher/server_test.go
@@ -21,7 +21,7 @@
 func TestReloadFollowsTheNewDiscoveryAddress(t *testing.T) {
 	worker, authority := fakes.NewWorker(t), fakes.NewAuthority(t)
 	invokeFile, url := writeInvokeFile(t, authority)
-	client := authority.Client(fakes.Domain + clientIdentity)
+	client := authority.Client(fakes.TrustDomain + clientIdentity)
 	polls := make(chan string, 64)
 	first, second := newHangingDiscovery(t, "first", polls), newHangingDiscovery(t, "second", polls)
 	s := newService(t, first, worker)
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	accepted.Body.Close()
 	require.Equal(t, 202, accepted.StatusCode)
-	pending := worker.Next()
+	pending := worker.NextCall()
 
 	require.Equal(t, "first 1", <-polls)
 	require.NoError(t, os.WriteFile(s.configPath, []byte(`{"board":`), 0o600))
@@ -45,7 +45,7 @@
 	require.NoError(t, signalSelf(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return <-polls == "second 1" }, waitTimeout, waitInterval)
 
-	pending.OK(`"booked"`)
+	pending.AnswerOK(`"booked"`)
 	poll, err := http.NewRequest(http.MethodGet, url+accepted.Header.Get("Location"), nil)
 	require.NoError(t, err)
 	poll.Header.Set("Prefer", "wait=5")
@@ -67,18 +67,18 @@
 	s := newService(t, unreachableDiscovery, worker)
 	s.start(invokeFile)
 	connBefore := dial(t, s.addr)
-	notFound, err := authority.Client(fakes.Domain + clientIdentity).Get(url + "/v1/invocations/none")
+	notFound, err := authority.Client(fakes.TrustDomain + clientIdentity).Get(url + "/v1/invocations/none")
 	require.NoError(t, err)
 	notFound.Body.Close()
 	assert.Equal(t, 404, notFound.StatusCode, "the invoke API must be up before the frontend for the platform's clients")
 
 	sendCall(connBefore, "9b1f03aa5c7e2d41", "open")
-	inFlight := worker.Next()
+	inFlight := worker.NextCall()
 	require.NoError(t, signalSelf(syscall.SIGTERM))
 	connAfter := dial(t, s.addr)
 	sendCall(connAfter, "9b1f03aa5c7e2d42", "new")
-	worker.Next().OK("done")
-	inFlight.OK("done")
+	worker.NextCall().AnswerOK("done")
+	inFlight.AnswerOK("done")
 	for _, conn := range []net.Conn{connBefore, connAfter} {
 		got, err := io.ReadAll(conn) // returns once the program closes the connection, which has nothing in flight then
 		require.NoError(t, err)
@@ -129,7 +129,7 @@
 	conn := dial(t, s.addr)
 	require.Eventually(t, func() bool { return checkReady(t, conn) == "yes" }, waitTimeout, waitInterval)
 	sendCall(conn, "9b1f03aa5c7e2d41", "x")
-	inFlight := worker.Next()
+	inFlight := worker.NextCall()
 
 	for _, text := range []string{"", `{"board":`, `{"board":"","seed":"1","settings":{"grades":[]}}`, "[]"} {
 		require.NoError(t, os.WriteFile(s.configPath, []byte(text), 0o600))
@@ -146,7 +146,7 @@
 	require.NoError(t, signalSelf(syscall.SIGHUP))
 	require.Equal(t, "next 1", <-polls)
 	require.Equal(t, "no", checkReady(t, conn))
-	inFlight.OK("done")
+	inFlight.AnswerOK("done")
 	got, err := io.ReadAll(conn)
 	require.NoError(t, err)
 	assert.Contains(t, string(got), "done")
@@ -182,7 +182,7 @@
 	conn := dial(t, s.addr)
 	require.Eventually(t, func() bool { return checkReady(t, conn) == "yes" }, waitTimeout, waitInterval)
 	sendCall(conn, "9b1f03aa5c7e2d41", "x")
-	worker.Next().OK("done")
+	worker.NextCall().AnswerOK("done")
 	answer := make([]byte, 64)
 	length, err := conn.Read(answer)
 	require.NoError(t, err)
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -19,7 +19,7 @@
 
 	b.Run("served", func(b *testing.B) {
 		worker := fakes.NewWorker(b)
-		worker.Serve(func(c *fakes.Call) { c.OK("done") })
+		worker.Serve(func(c *fakes.Call) { c.AnswerOK("done") })
 		core := fakes.NewCoreWithSettings(b, settings, worker)
 		b.Cleanup(core.Stop)
 		benchmarkRequests(b, core, time.Minute, call.Served)
--- a/internal/dispatch/loopback_test.go
+++ b/internal/dispatch/loopback_test.go
@@ -69,7 +69,7 @@
 			submit(t, core, newCall(2, "waiting", func(call.Answer) {}))
 			firstBody := make(chan string, 1)
 			// This action is queued before Cancel, so it is executed before the loop processes the cancellation.
-			hook.Inject(func() []balancer.Action { firstBody <- w.Next().Body; return nil })
+			hook.Inject(func() []balancer.Action { firstBody <- w.NextCall().Body; return nil })
 			cancelled.Cancel()
 			close(resume)
 
@@ -135,7 +135,7 @@
 	core := startCore(t, settings, w)
 	answered := make(chan call.Answer, 1)
 	handle := submit(t, core, newCall(1, "x", func(a call.Answer) { answered <- a }))
-	w.Next().OK("done")
+	w.NextCall().AnswerOK("done")
 	assert.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 	assert.True(t, handle.Finished())
 }
@@ -196,18 +196,18 @@
 	done := func(a call.Answer) { answered <- a }
 
 	submit(t, core, newCall(1, "a", done))
-	first := w.Next()
-	from := first.From()
-	first.OK("")
+	first := w.NextCall()
+	from := first.RemoteAddr()
+	first.AnswerOK("")
 	require.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 
 	endpoint := fakes.Endpoints(w).Endpoints[0]
 	endpoint.Addr = ""
 	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeDelta, Endpoints: []discovery.Endpoint{endpoint}})
 	submit(t, core, newCall(2, "b", done))
-	second := w.Next()
-	assert.Equal(t, from, second.From())
-	second.OK("")
+	second := w.NextCall()
+	assert.Equal(t, from, second.RemoteAddr())
+	second.AnswerOK("")
 	require.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 }
 
@@ -225,7 +225,7 @@
 		submitted.Deadline = time.Now().Add(200 * time.Millisecond)
 		submit(t, core, submitted)
 		if endpoints[1].State == balancer.Ready {
-			w.Next().OK("")
+			w.NextCall().AnswerOK("")
 			assert.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 		} else {
 			assert.Equal(t, call.Rejected, fakes.Receive(t, answered).Outcome)
@@ -244,7 +244,7 @@
 
 	core.UpdateEndpoints(fakes.Endpoints(other))
 	submit(t, core, newCall(1, "x", done))
-	other.Next().OK("done")
+	other.NextCall().AnswerOK("done")
 	assert.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 
 	core.UpdateEndpoints(discovery.Update{Scope: balancer.ScopeFull}) // the list names no worker: calls are rejected
@@ -255,7 +255,7 @@
 
 	core.UpdateEndpoints(fakes.Endpoints(w))
 	submit(t, core, newCall(3, "z", done))
-	w.Next().OK("done")
+	w.NextCall().AnswerOK("done")
 	assert.Equal(t, call.Served, fakes.Receive(t, answered).Outcome)
 	assert.Zero(t, w.CallCount("x")+w.CallCount("y")+other.CallCount("y")+other.CallCount("z"))
 }
--- a/internal/fakes/core.go
+++ b/internal/fakes/core.go
@@ -101,7 +101,7 @@
 	return update
 }
 
-// LoadOrder returns a load order for one copy of a function. It may be sent and answered until Deadline.
-func LoadOrder(function string) worker.LoadOrder {
+// NewLoadOrder returns a load order for one copy of a function. It may be sent and answered until Deadline.
+func NewLoadOrder(function string) worker.LoadOrder {
 	return worker.LoadOrder{Function: function, Copies: 1, StartBy: Deadline(), LeaseEnd: Deadline(), Deadline: Deadline()}
 }
--- a/internal/fakes/frame.go
+++ b/internal/fakes/frame.go
@@ -32,9 +32,9 @@
 
 // Codes of the answers that workers send.
 const (
-	CodeOK   = 64 // the call was served, or the load order was carried out
-	CodeMiss = 66 // the function is not loaded
-	CodeFull = 67 // the worker rejected the call
+	CodeOK       = 64 // the call was served, or the load order was carried out
+	CodeMiss     = 66 // the function is not loaded
+	CodeRejected = 67 // the worker rejected the call
 )
 
 // Names of the fields that Worker reads or writes.
--- a/internal/fakes/identity.go
+++ b/internal/fakes/identity.go
@@ -24,11 +24,11 @@
 	"google.golang.org/grpc/status"
 )
 
-// Domain is the trust domain of all identities that an Authority issues.
-const Domain = "spiffe://turnos.example"
+// TrustDomain is the trust domain of all identities that an Authority issues.
+const TrustDomain = "spiffe://turnos.example"
 
 // dispatcherID is the SPIFFE ID in the SVIDs that the Workload API returns.
-const dispatcherID = Domain + "/edge"
+const dispatcherID = TrustDomain + "/edge"
 
 // securityHeader is the metadata key that every request to the Workload API must carry.
 const securityHeader = "workload.spiffe.io"
@@ -65,7 +65,7 @@
 // newRootCertificate returns a self-signed CA certificate for the trust domain, and its key.
 func (a *Authority) newRootCertificate() (*x509.Certificate, *ecdsa.PrivateKey) {
 	key := a.newKey()
-	template := a.newTemplate(Domain, x509.KeyUsageCertSign)
+	template := a.newTemplate(TrustDomain, x509.KeyUsageCertSign)
 	template.IsCA = true
 	return a.sign(template, template, key, key), key
 }
--- a/internal/fakes/identity_test.go
+++ b/internal/fakes/identity_test.go
@@ -41,13 +41,13 @@
 	authority := fakes.NewAuthority(t)
 	serverURL := newServer(t, authority)
 
-	response, err := authority.Client(fakes.Domain + "/desk/a").Get(serverURL)
+	response, err := authority.Client(fakes.TrustDomain + "/desk/a").Get(serverURL)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	identity, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	assert.Equal(t, fakes.Domain+"/desk/a", string(identity))
+	assert.Equal(t, fakes.TrustDomain+"/desk/a", string(identity))
 
-	_, err = fakes.NewAuthority(t).Client(fakes.Domain + "/desk/a").Get(serverURL)
+	_, err = fakes.NewAuthority(t).Client(fakes.TrustDomain + "/desk/a").Get(serverURL)
 	require.Error(t, err, "a client with the same SPIFFE ID from another authority could connect")
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -160,8 +160,8 @@
 	}()
 }
 
-// Next returns the next call that the worker receives. The test fails if none arrives within waitTimeout.
-func (w *Worker) Next() *Call {
+// NextCall returns the next call that the worker receives. The test fails if none arrives within waitTimeout.
+func (w *Worker) NextCall() *Call {
 	w.t.Helper()
 	select {
 	case call := <-w.Calls:
@@ -201,15 +201,15 @@
 // Answer writes an answer to the call.
 func (c *Call) Answer(code byte, fields, body string) { c.WriteRaw(Frame(code, c.ID, fields, body)) }
 
-// OK answers that a copy that was already loaded has served the call.
-func (c *Call) OK(body string) { c.Answer(CodeOK, "remark=hot", body) }
+// AnswerOK answers that a copy that was already loaded has served the call.
+func (c *Call) AnswerOK(body string) { c.Answer(CodeOK, "remark=hot", body) }
 
 // WriteRaw writes data to the connection without encoding it. It ignores errors because the peer may have closed the
 // connection.
 func (c *Call) WriteRaw(data []byte) { c.conn.Write(data) }
 
-// From returns the peer address of the call's connection. It tells apart the connections of one dispatcher.
-func (c *Call) From() string { return c.conn.RemoteAddr().String() }
+// RemoteAddr returns the peer address of the call's connection. It tells apart the connections of one dispatcher.
+func (c *Call) RemoteAddr() string { return c.conn.RemoteAddr().String() }
 
 // CloseConn closes the connection, as a worker does when it shuts down in an orderly way.
 func (c *Call) CloseConn() { c.conn.Close() }
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -41,7 +41,7 @@
 	assert.Zero(t, w.CallCount("x"))
 
 	loadResults := make(chan worker.Result, 1)
-	_, err := pool.Load(fakes.LoadOrder(testFunction), func(r worker.Result) { loadResults <- r })
+	_, err := pool.Load(fakes.NewLoadOrder(testFunction), func(r worker.Result) { loadResults <- r })
 	require.NoError(t, err)
 	loadResult := fakes.Receive(t, loadResults)
 	assert.Equal(t, balancer.OK, loadResult.Status)
@@ -50,10 +50,10 @@
 	assert.WithinDuration(t, time.Now(), w.LoadOrderTimes()[0], time.Until(fakes.Deadline()))
 
 	callResults := startCall(t, pool, 2, "x")
-	call := w.Next()
+	call := w.NextCall()
 	assert.Equal(t, uint64(2), call.ID)
 	assert.Equal(t, "x", call.Body)
-	call.OK("done")
+	call.AnswerOK("done")
 	callResult := fakes.Receive(t, callResults)
 	assert.Equal(t, balancer.OK, callResult.Status)
 	assert.Equal(t, "done", string(callResult.Body))
@@ -66,10 +66,10 @@
 	firstResults := startCall(t, pool, 1, "x")
 	call, idle := fakes.FirstCallAtEither(other, w)
 	assert.Same(t, other, idle)
-	call.Answer(fakes.CodeFull, "", "")
+	call.Answer(fakes.CodeRejected, "", "")
 	assert.Equal(t, balancer.Rejected, fakes.Receive(t, firstResults).Status)
 
 	secondResults := startCall(t, pool, 2, "x")
-	w.Next().ResetConn()
+	w.NextCall().ResetConn()
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, secondResults).Status)
 }
--- a/internal/frontend/invoke/harness_test.go
+++ b/internal/frontend/invoke/harness_test.go
@@ -84,8 +84,8 @@
 		t:         t,
 		authority: authority,
 		storePath: filepath.Join(t.TempDir(), "invocations.db"),
-		clientA:   authority.Client(fakes.Domain + "/desk/a"),
-		clientB:   authority.Client(fakes.Domain + "/desk/b"),
+		clientA:   authority.Client(fakes.TrustDomain + "/desk/a"),
+		clientB:   authority.Client(fakes.TrustDomain + "/desk/b"),
 	}
 	f.start(workers...)
 	t.Cleanup(f.stop)
--- a/internal/frontend/invoke/request_test.go
+++ b/internal/frontend/invoke/request_test.go
@@ -47,11 +47,11 @@
 
 func TestClientsWithoutTenantAreForbidden(t *testing.T) {
 	f := newTestFrontend(t, fakes.NewWorker(t))
-	unknown := f.authority.Client(fakes.Domain + "/desk/unknown")
+	unknown := f.authority.Client(fakes.TrustDomain + "/desk/unknown")
 	result := f.mustSend(unknown, http.MethodPost, bookPath, "")
 	assert.Equal(t, problem{status: 403, name: "forbidden"}, result.problem)
 	// The SPIFFE ID belongs to a tenant, but the server does not trust the authority that issued the SVID.
-	untrusted := fakes.NewAuthority(t).Client(fakes.Domain + "/desk/a")
+	untrusted := fakes.NewAuthority(t).Client(fakes.TrustDomain + "/desk/a")
 	_, err := f.send(context.Background(), untrusted, http.MethodPost, bookPath, "")
 	assert.Error(t, err)
 }
--- a/internal/frontend/invoke/restart_test.go
+++ b/internal/frontend/invoke/restart_test.go
@@ -16,7 +16,7 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`, "Idempotency-Key", "k1")
-	w.Next()
+	w.NextCall()
 	f.restart(w)
 	for range 2 {
 		outcome := f.awaitOutcome(deferred.location())
@@ -31,9 +31,9 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(lookPath, `"day"`)
-	w.Next()
+	w.NextCall()
 	f.restart(w)
-	w.Next().OK(`"free"`)
+	w.NextCall().AnswerOK(`"free"`)
 	assert.Equal(t, `"free"`, f.awaitOutcome(deferred.location()).body)
 }
 
@@ -43,7 +43,7 @@
 	f := newTestFrontend(t)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
 	f.restart(w)
-	w.Next().OK(`"booked"`)
+	w.NextCall().AnswerOK(`"booked"`)
 	assert.Equal(t, `"booked"`, f.awaitOutcome(deferred.location()).body)
 	assert.Equal(t, 1, w.CallCount(`"slot"`))
 }
@@ -57,13 +57,13 @@
 		f.core.UpdateEndpoints(fakes.Endpoints(w))
 		body := fmt.Sprintf(`"slot %d"`, i)
 		deferred := f.invokeDeferred(bookPath, body, "Idempotency-Key", body)
-		workerCall := w.Next()
+		workerCall := w.NextCall()
 		wantProblemName := ""
 		if i%2 == 0 {
 			workerCall.ResetConn()
 			wantProblemName = "may-have-run"
 		} else {
-			workerCall.OK(`"booked"`)
+			workerCall.AnswerOK(`"booked"`)
 		}
 		outcome := f.awaitOutcome(deferred.location())
 		assert.Equal(t, wantProblemName, outcome.problem.name, outcome.body)
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -16,15 +16,15 @@
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
 	c.sendCall(1, "consulta", "first\r\n\x00")
-	first := w.Next()
+	first := w.NextCall()
 	c.sendCall(2, "reserva", "second")
-	second := w.Next()
+	second := w.NextCall()
 	assert.Equal(t, "first\r\n\x00", first.Body)
 	assert.Regexp(t, `^profile=reserva,thing=7f3a9c21e0b4d655,max=[1-9]\d*$`, second.Fields)
 	assert.Equal(t, callID(2), second.ID)
-	second.OK("done 2")
+	second.AnswerOK("done 2")
 	assert.Equal(t, "2 ok  done 2", c.receive())
-	first.OK("done 1")
+	first.AnswerOK("done 1")
 	assert.Equal(t, "1 ok  done 1", c.receive())
 	c.sendCommand("CHECK", "3", "")
 	assert.Equal(t, "3 yes  ", c.receive())
@@ -54,7 +54,7 @@
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
 	c.sendCall(1, "reserva", "book")
-	received := w.Next()
+	received := w.NextCall()
 	corrupt := fakes.Frame(64, received.ID, "remark=hot", "done")
 	corrupt[len(corrupt)-1] ^= 1
 	received.WriteRaw(corrupt)
@@ -67,7 +67,7 @@
 	c.sendCall(1, "consulta", "look")
 	received, remaining := fakes.FirstCallAtEither(w, other)
 	received.ResetConn()
-	remaining.Next().OK("seen")
+	remaining.NextCall().AnswerOK("seen")
 	assert.Equal(t, "1 ok  seen", c.receive())
 }
 
@@ -76,12 +76,12 @@
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
 	c.sendCall(1, "consulta", "look")
-	cancelled := w.Next()
+	cancelled := w.NextCall()
 	c.sendCommand("CANCEL", "1")
 	assert.Equal(t, cancelled.ID, fakes.Receive(t, w.Cancelled))
-	cancelled.OK("late")
+	cancelled.AnswerOK("late")
 	c.sendCall(2, "consulta", "again")
-	w.Next().OK("in time")
+	w.NextCall().AnswerOK("in time")
 	assert.Equal(t, "2 ok  in time", c.receive())
 }
 
@@ -90,7 +90,7 @@
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
 	c.sendCommand("CALL", "1", "reserva", "id=9b1f03aa5c7e2d41,wait=200,tenant=acme,key=7f3a9c21e0b4d655", "book")
-	received := w.Next()
+	received := w.NextCall()
 	assert.Equal(t, "1 fault  ", c.receive())
 	assert.Equal(t, received.ID, fakes.Receive(t, w.Cancelled))
 }
@@ -102,13 +102,13 @@
 	_, connect := startServer(t, w)
 	c, other := connect(), connect()
 	c.sendCall(1, "reserva", "mine")
-	received := w.Next()
+	received := w.NextCall()
 	other.sendCall(1, "reserva", "theirs")
 	assert.Equal(t, "1 fault  ", other.receive())
-	received.OK("done")
+	received.AnswerOK("done")
 	assert.Equal(t, "1 ok  done", c.receive())
 	other.sendCall(1, "reserva", "later")
-	w.Next().OK("done")
+	w.NextCall().AnswerOK("done")
 	assert.Equal(t, "1 ok  done", other.receive())
 }
 
@@ -118,10 +118,10 @@
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
 	c.sendCall(1, "reserva", "book")
-	received := w.Next()
+	received := w.NextCall()
 	require.NoError(t, c.Conn.(*net.TCPConn).CloseWrite())
 	assert.Equal(t, received.ID, fakes.Receive(t, w.Cancelled))
-	received.OK("late")
+	received.AnswerOK("late")
 	_, err := c.reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 }
@@ -139,11 +139,11 @@
 	require.Eventually(t, allEnded, 10*time.Second, time.Millisecond)
 	other := connect()
 	other.sendCall(3, "reserva", "other")
-	received := w.Next()
+	received := w.NextCall()
 	for received.Body != "other" { // calls that started before the end of the stream was read may also arrive
-		received = w.Next()
+		received = w.NextCall()
 	}
-	received.OK("done")
+	received.AnswerOK("done")
 	assert.Equal(t, "3 ok  done", other.receive())
 }
 
@@ -155,8 +155,8 @@
 	for _, b := range []byte(encodeCommand("CALL", "1", "reserva", fields, "bo\r\n")) {
 		c.sendRaw(string(b))
 	}
-	received := w.Next()
+	received := w.NextCall()
 	assert.Equal(t, "bo\r\n", received.Body)
-	received.OK("done")
+	received.AnswerOK("done")
 	assert.Equal(t, "1 ok  done", c.receive())
 }
--- a/internal/frontend/resp/request_test.go
+++ b/internal/frontend/resp/request_test.go
@@ -45,7 +45,7 @@
 		})
 	}
 	c.sendCall(1, "consulta", "good") // must be the first call that the worker receives
-	w.Next().OK("done")
+	w.NextCall().AnswerOK("done")
 	assert.Equal(t, "1 ok  done", c.receive())
 }
 
@@ -62,7 +62,7 @@
 	_, connect := startServer(t, w)
 	before := connect()
 	before.sendCall(1, "consulta", "before")
-	w.Next().OK("done") // after this the endpoints are known, and CHECK is answered with yes
+	w.NextCall().AnswerOK("done") // after this the endpoints are known, and CHECK is answered with yes
 	assert.Equal(t, "1 ok  done", before.receive())
 	for name, data := range map[string]string{
 		"count beyond all bounds":  "*99999999999999999\r\n",
--- a/internal/frontend/resp/server_test.go
+++ b/internal/frontend/resp/server_test.go
@@ -21,7 +21,7 @@
 	server, connect := startServer(t, w)
 	c := connect()
 	c.sendCall(1, "reserva", "book")
-	w.Next()
+	w.NextCall()
 	server.DrainState.Terminate(time.Now())
 	c.sendCommand("CANCEL", "1")
 	_, err := c.reader.ReadByte()
@@ -37,7 +37,7 @@
 	_, connect := startServerWith(t, defaultMaxConns, timeouts, w)
 	waiting := connect()
 	waiting.sendCall(1, "reserva", "book")
-	received := w.Next()
+	received := w.NextCall()
 	unused, incomplete, idle := connect(), connect(), connect()
 	incomplete.sendCommand("CHECK", "1", "")
 	incomplete.receive()
@@ -48,7 +48,7 @@
 		_, err := c.reader.ReadByte()
 		assert.ErrorIs(t, err, io.EOF, name)
 	}
-	received.OK("done")
+	received.AnswerOK("done")
 	assert.Equal(t, "1 ok  done", waiting.receive())
 }
 
@@ -92,7 +92,7 @@
 	_, connect := startServerWith(t, 3, timeouts, w)
 	busy, idle := connect(), connect()
 	busy.sendCall(1, "reserva", "book")
-	received := w.Next()
+	received := w.NextCall()
 	idle.sendCommand("CHECK", "1", "")
 	idle.receive()
 	unused := connect()
@@ -101,10 +101,10 @@
 		_, err := closed.reader.ReadByte()
 		assert.ErrorIs(t, err, io.EOF)
 		accepted.sendCall(2+i, "reserva", "next")
-		w.Next()
+		w.NextCall()
 	}
 	_, err := connect().reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "the new connection must be rejected, as all others have requests in flight")
-	received.OK("done")
+	received.AnswerOK("done")
 	assert.Equal(t, "1 ok  done", busy.receive())
 }
--- a/internal/invocation/executor/executor_test.go
+++ b/internal/invocation/executor/executor_test.go
@@ -16,8 +16,8 @@
 	"kitefall/internal/invocation"
 )
 
-// codeFull is the code with which a full worker rejects a call.
-const codeFull = 67
+// codeRejected is the code with which a full worker rejects a call.
+const codeRejected = 67
 
 // A deferred invocation whose first runs are rejected must be retried until it is served. Its history must begin with
 // EventCreated and end with EventServed.
@@ -27,10 +27,10 @@
 	var received atomic.Int64
 	worker.Serve(func(c *fakes.Call) {
 		if received.Add(1) <= 3 {
-			c.Answer(codeFull, "", "")
+			c.Answer(codeRejected, "", "")
 			return
 		}
-		c.OK("booked")
+		c.AnswerOK("booked")
 	})
 	view := h.wait(h.submit(h.newRequest(reserva, "slot")))
 	assert.Equal(t, invocation.OutcomeServed, view.Outcome)
@@ -56,14 +56,14 @@
 	assert.False(t, view.MayHaveRun)
 
 	running := h.submit(h.newRequest(reserva, "running"))
-	received := worker.Next()
+	received := worker.NextCall()
 	assertHiddenFromOtherTenants(h, running)
 	view = cancelAsOwner(h, running)
 	assert.Equal(t, invocation.OutcomeCancelled, view.Outcome)
 	assert.True(t, view.MayHaveRun)
 	assert.Equal(t, received.ID, <-worker.Cancelled)
 
-	received.OK("too late")
+	received.AnswerOK("too late")
 	assert.Equal(t, invocation.OutcomeCancelled, h.wait(running).Outcome)
 	assertHiddenFromOtherTenants(h, running)
 	view = cancelAsOwner(h, running)
@@ -76,7 +76,7 @@
 func TestCancelAtEveryMoment(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
-	worker.Serve(func(c *fakes.Call) { c.OK("x") })
+	worker.Serve(func(c *fakes.Call) { c.AnswerOK("x") })
 	go func() { // keeps the worker from blocking on its channel of cancellations
 		for range worker.Cancelled {
 		}
@@ -126,7 +126,7 @@
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
 	id := h.submit(h.newRequest(reserva, "before"))
-	received := worker.Next()
+	received := worker.NextCall()
 	h.disk.full.Store(true)
 	_, err := h.executor.Submit(h.newRequest(reserva, "full"))
 	assert.ErrorIs(t, err, invocation.ErrStorage)
@@ -141,10 +141,10 @@
 		assert.NoError(t, err)
 		ephemeral <- view
 	}()
-	worker.Next().OK("free")
+	worker.NextCall().AnswerOK("free")
 	assert.Equal(t, "free", string((<-ephemeral).Result))
 
-	received.OK("booked")
+	received.AnswerOK("booked")
 	assert.Equal(t, invocation.StateRunning, h.current(id).State, "an outcome that is not stored must not be returned")
 	h.disk.full.Store(false)
 	assert.Equal(t, "booked", string(h.wait(id).Result))
@@ -185,7 +185,7 @@
 func TestConcurrentRequestsUnderOneKey(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
-	worker.Serve(func(c *fakes.Call) { c.OK("booked") })
+	worker.Serve(func(c *fakes.Call) { c.AnswerOK("booked") })
 	for i := range 40 {
 		var requests sync.WaitGroup
 		body := fmt.Sprintf("slot %d", i)
@@ -224,8 +224,8 @@
 	h := newHarness(t, fakes.NewCore(t, worker))
 	runningReserva := h.submit(h.newRequest(reserva, "r"))
 	runningConsulta := h.submit(h.newRequest(consulta, "c"))
-	worker.Next()
-	worker.Next()
+	worker.NextCall()
+	worker.NextCall()
 	delayed := h.newRequest(reserva, "later")
 	delayed.NotBefore = h.executor.clock.Now().Add(200 * time.Millisecond)
 	waiting := h.submit(delayed)
@@ -244,18 +244,18 @@
 	assert.Equal(t, invocation.OutcomeFailed, view.Outcome)
 	assert.True(t, view.MayHaveRun)
 	assert.True(t, view.DeadLetter)
-	received := worker.Next()
+	received := worker.NextCall()
 	assert.Equal(t, "c", received.Body)
-	received.OK("free")
+	received.AnswerOK("free")
 	assert.Equal(t, invocation.OutcomeServed, h.wait(runningConsulta).Outcome)
-	worker.Next().OK("booked")
+	worker.NextCall().AnswerOK("booked")
 	assert.Equal(t, invocation.OutcomeServed, h.wait(waiting).Outcome)
 	assert.Equal(t, invocation.OutcomeDeadlineExceeded, h.wait(expired).Outcome)
 	assert.Equal(t, invocation.OutcomeFailed, h.wait(withdrawn).Outcome)
 
 	successor, err := h.executor.Redrive(runningReserva, true, "looked it up: no such booking")
 	require.NoError(t, err)
-	worker.Next().OK("booked now")
+	worker.NextCall().AnswerOK("booked now")
 	assert.Equal(t, "booked now", string(h.wait(successor.ID).Result))
 	assert.Equal(t, invocation.OutcomeFailed, h.wait(runningReserva).Outcome, "a redrive must not change the dead letter's outcome")
 }
@@ -279,7 +279,7 @@
 
 	h.clockOffset = -time.Hour
 	h.restart(fakes.NewCore(t, worker))
-	worker.Next().OK("booked")
+	worker.NextCall().AnswerOK("booked")
 	assert.Equal(t, invocation.OutcomeServed, h.wait(soonID).Outcome, "a clock set back must not delay the run")
 	h.clockOffset = time.Hour
 	h.restart(fakes.NewCore(t, worker))
--- a/internal/invocation/executor/outage_test.go
+++ b/internal/invocation/executor/outage_test.go
@@ -108,7 +108,7 @@
 		worker.Serve(func(c *fakes.Call) {
 			time.Sleep(outageCallDuration)
 			answers.add(c.Body)
-			c.OK(c.Body)
+			c.AnswerOK(c.Body)
 		})
 		workers = append(workers, worker)
 	}
--- a/internal/soak/workerconn.go
+++ b/internal/soak/workerconn.go
@@ -74,7 +74,7 @@
 	isNew := loading == nil
 	if isNew && (f.fields["n"] == "0" || w.drainFrom > 0) {
 		w.mu.Unlock()
-		code := byte(fakes.CodeFull)
+		code := byte(fakes.CodeRejected)
 		if f.fields["n"] == "0" {
 			code = fakes.CodeOK
 		}
@@ -99,7 +99,7 @@
 	w := c.worker
 	w.awaitResume()
 	if w.drains() {
-		c.answer(fakes.CodeFull, f.id, "", "")
+		c.answer(fakes.CodeRejected, f.id, "", "")
 		return
 	}
 	loaded := w.use(f.fields["thing"])
@@ -108,7 +108,7 @@
 		return
 	}
 	if !w.enterQueue() {
-		c.answer(fakes.CodeFull, f.id, "", "")
+		c.answer(fakes.CodeRejected, f.id, "", "")
 		return
 	}
 	select {
--- a/internal/worker/connlimit_test.go
+++ b/internal/worker/connlimit_test.go
@@ -36,7 +36,7 @@
 	var workers []*fakes.Worker
 	for range count {
 		w := fakes.NewWorker(t)
-		w.Serve(func(c *fakes.Call) { c.OK("") })
+		w.Serve(func(c *fakes.Call) { c.AnswerOK("") })
 		workers = append(workers, w)
 	}
 	return workers
@@ -77,13 +77,13 @@
 	busy, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	pools := newPools(t, descriptors.NewShare(1), busy, other)
 	_, first := call(t, pools[0], 1, fakes.Deadline())
-	received := busy.Next()
+	received := busy.NextCall()
 	_, notSent := call(t, pools[1], 2, fakes.Deadline())
 	assert.Equal(t, balancer.NotSent, fakes.Receive(t, notSent).Status)
 	_, waiting := call(t, pools[1], 3, fakes.Deadline())
-	received.OK("")
+	received.AnswerOK("")
 	assert.Equal(t, balancer.OK, fakes.Receive(t, first).Status)
-	other.Next().OK("")
+	other.NextCall().AnswerOK("")
 	assert.Equal(t, balancer.OK, fakes.Receive(t, waiting).Status, "the descriptor of the first connection is reused")
 }
 
@@ -93,11 +93,11 @@
 	share := descriptors.NewShare(1)
 	pools := newPools(t, share, busy, other)
 	_, first := call(t, pools[0], 1, fakes.Deadline())
-	received := busy.Next()
+	received := busy.NextCall()
 	_, results := call(t, pools[1], 2, fakes.Deadline())
 	pools[1].Close()
 	fakes.Receive(t, results)
-	received.OK("")
+	received.AnswerOK("")
 	assert.Equal(t, balancer.OK, fakes.Receive(t, first).Status)
 	pools[0].Close()
 	require.Eventually(t, func() bool { return share.InUse() == 0 }, 10*time.Second, time.Millisecond)
@@ -110,7 +110,7 @@
 	var workers []*fakes.Worker
 	for range regular + others {
 		w := fakes.NewWorker(t)
-		w.Serve(func(c *fakes.Call) { c.OK(c.From()) })
+		w.Serve(func(c *fakes.Call) { c.AnswerOK(c.RemoteAddr()) })
 		workers = append(workers, w)
 	}
 	pools := newPools(t, descriptors.NewShare(limit), workers...)
@@ -159,12 +159,12 @@
 	pools := newPools(t, descriptors.NewShare(3), append(held, regular, other)...)
 	for i, w := range held {
 		call(t, pools[i], uint64(i+1), fakes.Deadline())
-		w.Next() // left unanswered, so that the connection stays in use
+		w.NextCall() // left unanswered, so that the connection stays in use
 	}
-	other.Serve(func(c *fakes.Call) { c.OK("") })
+	other.Serve(func(c *fakes.Call) { c.AnswerOK("") })
 	regular.Serve(func(c *fakes.Call) {
 		time.Sleep(2 * time.Millisecond)
-		c.OK("")
+		c.AnswerOK("")
 	})
 	stop := callContinuously(t, pools[2])
 	time.Sleep(20 * time.Millisecond)
--- a/internal/worker/pool_test.go
+++ b/internal/worker/pool_test.go
@@ -62,13 +62,13 @@
 	_, drained := call(t, pool, 2, fakes.Deadline())
 	assert.Equal(t, balancer.NotSent, fakes.Receive(t, drained).Status)
 	loaded := make(chan worker.Result, 1)
-	_, err := pool.Load(fakes.LoadOrder(testFunction), func(r worker.Result) { loaded <- r })
+	_, err := pool.Load(fakes.NewLoadOrder(testFunction), func(r worker.Result) { loaded <- r })
 	require.NoError(t, err)
 	assert.Equal(t, balancer.Rejected, fakes.Receive(t, loaded).Status)
 	pool.MarkReady(time.Time{})
 	begin := time.Now()
 	_, rejected := call(t, pool, 3, fakes.Deadline())
-	received := w.Next()
+	received := w.NextCall()
 	assert.Equal(t, uint64(3), received.ID, "a call that must not be written was written")
 	written := time.Now()
 	received.Answer(codeRejected, "same=5", "")
@@ -91,16 +91,16 @@
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
 	answerNext := func(results chan worker.Result) worker.Result {
-		w.Next().OK("done")
+		w.NextCall().AnswerOK("done")
 		return fakes.Receive(t, results)
 	}
 	begin := time.Now()
 	_, first := call(t, pool, 1, fakes.Deadline())
-	received := w.Next()
+	received := w.NextCall()
 	connected := time.Now()
 	_, second := call(t, pool, 2, fakes.Deadline())
 	overlapping := answerNext(second)
-	received.OK("done")
+	received.AnswerOK("done")
 	assert.Equal(t, overlapping.ConnectedSince, fakes.Receive(t, first).ConnectedSince)
 	assert.WithinRange(t, overlapping.ConnectedSince, begin, connected, "when the first connection was established")
 	pool.Close()
@@ -115,7 +115,7 @@
 	gone := make(chan string, 4)
 	pool := newPool(t, w, func(c *worker.Config) { c.PeerGone = func(uid string) { gone <- uid } })
 	_, results := call(t, pool, 1, fakes.Deadline())
-	received := w.Next() // wait until the call is written: an incomplete one would move to another connection
+	received := w.NextCall() // wait until the call is written: an incomplete one would move to another connection
 	assert.Empty(t, gone)
 	received.CloseConn()
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results).Status)
@@ -134,13 +134,13 @@
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
 	request, _ := call(t, pool, 1, fakes.Deadline())
-	first := w.Next()
+	first := w.NextCall()
 	assert.True(t, pool.Cancel(request), "the call was written")
 	assert.Equal(t, uint64(1), fakes.Receive(t, w.Cancelled))
 	_, results := call(t, pool, 1, fakes.Deadline())
-	second := w.Next()
-	first.OK("late")
-	second.OK("in time")
+	second := w.NextCall()
+	first.AnswerOK("late")
+	second.AnswerOK("in time")
 	assert.Equal(t, "in time", string(fakes.Receive(t, results).Body))
 }
 
@@ -152,17 +152,17 @@
 	callTwice := func() (received [2]*fakes.Call, results [2]chan worker.Result) {
 		_, results[0] = call(t, pool, 1, fakes.Deadline())
 		_, results[1] = call(t, pool, 2, fakes.Deadline())
-		received[0] = w.Next()
-		received[1] = w.Next()
+		received[0] = w.NextCall()
+		received[1] = w.NextCall()
 		return received, results
 	}
 	received, results := callTwice()
-	require.Equal(t, received[0].From(), received[1].From(), "separate connections, although none has broken")
+	require.Equal(t, received[0].RemoteAddr(), received[1].RemoteAddr(), "separate connections, although none has broken")
 	received[0].ResetConn()
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results[0]).Status)
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results[1]).Status)
 	received, _ = callTwice()
-	assert.NotEqual(t, received[0].From(), received[1].From(), "a shared connection, although one has broken")
+	assert.NotEqual(t, received[0].RemoteAddr(), received[1].RemoteAddr(), "a shared connection, although one has broken")
 }
 
 // Cancelling a call that was already answered must not end a later call with the same id.
@@ -170,11 +170,11 @@
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
 	answered, first := call(t, pool, 1, fakes.Deadline())
-	w.Next().OK("first")
+	w.NextCall().AnswerOK("first")
 	fakes.Receive(t, first)
 	_, second := call(t, pool, 1, fakes.Deadline())
 	pool.Cancel(answered)
-	w.Next().OK("second")
+	w.NextCall().AnswerOK("second")
 	assert.Equal(t, "second", string(fakes.Receive(t, second).Body))
 }
 
@@ -190,7 +190,7 @@
 	successor := worker.NewPool("s-2", w.Addr, &config)
 	t.Cleanup(successor.Close)
 	_, results := call(t, successor, 2, fakes.Deadline())
-	w.Next().OK("")
+	w.NextCall().AnswerOK("")
 	assert.Equal(t, balancer.OK, fakes.Receive(t, results).Status)
 }
 
@@ -199,7 +199,7 @@
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(1))
 	_, results := call(t, pool, 1, time.Now().Add(time.Hour))
-	received := w.Next()
+	received := w.NextCall()
 	received.WriteRaw(fakes.Frame(codeOK, received.ID, "remark=hot", "done")[:20])
 	assert.Equal(t, balancer.Reset, fakes.Receive(t, results).Status)
 }
@@ -209,14 +209,14 @@
 	w := fakes.NewWorker(t)
 	pool := newPool(t, w, withConnLimit(64))
 	_, missed := call(t, pool, 1, fakes.Deadline())
-	first := w.Next()
+	first := w.NextCall()
 	first.Answer(codeMiss, "", "")
 	require.Equal(t, balancer.Miss, fakes.Receive(t, missed).Status)
 	_, retried := call(t, pool, 1, fakes.Deadline())
-	retry := w.Next()
+	retry := w.NextCall()
 	first.Answer(codeMiss, "", "")
 	_, other := call(t, pool, 2, fakes.Deadline()) // answered on the first connection, after the duplicate
-	w.Next().OK("")
+	w.NextCall().AnswerOK("")
 	require.Equal(t, balancer.OK, fakes.Receive(t, other).Status)
 	retry.Answer(codeOK, "", "done")
 	assert.Equal(t, "done", string(fakes.Receive(t, retried).Body))
@@ -228,7 +228,7 @@
 	_, results := call(t, newPool(t, w, withConnLimit(64)), 1, fakes.Deadline())
 	unknown := fakes.Frame(codeOK, 99, "remark=hot", "whose")
 	good := fakes.Frame(codeOK, 1, "remark=hot", "done")
-	w.Next().WriteRaw(append(unknown, good...))
+	w.NextCall().WriteRaw(append(unknown, good...))
 	assert.Equal(t, "done", string(fakes.Receive(t, results).Body))
 }
 
@@ -240,12 +240,12 @@
 			w := fakes.NewWorker(t)
 			pool := newPool(t, w, withConnLimit(connLimit))
 			_, broken := call(t, pool, 1, fakes.Deadline())
-			first := w.Next()
+			first := w.NextCall()
 			_, other := call(t, pool, 2, fakes.Deadline())
-			second := w.Next()
+			second := w.NextCall()
 			first.ResetConn()
 			assert.Equal(t, balancer.Reset, fakes.Receive(t, broken).Status)
-			second.OK("")
+			second.AnswerOK("")
 			assert.Equal(t, statusOfOther, fakes.Receive(t, other).Status)
 		})
 	}
