--- a/internal/frontend/invoke/invoke_test.go
+++ b/internal/frontend/invoke/invoke_test.go
@@ -19,7 +19,7 @@
 func TestSynchronousAndDeferredInvocations(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
-	go func() { w.Next().OK(`"booked"`) }()
+	go func() { w.NextCall().AnswerOK(`"booked"`) }()
 	synchronous := f.invoke(bookPath, `"slot 1"`)
 	assert.Equal(t, http.StatusOK, synchronous.status)
 	assert.Equal(t, `"booked"`, synchronous.body)
@@ -27,14 +27,14 @@
 
 	deferred := f.invokeDeferred(bookPath, `"slot 2"`)
 	assert.Equal(t, "respond-async", deferred.header.Get("Preference-Applied"))
-	workerCall := w.Next()
+	workerCall := w.NextCall()
 	assert.Contains(t, workerCall.Fields, "profile=reserva,thing=7f3a9c21e0b4d655,max=")
 	pending := f.mustSend(f.clientA, http.MethodGet, deferred.location(), "")
 	assert.Equal(t, http.StatusAccepted, pending.status)
-	workerCall.OK(`"booked too"`)
+	workerCall.AnswerOK(`"booked too"`)
 	assert.Equal(t, `"booked too"`, f.awaitOutcome(deferred.location()).body)
 
-	go func() { w.Next().OK(`"booked at once"`) }()
+	go func() { w.NextCall().AnswerOK(`"booked at once"`) }()
 	deferredWithWait := f.invoke(bookPath, `"slot 3"`, "Prefer", "respond-async, wait=10")
 	assert.Equal(t, http.StatusOK, deferredWithWait.status)
 	assert.Equal(t, `"booked at once"`, deferredWithWait.body)
@@ -47,7 +47,7 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	w.Next()
+	w.NextCall()
 	pending := f.mustSend(f.clientA, http.MethodGet, deferred.location(), "")
 	assert.Equal(t, "application/json", pending.header.Get("Content-Type"))
 	assert.Equal(t, "1", pending.header.Get("Retry-After"))
@@ -66,11 +66,11 @@
 		_, err := f.send(ctx, f.clientA, http.MethodPost, bookPath, `"slot"`, "Idempotency-Key", "k1")
 		sendErr <- err
 	}()
-	workerCall := w.Next()
+	workerCall := w.NextCall()
 	cancel()
 	require.Error(t, <-sendErr)
 	deferred := f.invokeDeferred(bookPath, `"slot"`, "Idempotency-Key", "k1")
-	workerCall.OK(`"booked"`)
+	workerCall.AnswerOK(`"booked"`)
 	assert.Equal(t, `"booked"`, f.awaitOutcome(deferred.location()).body)
 	f.restart(w)
 	resent := f.invoke(bookPath, `"slot"`, "Idempotency-Key", "k1")
@@ -85,12 +85,12 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	workerCall := w.Next()
+	workerCall := w.NextCall()
 	cancelled := f.mustSend(f.clientA, http.MethodDelete, deferred.location(), "")
 	assert.Equal(t, http.StatusNoContent, cancelled.status)
 	assert.Equal(t, workerCall.ID, <-w.Cancelled)
-	workerCall.OK(`"too late"`)
-	go func() { w.Next().OK(`"next"`) }()
+	workerCall.AnswerOK(`"too late"`)
+	go func() { w.NextCall().AnswerOK(`"next"`) }()
 	// This answer comes on the same worker connection, so the dispatcher has read the late answer before it.
 	assert.Equal(t, `"next"`, f.invoke(lookPath, `"day"`).body)
 	outcome := f.awaitOutcome(deferred.location())
@@ -101,20 +101,20 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`, "Request-Timeout", "0.2")
-	workerCall := w.Next()
+	workerCall := w.NextCall()
 	outcome := f.awaitOutcome(deferred.location())
 	assert.Equal(t, problem{status: 504, name: "deadline", mayHaveRun: true}, outcome.problem)
-	workerCall.OK(`"too late"`)
+	workerCall.AnswerOK(`"too late"`)
 	assert.Equal(t, http.StatusGatewayTimeout, f.awaitOutcome(deferred.location()).status)
 }
 
 func TestRejectionHasRetryAfter(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
-	const codeFull = 67
+	const codeRejected = 67
 	go func() {
 		for workerCall := range w.Calls {
-			workerCall.Answer(codeFull, "", "")
+			workerCall.Answer(codeRejected, "", "")
 		}
 	}()
 	rejected := f.invoke(bookPath, `"slot"`)
@@ -126,11 +126,11 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	workerCall := w.Next()
+	workerCall := w.NextCall()
 	f.server.Drain()
 	rejected := f.invoke(bookPath, `"late slot"`)
 	assert.Equal(t, problem{status: 503, name: "refused", retryable: true}, rejected.problem)
-	workerCall.OK(`"booked"`)
+	workerCall.AnswerOK(`"booked"`)
 	assert.Equal(t, `"booked"`, f.awaitOutcome(deferred.location()).body)
 }
 
@@ -138,7 +138,7 @@
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	w.Next().OK(`"booked"`)
+	w.NextCall().AnswerOK(`"booked"`)
 	require.Equal(t, http.StatusOK, f.awaitOutcome(deferred.location()).status)
 	require.NoError(t, f.store.DeleteExpired(f.executor.Clock().Now().Add(2*time.Hour)))
 	expired := f.awaitOutcome(deferred.location())
@@ -152,13 +152,13 @@
 	assert.ErrorIs(t, err, invocation.ErrStorage)
 }
 
-// During an evacuation the server rejects new invocations, and after EndWaits no poll waits. Invocations in flight continue.
+// During an evacuation the server rejects new invocations, and after EndLongPolls no poll waits. Invocations in flight continue.
 // After Rejoin the server accepts new invocations.
 func TestEvacuationEndsWaitingPollsAndRejoinAcceptsInvocations(t *testing.T) {
 	w := fakes.NewWorker(t)
 	f := newTestFrontend(t, w)
 	deferred := f.invokeDeferred(bookPath, `"slot"`)
-	workerCall := w.Next()
+	workerCall := w.NextCall()
 	pollStatus := make(chan int, 1)
 	go func() { pollStatus <- f.poll(deferred.location()).status }()
 	require.Never(t, func() bool { return len(pollStatus) > 0 }, 100*time.Millisecond, 10*time.Millisecond)
@@ -166,13 +166,13 @@
 	// A request on an idle connection would fail if the server closed that connection at the same time.
 	f.clientA.CloseIdleConnections()
 	assert.Equal(t, problem{status: 503, name: "refused", retryable: true}, f.invoke(bookPath, `"late slot"`).problem)
-	f.server.EndWaits()
+	f.server.EndLongPolls()
 	assert.Equal(t, http.StatusAccepted, <-pollStatus)
-	assert.Equal(t, http.StatusAccepted, f.poll(deferred.location()).status, "polls after EndWaits do not wait either")
+	assert.Equal(t, http.StatusAccepted, f.poll(deferred.location()).status, "polls after EndLongPolls do not wait either")
 	f.server.Rejoin()
-	workerCall.OK(`"booked"`)
+	workerCall.AnswerOK(`"booked"`)
 	assert.Equal(t, `"booked"`, f.awaitOutcome(deferred.location()).body)
 	next := f.invokeDeferred(bookPath, `"next slot"`)
-	w.Next().OK(`"booked again"`)
+	w.NextCall().AnswerOK(`"booked again"`)
 	assert.Equal(t, `"booked again"`, f.awaitOutcome(next.location()).body)
 }
--- a/internal/frontend/resp/drain_test.go
+++ b/internal/frontend/resp/drain_test.go
@@ -42,10 +42,10 @@
 // closeIdleOnly closes idle connections at once and leaves the others open for an hour.
 var closeIdleOnly = drain.Schedule{AnswerBy: time.Hour, CloseBy: time.Hour}
 
-// Clients notice late that the server is being evacuated. Until the end of Linger, idle connections stay open, and new
+// Clients notice late that the server is being evacuated. For Schedule.AcceptAllFor, idle connections stay open, and new
 // connections are accepted and served.
-func TestEvacuationKeepsConnectionsOpenDuringLinger(t *testing.T) {
-	server, connect := startDraining(t, drain.Schedule{Linger: 400 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour},
+func TestEvacuationKeepsConnectionsOpenWhileAcceptingAll(t *testing.T) {
+	server, connect := startDraining(t, drain.Schedule{AcceptAllFor: 400 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour},
 		fakes.NewWorker(t))
 	early := connect()
 	evacuate(server)
@@ -76,7 +76,7 @@
 	for _, c := range []*client{used, fresh} {
 		c.requireOpen()
 		c.sendRaw(rest[c])
-		w.Next().OK("done")
+		w.NextCall().AnswerOK("done")
 		assert.Equal(t, "7 ok  done", c.receive())
 		c.requireClosed()
 	}
@@ -88,7 +88,7 @@
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: 100 * time.Millisecond, CloseBy: time.Hour}, w)
 	c := connect()
 	c.sendCall(1, "reserva", "book")
-	received := w.Next()
+	received := w.NextCall()
 	evacuatedAt := time.Now()
 	evacuate(server)
 	assert.Equal(t, "1 fault  ", c.receive())
@@ -103,15 +103,15 @@
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: 2 * time.Second, CloseBy: time.Hour}, w)
 	c := connect()
 	c.sendCall(1, "reserva", "open")
-	open := w.Next()
+	open := w.NextCall()
 	evacuate(server)
 	c.sendCall(2, "reserva", "long")
 	assert.Equal(t, "2 full  ", c.receive())
 	fields := "id=9b1f03aa5c7e2d43,wait=300,tenant=acme,key=7f3a9c21e0b4d655"
 	c.sendCommand("CALL", "3", "reserva", fields, "short")
-	w.Next().OK("served")
+	w.NextCall().AnswerOK("served")
 	assert.Equal(t, "3 ok  served", c.receive())
-	open.OK("done")
+	open.AnswerOK("done")
 	assert.Equal(t, "1 ok  done", c.receive())
 	c.requireClosed()
 	assert.Zero(t, w.CallCount("long"))
@@ -136,14 +136,14 @@
 // After a rejoin the server keeps the connections that it has not closed yet.
 func TestRejoinKeepsConnections(t *testing.T) {
 	w := fakes.NewWorker(t)
-	server, connect := startDraining(t, drain.Schedule{Linger: 10 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour}, w)
+	server, connect := startDraining(t, drain.Schedule{AcceptAllFor: 10 * time.Millisecond, AnswerBy: time.Hour, CloseBy: time.Hour}, w)
 	busy := connect()
 	busy.sendCall(1, "reserva", "book")
-	received := w.Next()
+	received := w.NextCall()
 	evacuate(server)
 	busy.requireOpen()
 	server.DrainState.Rejoin()
-	received.OK("done")
+	received.AnswerOK("done")
 	assert.Equal(t, "1 ok  done", busy.receive())
 	busy.requireOpen()
 }
--- a/internal/soak/workerconn.go
+++ b/internal/soak/workerconn.go
@@ -77,7 +77,7 @@
 	isNew := function == nil
 	if isNew && (f.fields["n"] == "0" || w.rejectFrom > 0) {
 		w.mu.Unlock()
-		code := byte(fakes.CodeFull)
+		code := byte(fakes.CodeRejected)
 		if f.fields["n"] == "0" {
 			code = fakes.CodeOK
 		}
@@ -103,7 +103,7 @@
 	w := c.worker
 	w.awaitResume()
 	if w.rejectsCalls() {
-		c.answer(fakes.CodeFull, f.id, "", "")
+		c.answer(fakes.CodeRejected, f.id, "", "")
 		return
 	}
 	loaded := w.useFunction(f.fields["thing"])
@@ -112,7 +112,7 @@
 		return
 	}
 	if !w.joinQueue() {
-		c.answer(fakes.CodeFull, f.id, "", "")
+		c.answer(fakes.CodeRejected, f.id, "", "")
 		return
 	}
 	select {
