--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -10,8 +10,9 @@
 )
 
 // boundedListener accepts every incoming connection, but keeps at most as many open as its share has descriptors. When none is
-// free, it closes the oldest of the connections with the lowest activity. HTTP clients that send nothing, or only part of a
-// request, and stay connected therefore cannot block new clients, nor cause the request of another client to be reset.
+// free, it evicts the oldest of the connections with the lowest activity: it closes that connection to free its descriptor. HTTP
+// clients that send nothing, or only part of a request, and stay connected therefore cannot block new clients, nor cause the
+// request of another client to be reset.
 type boundedListener struct {
 	net.Listener
 	share *descriptors.Share
@@ -24,7 +25,7 @@
 	return &boundedListener{Listener: ln, share: share, conns: list.New()}
 }
 
-// Accept returns the next connection. While no descriptor of the share is free, it closes open connections.
+// Accept returns the next connection. While no descriptor of the share is free, it evicts open connections.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -41,7 +42,7 @@
 	return bounded, nil
 }
 
-// evictOne closes the oldest of the connections with the lowest activity. It does nothing if no connection is open.
+// evictOne evicts the oldest of the connections with the lowest activity. It does nothing if no connection is open.
 func (l *boundedListener) evictOne() {
 	conns := l.openConns()
 	for activity := activityNone; activity <= activityRequestRead; activity++ {
@@ -64,7 +65,7 @@
 	return conns
 }
 
-// connActivity ranks the open connections for eviction: connections with a lower value are closed first.
+// connActivity ranks the open connections for eviction: connections with a lower value are evicted first.
 type connActivity int
 
 const (
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -22,7 +22,7 @@
 	routeRejoin    = "PUT /api/rejoin"
 )
 
-// Limits for HTTP clients. Some connect, send nothing or only part of a request, and stay connected.
+// Limits for HTTP clients. Some clients connect, send nothing or only part of a request, and stay connected.
 const (
 	readTimeout  = 2 * time.Second // from accepting a connection until its request is received
 	writeTimeout = 2 * time.Second // from the end of a request's header until the response is sent
@@ -35,10 +35,10 @@
 type Operations interface {
 	// Ready reports whether the process accepts calls.
 	Ready() bool
-	// Evacuate starts an evacuation: the process closes its clients' connections by the schedule of package drain. It is no
-	// error if an evacuation is in progress.
+	// Evacuate starts an evacuation: the process closes its clients' connections by the schedule of package drain. It
+	// returns no error if an evacuation is already in progress.
 	Evacuate() error
-	// Rejoin ends an evacuation: the process accepts clients again. It is no error if no evacuation is in progress.
+	// Rejoin ends an evacuation: the process accepts clients again. It returns no error if the process already does.
 	Rejoin() error
 }
 
@@ -49,7 +49,7 @@
 }
 
 // New returns a server that takes the descriptors of its connections from a share. When none is free, a new connection
-// replaces an open one.
+// evicts an open one.
 func New(operations Operations, share *descriptors.Share) *Server {
 	s := &Server{descriptors: share}
 	s.http = http.Server{
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -112,7 +112,7 @@
 	assert.Contains(t, header.Get("Allow"), "GET")
 }
 
-// Clients that send nothing, or only part of a request, and stay connected must not block a new client: the server closes the
+// Clients that send nothing, or only part of a request, and stay connected must not block a new client: the server evicts the
 // oldest connection.
 func TestSilentClientsDoNotBlockNewClients(t *testing.T) {
 	const maxConns = 4
@@ -191,7 +191,7 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// A request that was received, but not read yet because the machine is busy, must not have its connection evicted either.
+// The connection of a request that was received, but not read yet because the machine is busy, must not be evicted.
 func TestUnreadRequestKeepsItsConnection(t *testing.T) {
 	const maxConns = 4
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/descriptors/share.go
+++ b/internal/descriptors/share.go
@@ -58,7 +58,8 @@
 const violationDoubleRelease = "descriptor_released_twice"
 
 // DialContext connects like net.Dialer, with a descriptor of the share that is released when the connection
-// is closed. If no descriptor is free, it fails at once with ErrExhausted.
+// is closed. If no descriptor is free, it fails at once with ErrExhausted, and counts a shortage for
+// discovery, because only discovery calls it.
 func (s *Share) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	if !s.TryAcquire() {
 		metrics.Shortages.Add("discovery")
--- a/internal/descriptors/shares.go
+++ b/internal/descriptors/shares.go
@@ -1,8 +1,8 @@
 // Package descriptors divides the process's limit of file descriptors into shares, one for each kind of
-// connection. A share is reserved for its holder, so that clients, workers, discovery and operators cannot
-// starve each other, however long the endpoint list is and however many clients connect. Waiting for a free
-// descriptor, or closing a connection to free one, is up to the holder; this package sets the size of each
-// share and counts its use.
+// connection. A share is reserved for its holder, the component that opens or accepts these connections, so
+// that clients, workers, discovery and operators cannot starve each other, however long the endpoint list is
+// and however many clients connect. This package sets the size of each share and counts its use. The holder
+// decides whether to wait for a free descriptor or to evict a connection: to close it to free its descriptor.
 package descriptors
 
 // Division of the limit.
--- a/internal/frontend/invoke/evacuation.go
+++ b/internal/frontend/invoke/evacuation.go
@@ -29,8 +29,8 @@
 	s.httpServer.SetKeepAlivesEnabled(false)
 }
 
-// closeWhileDraining wraps a handler so that, during an evacuation or a drain, each connection is closed gracefully after
-// its next response.
+// closeWhileDraining wraps a handler so that, after Drain and from Evacuate to Rejoin, each connection is closed gracefully
+// after its next response.
 func (s *Server) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
--- a/internal/frontend/invoke/routes.go
+++ b/internal/frontend/invoke/routes.go
@@ -18,7 +18,7 @@
 
 const invocationsPath = "/v1/invocations/"
 
-// rejectionRetryAfter is the Retry-After of a rejection because no slot is free, or because the server drains or evacuates.
+// rejectionRetryAfter is the Retry-After of a rejection because no slot is free, or because the server drains.
 const rejectionRetryAfter = time.Second
 
 func invocationPath(id string) string { return invocationsPath + id }
--- a/internal/frontend/invoke/server.go
+++ b/internal/frontend/invoke/server.go
@@ -79,7 +79,7 @@
 	return err
 }
 
-// Drain rejects new invocations from now on, so that the number in flight falls to zero. Polls are still answered.
+// Drain rejects new invocations from now on, so that the number of invocations in flight falls to zero. Polls are still answered.
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // Shutdown stops accepting connections and waits for the requests in flight, until ctx is done.
--- a/internal/frontend/resp/closereason.go
+++ b/internal/frontend/resp/closereason.go
@@ -12,15 +12,16 @@
 	closedAnswersUnread closeReason = "answers_unread"    // the client sends requests without reading the answers
 	closedWriteFailed   closeReason = "write_failed"      // an answer could not be written before its deadline
 	closedTimedOut      closeReason = "timed_out"         // the client exceeded one of the Timeouts
-	closedForNewConn    closeReason = "room"              // idle, closed to free a descriptor for a new connection
-	closedOnAcceptError closeReason = "shortage"          // idle, closed after an accept failed, most likely for lack of descriptors
-	closedWhenDraining  closeReason = "draining"          // idle while the process was sending its clients away
-	closedDrainTimeout  closeReason = "overdue"           // still in use at the end of the time to send clients away
-	closedRejected      closeReason = "rejected"          // not accepted: every other connection had requests in flight
+	closedForNewConn    closeReason = "room"              // idle, evicted for a new connection
+	closedOnAcceptError closeReason = "shortage"          // idle, evicted after a failed accept, most likely for lack of descriptors
+	closedWhenDraining  closeReason = "draining"          // idle, closed because the process drains
+	closedDrainTimeout  closeReason = "overdue"           // still open at its close deadline in a drain
+	closedRejected      closeReason = "rejected"          // not accepted: no descriptor was free, and no open connection was idle
 )
 
 // waitsForIncomplete reports whether a connection with a partially received request stays open instead of being closed for
-// this reason. Only draining waits; a connection that blocks other clients or has timed out is closed.
+// this reason. Only closedWhenDraining waits for the rest of the request. A connection that blocks other clients, has timed out
+// or is past its close deadline in a drain is closed.
 func (r closeReason) waitsForIncomplete() bool { return r == closedWhenDraining }
 
 // count increments the metric of closed client connections for this reason.
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -144,7 +144,7 @@
 	return c.pendingAnswersLocked().Check() == permit.Allowed
 }
 
-// pendingAnswersLocked returns the numbers of unanswered requests and of unwritten answers. The caller holds c.mu.
+// pendingAnswersLocked returns the numbers of requests in flight and of unwritten answers. The caller holds c.mu.
 func (c *clientConn) pendingAnswersLocked() permit.ConnectionUse {
 	return permit.ConnectionUse{Open: len(c.requests), Unwritten: c.unwritten}
 }
@@ -165,8 +165,8 @@
 	}
 }
 
-// closeIfIdle closes the connection if it has no unhandled or unanswered request, no unwritten answer and no unread data, and
-// reports whether it did. An incomplete request also prevents the close if reason.waitsForIncomplete.
+// closeIfIdle closes the connection if it has no unhandled request, no request in flight, no unwritten answer and no unread
+// data, and reports whether it did. An incomplete request also prevents the close if reason.waitsForIncomplete.
 func (c *clientConn) closeIfIdle(reason closeReason) (closed bool) {
 	c.mu.Lock()
 	if c.closed || !c.netConn.stopReadingIfIdle(reason, c.pendingAnswersLocked()) {
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -36,8 +36,8 @@
 	assert.Equal(t, "1 no  ", c.receive())
 }
 
-// A worker whose connection breaks during a call may have run the call. A reserva must not run twice, so it fails without a
-// retry.
+// A worker whose connection breaks during a call may have run the call. A call of class reserva must not run twice, so it fails
+// without a retry.
 func TestNonIdempotentCallIsNotRetriedAfterAReset(t *testing.T) {
 	w, other := fakes.NewWorker(t), fakes.NewWorker(t)
 	c := startAndConnect(t, w, other)
@@ -49,7 +49,7 @@
 }
 
 // A frame with a wrong checksum ends the worker's connection, because nothing after it can be trusted. The requests in flight on
-// that connection may have run, so a reserva fails.
+// that connection may have run, so a call of class reserva, which must not run twice, fails.
 func TestCorruptFrameFailsRequestsInFlight(t *testing.T) {
 	w := fakes.NewWorker(t)
 	c := startAndConnect(t, w)
--- a/internal/frontend/resp/conncall.go
+++ b/internal/frontend/resp/conncall.go
@@ -11,7 +11,7 @@
 	"kitefall/internal/metrics"
 )
 
-// refusalDraining is the metrics label of calls that are rejected because the process is sending its clients away.
+// refusalDraining is the metrics label of calls that are rejected because the process drains.
 const refusalDraining = "draining"
 
 // maxRequestsPerConn is the maximum number of requests in flight on one connection.
@@ -23,7 +23,7 @@
 	errTooManyRequests = fmt.Errorf("the connection already has %d requests in flight", maxRequestsPerConn)
 )
 
-// inFlightRequest is a CALL without an answer.
+// inFlightRequest is a request in flight: a CALL registered by addRequest that is neither answered nor cancelled yet.
 type inFlightRequest struct {
 	id     uint64
 	handle *dispatch.Handle // nil until the dispatcher has accepted the call
@@ -124,9 +124,9 @@
 	}
 }
 
-// failOpenRequests answers all requests in flight as failed and cancels their calls. It is called when the time to answer them
-// is over.
-func (c *clientConn) failOpenRequests() {
+// failRequestsInFlight answers all requests in flight as failed and cancels their calls. It is called when the time to answer
+// them is over.
+func (c *clientConn) failRequestsInFlight() {
 	now := time.Now()
 	var abandoned []*dispatch.Handle
 	c.mu.Lock()
--- a/internal/frontend/resp/connwriter.go
+++ b/internal/frontend/resp/connwriter.go
@@ -13,7 +13,7 @@
 		c.unwritten++
 	default:
 		// The client sends requests without reading the answers. It is disconnected so that its answers do not fill the
-		// memory. A new goroutine does so, because close locks c.mu, which the caller holds.
+		// memory. A new goroutine calls close, because close locks c.mu, which the caller of enqueueLocked holds.
 		go c.close(closedAnswersUnread)
 	}
 }
--- a/internal/frontend/resp/crossing_test.go
+++ b/internal/frontend/resp/crossing_test.go
@@ -16,10 +16,10 @@
 
 const crossingAttempts = 1000
 
-// Guards against closing a connection as idle after a request on it was read and before that request is answered. The operating
-// system resets a connection that is closed with an unread request, so that the client knows that the request had no effect. A
-// request that was read must therefore be answered. Each attempt sends a second request at a different moment around the close
-// that follows the answer to the first request.
+// A connection must not be closed as idle after a request on it was read and before that request is answered. The kernel resets a
+// connection that is closed with an unread request, so that the client knows that the request had no effect. A request that was
+// read must therefore be answered. Each attempt sends a second request at a different moment around the close that follows the
+// answer to the first request.
 func TestReadRequestIsAnsweredBeforeClose(t *testing.T) {
 	server, connect := startDraining(t, closeIdleOnly, fakes.NewWorker(t))
 	evacuate(server)
@@ -43,8 +43,8 @@
 	assert.Zero(t, dropped)
 }
 
-// Guards against the same fault at the close deadline: the rest of an incomplete request arrives around the moment at which its
-// connection is closed.
+// A request that was read must also be answered if it becomes complete at the close deadline. Here the rest of an incomplete
+// request arrives around the moment at which its connection is closed.
 func TestRequestCompletedAtCloseByIsAnsweredBeforeClose(t *testing.T) {
 	const closeBy = 40 * time.Millisecond
 	server, connect := startDraining(t, drain.Schedule{CloseBy: closeBy}, fakes.NewWorker(t))
--- a/internal/frontend/resp/drain.go
+++ b/internal/frontend/resp/drain.go
@@ -9,15 +9,16 @@
 	"kitefall/internal/metrics"
 )
 
-// This file closes the connections of clients that the server sends away. Package drain decides which. While clients are being
-// sent away, the sweep asks package drain about every connection at short intervals (sweepDraining), and each connection asks
-// whenever it may have become idle (closeIfDraining). handleCall rejects the calls that package drain no longer admits.
-// When the process ends, the listener waits for the last connection before it reports its own end (waitForLastConn).
+// This file closes the connections of clients while the process drains. Package drain decides which connections are closed, and
+// when. During a drain, the sweep asks package drain about every connection at short intervals (sweepDraining), and each
+// connection asks whenever it may have become idle (closeIfDraining). handleCall rejects the calls that package drain no longer
+// admits. When the process ends, the listener waits for the last connection before it reports its own end (waitForLastConn).
 
-// drainSweepInterval is the time between two sweeps while clients are being sent away.
+// drainSweepInterval is the time between two sweeps during a drain.
 const drainSweepInterval = 20 * time.Millisecond
 
-// violationClientHeld is the metrics label of connections that still had unanswered requests at their close deadline.
+// violationClientHeld is the metrics label of connections that still had requests in flight when they were closed after their
+// close deadline.
 const violationClientHeld = "client_held"
 
 // sweepInterval returns the time until the next sweep.
@@ -47,9 +48,9 @@
 // drainConn applies the decision of package drain to one connection.
 func (s *Server) drainConn(conn *trackedConn, now time.Time) {
 	client := conn.attachedClient()
-	lastRequest, open := conn.acceptedAt, 0
+	lastRequest, inFlight := conn.acceptedAt, 0
 	if client != nil {
-		lastRequest, open = client.requestActivity()
+		lastRequest, inFlight = client.requestActivity()
 	}
 	switch s.DrainState.ActionFor(now, conn.acceptedAt, lastRequest) {
 	case drain.Keep:
@@ -58,23 +59,23 @@
 		conn.closeIfIdle(closedWhenDraining)
 	case drain.AnswerAndClose:
 		if client != nil {
-			client.failOpenRequests()
+			client.failRequestsInFlight()
 		}
 		conn.closeIfIdle(closedWhenDraining)
 	case drain.Close:
-		conn.closePastDeadline(open)
+		conn.closePastDeadline(inFlight)
 	}
 }
 
 // closePastDeadline closes a connection whose close deadline has passed. If the connection is still in use, it fails the requests
 // in flight and closes the connection only in the next sweep, so that all requests that were read are answered first. It does not
-// wait for the rest of an incomplete request. open is the number of unanswered requests when this sweep began.
-func (t *trackedConn) closePastDeadline(open int) {
+// wait for the rest of an incomplete request. inFlight is the number of requests in flight when this sweep began.
+func (t *trackedConn) closePastDeadline(inFlight int) {
 	if t.closeIfIdle(closedDrainTimeout) {
 		return
 	}
 	if t.pastCloseDeadline {
-		if open > 0 { // they arrived after the last sweep, which answered all requests
+		if inFlight > 0 { // these requests arrived after the last sweep, which answered all that were in flight then
 			metrics.Violations.Add(violationClientHeld)
 		}
 		t.forceClose(closedDrainTimeout)
@@ -82,18 +83,18 @@
 	}
 	t.pastCloseDeadline = true
 	if client := t.attachedClient(); client != nil {
-		client.failOpenRequests()
+		client.failRequestsInFlight()
 	}
 }
 
-// requestActivity returns when the last CALL arrived (zero: none has), and the number of unanswered requests.
-func (c *clientConn) requestActivity() (last time.Time, open int) {
+// requestActivity returns when the last CALL arrived (zero: none has), and the number of requests in flight.
+func (c *clientConn) requestActivity() (lastRequest time.Time, inFlight int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastRequest, len(c.requests)
 }
 
-// closeIfDraining closes the connection if it is idle and idle connections are being closed to send clients away.
+// closeIfDraining closes the connection if it is idle and package drain currently has idle connections closed.
 func (c *clientConn) closeIfDraining() {
 	now := time.Now()
 	if c.server.DrainState.ActionFor(now, now, now) != drain.Keep {
--- a/internal/frontend/resp/drain_test.go
+++ b/internal/frontend/resp/drain_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// At AnswerBy, requests without an answer are answered as failed and their attempts are cancelled. Then the connection is closed.
+// At AnswerBy, requests in flight are answered as failed and their attempts are cancelled. Then the connection is closed.
 func TestEvacuationFailsOpenRequestsAtAnswerBy(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: 100 * time.Millisecond, CloseBy: time.Hour}, w)
@@ -148,7 +148,7 @@
 	busy.requireOpen()
 }
 
-// Guards against closing a connection that is made after CloseBy while its request is being sent: a request that was read is
+// A connection that is made after CloseBy must not be closed while its request is being sent: a request that was read must be
 // answered on such a connection too (incident 2).
 func TestRequestOnNewConnectionIsAnsweredAfterCloseBy(t *testing.T) {
 	server, connect := startDraining(t, drain.Schedule{AnswerBy: time.Second, CloseBy: 6 * time.Second}, fakes.NewWorker(t))
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -13,7 +13,8 @@
 const acceptRetryDelay = 10 * time.Millisecond
 
 // listener accepts connections for redcon and registers them with the server. It keeps no more connections open than the server
-// has descriptors for: when none is free, a new connection replaces an idle one, in the order of idleConn.compare.
+// has descriptors for: when none is free, a new connection evicts an idle one, which is closed to free its descriptor.
+// idleConn.compare defines which connection is evicted first.
 type listener struct {
 	net.Listener
 	server *Server
@@ -41,22 +42,22 @@
 	}
 }
 
-// handleAcceptError closes one idle connection, because the process is most likely out of descriptors. It then pauses, because
+// handleAcceptError evicts an idle connection, because the process is most likely out of descriptors. It then pauses, because
 // an immediate retry, as redcon would do it, would keep the processor busy.
 func (l *listener) handleAcceptError(err error) {
 	metrics.Shortages.Add("accept")
 	l.server.logs.acceptFailed.Log(slog.LevelWarn, "frontend: cannot accept a connection", "err", err)
-	l.server.closeOneIdle(closedOnAcceptError)
+	l.server.evictIdle(closedOnAcceptError)
 	time.Sleep(acceptRetryDelay)
 }
 
 // acquireDescriptor takes a descriptor of the server's share for a new connection, and reports whether it got one. If none is
-// free, it closes idle connections until one is, because clients that connect and stay idle must not keep others out. The
+// free, it evicts idle connections until one is, because clients that connect and stay idle must not keep others out. The
 // frontend must not exceed its share: the other descriptors are needed for the workers, without which no request in flight
 // could be served.
 func (l *listener) acquireDescriptor() bool {
 	for !l.server.descriptors.TryAcquire() {
-		if !l.server.closeOneIdle(closedForNewConn) {
+		if !l.server.evictIdle(closedForNewConn) {
 			return false
 		}
 	}
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -70,9 +70,9 @@
 	return server, serveErr
 }
 
-// Guards against losing first requests in a planned restart: when its listener ends, redcon closes every connection that it
-// still holds. That includes connections that have not sent their first request yet, or whose first request is being passed to
-// the handler. These requests must be accepted and answered.
+// A planned restart must not lose first requests. When its listener ends, redcon closes every connection that it still holds.
+// That includes connections that have not sent their first request yet, or whose first request is being passed to the handler.
+// These requests must be accepted and answered.
 func TestRequestIsAnsweredAfterTheListenerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ln := newFakeListener()
@@ -94,9 +94,8 @@
 	})
 }
 
-// Guards against a busy loop when the process is out of descriptors: every accept fails at once, and redcon retried without a
-// pause, so that nothing else in the process could run. The listener must pause and close the connection that is idle longest,
-// so that the next client is accepted.
+// When the process is out of descriptors, every accept fails at once. Redcon retried without a pause, so that nothing else in the
+// process could run. The listener must pause and evict the connection that is idle longest, so that the next client is accepted.
 func TestAcceptErrorClosesIdleConnectionAndPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ln := newFakeListener()
--- a/internal/frontend/resp/server.go
+++ b/internal/frontend/resp/server.go
@@ -30,7 +30,7 @@
 	Request      time.Duration // from the first byte of a request to its last
 	Idle         time.Duration // since the last request or answer; clients usually close a connection after 4 s without one
 	// NewConnGrace is how long after the accept the first request of a connection may still be on its way. Until then, a
-	// connection without a request is the last that is closed to free a descriptor. After that it is the first.
+	// connection without a request is among the last to be evicted. From then on it is among the first.
 	NewConnGrace time.Duration
 }
 
@@ -55,7 +55,7 @@
 	Ready    func() bool // decides the answer to CHECK
 	Settings balancer.Settings
 	Timeouts Timeouts
-	// DrainState decides whether and how clients are sent away.
+	// DrainState decides which calls are admitted, and which connections are closed, while the process drains.
 	DrainState *drain.State
 
 	logs        logs
@@ -159,8 +159,8 @@
 	return timedOut
 }
 
-// closeOneIdle closes the first idle connection in the order of idleConn.compare, and reports whether it closed one.
-func (s *Server) closeOneIdle(reason closeReason) bool {
+// evictIdle evicts the first idle connection in the order of idleConn.compare, and reports whether it evicted one.
+func (s *Server) evictIdle(reason closeReason) bool {
 	for _, idle := range s.idleConns() {
 		if idle.conn.closeIfIdle(reason) { // false: the connection is in use again
 			return true
@@ -169,7 +169,7 @@
 	return false
 }
 
-// idleConns returns the connections without requests in flight and unwritten answers, in the order in which to close them.
+// idleConns returns the connections without requests in flight and unwritten answers, in the order in which to evict them.
 func (s *Server) idleConns() []idleConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,19 +184,19 @@
 	return idle
 }
 
-// closeRank ranks idle connections by the harm that closing them does. Lower ranks are closed first.
-type closeRank int
+// evictionRank ranks idle connections by the harm that closing them does. Lower ranks are evicted first.
+type evictionRank int
 
 const (
-	rankNoRequest closeRank = iota // the client has not sent a complete request
-	rankIdle                       // the client has sent requests, and none is in flight
-	rankNew                        // accepted less than Timeouts.NewConnGrace ago: its first request may be on its way
+	rankNoRequest evictionRank = iota // the client has not sent a complete request
+	rankIdle                          // the client has sent requests, and none is in flight
+	rankNew                           // accepted less than Timeouts.NewConnGrace ago: its first request may be on its way
 )
 
-// idleConn is an idle connection that may be closed to free a descriptor.
+// idleConn is an idle connection that may be evicted.
 type idleConn struct {
 	conn  *trackedConn
-	rank  closeRank
+	rank  evictionRank
 	since time.Time // the last activity, or the accept if there was no request
 }
 
@@ -212,7 +212,7 @@
 	return idleConn{conn: conn, rank: rank, since: since}
 }
 
-// compare returns a negative number if c is to be closed before other: by rank, and the longest idle first.
+// compare returns a negative number if c is to be evicted before other: by rank, and the longest idle first.
 func (c idleConn) compare(other idleConn) int {
 	return cmp.Or(cmp.Compare(c.rank, other.rank), c.since.Compare(other.since))
 }
--- a/internal/frontend/resp/server_test.go
+++ b/internal/frontend/resp/server_test.go
@@ -14,8 +14,8 @@
 	"kitefall/internal/frontend/resp"
 )
 
-// Guards against a process that never ends: while the server drains, it must close a connection whose last request in flight is
-// cancelled.
+// While the server drains, it must close a connection whose last request in flight is cancelled. Otherwise the process would
+// never end.
 func TestDrainClosesConnectionLeftIdleByCancel(t *testing.T) {
 	w := fakes.NewWorker(t)
 	server, connect := startServer(t, w)
@@ -84,11 +84,11 @@
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection must stay open")
 }
 
-// At the connection limit, a new connection replaces an idle one: first a connection that has sent no request.
+// At the connection limit, a new connection evicts an idle one: first a connection that has sent no request.
 func TestNewConnectionsReplaceIdleOnes(t *testing.T) {
 	w := fakes.NewWorker(t)
 	timeouts := resp.DefaultTimeouts
-	timeouts.NewConnGrace = 0 // a connection without a request is the first to be closed, from the accept on
+	timeouts.NewConnGrace = 0 // a connection without a request is the first to be evicted, from the accept on
 	_, connect := startServerWith(t, 3, timeouts, w)
 	busy, idle := connect(), connect()
 	busy.sendCall(1, "reserva", "book")
--- a/internal/frontend/resp/trackedconn.go
+++ b/internal/frontend/resp/trackedconn.go
@@ -76,7 +76,7 @@
 }
 
 // attach sets the connection's client at its first request. It reports whether the connection is still open, because the
-// connection may have timed out before the request was complete.
+// connection may have been closed before the request was complete, for example by a timeout.
 func (t *trackedConn) attach(client *clientConn) bool {
 	t.server.mu.Lock()
 	defer t.server.mu.Unlock()
@@ -85,9 +85,9 @@
 }
 
 // stopReadingIfIdle stops reading if the connection has no unread data, no unhandled request and no pending answer, and reports
-// whether it did. An incomplete request also prevents this if reason.waitsForIncomplete. If reading has stopped, the caller
-// closes the connection: a request that arrives in between stays unread, so that the operating system resets the connection and
-// the client knows that the request had no effect.
+// whether it did. If reason.waitsForIncomplete, it does not stop reading within an incomplete request either. If reading has
+// stopped, the caller closes the connection: a request that arrives in between stays unread, so that the kernel resets the
+// connection and the client knows that the request had no effect.
 func (t *trackedConn) stopReadingIfIdle(reason closeReason, pendingAnswers permit.ConnectionUse) bool {
 	return t.StopReadingIf(func(unread bool) bool {
 		use := pendingAnswers
--- a/internal/frontend/resp/unread_test.go
+++ b/internal/frontend/resp/unread_test.go
@@ -13,8 +13,8 @@
 	"kitefall/internal/tcptest"
 )
 
-// On a busy machine a request may wait unread in the socket. Guards against losing it: a connection with an unread or unhandled
-// request is not closed as idle, for any reason.
+// On a busy machine a request may wait unread in the socket. A connection with an unread or unhandled request must not be closed
+// as idle, for any reason: the request would be lost.
 func TestConnectionWithUnreadRequestIsNotClosedAsIdle(t *testing.T) {
 	for _, reason := range []closeReason{closedWhenDraining, closedForNewConn, closedOnAcceptError, closedTimedOut} {
 		client, accepted := tcptest.Pair(t)
@@ -36,8 +36,8 @@
 	}
 }
 
-// Connections without a request are closed first, then those that have been idle longest. Connections accepted less than
-// NewConnGrace ago are closed last, because their first request may be on its way.
+// Connections without a request are evicted first, then those that have been idle longest. Connections without a request that
+// were accepted less than NewConnGrace ago are evicted last, because their first request may be on its way.
 func TestIdleConnectionCloseOrder(t *testing.T) {
 	now, timeouts := time.Now(), DefaultTimeouts
 	ago := func(age time.Duration) time.Time { return now.Add(-age) }
--- a/internal/gatedconn/conn.go
+++ b/internal/gatedconn/conn.go
@@ -140,7 +140,7 @@
 }
 
 // HasUnread reports whether the kernel holds bytes from the peer that have not been read. Closing the connection would discard
-// them. If the kernel does not provide this, HasUnread returns false.
+// them. If the connection has no socket, or the kernel does not report unread bytes, HasUnread returns false.
 func (c *Conn) HasUnread() bool {
 	if c.raw == nil {
 		return false
--- a/internal/logthrottle/logthrottle.go
+++ b/internal/logthrottle/logthrottle.go
@@ -1,5 +1,5 @@
-// Package logthrottle limits the rate of one kind of log line. It is for lines that clients, workers or servers can cause at
-// any rate, and which could otherwise fill the log.
+// Package logthrottle limits the rate of one kind of log line. It is for lines that clients, workers or the discovery service can
+// cause at any rate, and which could otherwise fill the log.
 package logthrottle
 
 import (
--- a/internal/monotonic/uptime.go
+++ b/internal/monotonic/uptime.go
@@ -31,8 +31,8 @@
 	return Uptime{BootID: strings.TrimSpace(string(id)), Elapsed: time.Duration(elapsed.Nano())}
 }
 
-// Since returns the time since an earlier reading, and whether both readings are from the same boot. The time is 0 if they are
-// not, or if either boot is unknown.
+// Since returns the time since an earlier reading, and whether both readings are from the same boot. It returns 0 and false if
+// they are not, if either boot is unknown, or if earlier has the longer uptime.
 func (u Uptime) Since(earlier Uptime) (elapsed time.Duration, sameBoot bool) {
 	sameBoot = u.BootID != "" && u.BootID == earlier.BootID && u.Elapsed >= earlier.Elapsed
 	if !sameBoot {
--- a/internal/tcpstate/tcpstate.go
+++ b/internal/tcpstate/tcpstate.go
@@ -1,4 +1,4 @@
-// Package tcpstate reads the kernel's state of a TCP connection that reads and writes do not show.
+// Package tcpstate reads facts about a TCP connection that the kernel knows and that reads and writes do not show.
 package tcpstate
 
 import (
--- a/internal/worker/conn.go
+++ b/internal/worker/conn.go
@@ -14,7 +14,7 @@
 )
 
 // idReuseDelay is how long after the end of a request its id is not used again on the same connection. A late or duplicate
-// answer to the id may still come there, and would be taken for the answer to a later attempt.
+// answer with the id may still come on that connection, and would be taken for the answer to a later attempt.
 const idReuseDelay = 10 * time.Second
 
 // connEndedLog throttles the log lines for ended connections, since peers can end any number of connections.
@@ -142,7 +142,7 @@
 }
 
 // endRequestLocked ends a request. It returns false if the request had already ended. A later request that has the same id
-// stays in flight. If a connection waits for a descriptor and this one is now idle, it may be closed to free its descriptor.
+// stays in flight. If c is now idle and another connection waits for a descriptor, endRequestLocked may evict c.
 func (c *conn) endRequestLocked(request *PendingRequest) (newlyEnded bool) {
 	if c.inFlight[request.id] == request {
 		delete(c.inFlight, request.id)
--- a/internal/worker/connlimit.go
+++ b/internal/worker/connlimit.go
@@ -10,12 +10,13 @@
 	"kitefall/internal/descriptors"
 )
 
-// evictRetryInterval is how often a connection that waits for a descriptor tries again to close an idle connection.
+// evictRetryInterval is the time between two attempts of a waiting connection to evict an idle one. Reused connections are kept
+// until the first waiter has waited for this long, unless they hold most of the descriptors (see evictIdle).
 const evictRetryInterval = 20 * time.Millisecond
 
 // ConnLimit limits the connections of all pools together to a share of descriptors. If no descriptor is free, the first
-// connection to a worker has an idle connection to any worker closed, or waits for a descriptor. Further connections to the
-// same worker are opened only while descriptors are free. A ConnLimit is safe for concurrent use.
+// connection to a worker waits for one, and an idle connection to any worker is evicted: closed to free its descriptor.
+// Further connections to the same worker are opened only while descriptors are free. A ConnLimit is safe for concurrent use.
 //
 // Lock order: the mutex of a pool is locked before that of the limit.
 type ConnLimit struct {
@@ -54,8 +55,8 @@
 // hasCapacity reports whether tryAcquire would currently succeed. Another pool may take the descriptor at any moment.
 func (l *ConnLimit) hasCapacity() bool { return !l.hasWaiters() && l.share.HasFree() }
 
-// acquire acquires a descriptor for c. If none is free, it closes an idle connection and waits until a descriptor is granted,
-// the deadline passes or c is closed. It must not be called with a pool's mutex held.
+// acquire acquires a descriptor for c. If none is free, it evicts an idle connection, if there is one, and waits until a
+// descriptor is granted, the deadline passes or c is closed. It must not be called with a pool's mutex held.
 func (l *ConnLimit) acquire(c *conn, deadline time.Time) error {
 	if l.tryAcquire(c) {
 		return nil
--- a/internal/worker/connroom.go
+++ b/internal/worker/connroom.go
@@ -18,18 +18,18 @@
 	lastUsed time.Time // when a write last began or an answer last came
 }
 
-// evictIdle closes an idle connection, if there is one, so that a waiting connection gets its descriptor. A connection with
+// evictIdle evicts an idle connection, if there is one, so that a waiting connection gets its descriptor. A connection with
 // queued requests is not idle, so no request is lost.
 //
 // The choice follows a segmented LRU cache, so that single calls to many workers do not evict the connections to the workers
-// that are called repeatedly. Among the connections that were not reused, the one that has been idle longest is closed. A
-// reused connection is closed only if reused ones hold more than maxReusedFraction of the held descriptors, or if no other is
-// idle and a connection has already waited for evictRetryInterval.
+// that are called repeatedly. Among the connections that were not reused, the one that has been idle longest is evicted. A
+// reused connection is evicted only if reused ones hold more than maxReusedFraction of the held descriptors, or if no other
+// connection is idle and the first waiter has waited for at least evictRetryInterval.
 func (l *ConnLimit) evictIdle() {
 	l.mu.Lock()
 	holders := slices.Collect(maps.Keys(l.holders))
 	l.mu.Unlock()
-	var usedOnce, reused longestIdle
+	var notReused, reused longestIdle
 	reusedCount := 0
 	for _, c := range holders {
 		usage := c.usage()
@@ -37,21 +37,21 @@
 			reusedCount++
 			reused.consider(c, usage)
 		} else {
-			usedOnce.consider(c, usage)
+			notReused.consider(c, usage)
 		}
 	}
 	switch {
 	case float64(reusedCount) > maxReusedFraction*float64(len(holders)):
 		reused.close()
-	case usedOnce.conn != nil:
-		usedOnce.close()
+	case notReused.conn != nil:
+		notReused.close()
 	case l.waitOverdue():
 		reused.close()
 	}
 }
 
-// shouldEvict reports whether a connection that becomes idle is to be closed at once to free its descriptor for a waiter. A
-// reused connection is kept until the first waiter has waited for evictRetryInterval.
+// shouldEvict reports whether a connection that becomes idle is to be evicted at once for a waiter. A reused connection is kept
+// until the first waiter has waited for evictRetryInterval.
 func (l *ConnLimit) shouldEvict(reused bool) bool {
 	return l.hasWaiters() && (!reused || l.waitOverdue())
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// close closes the connection that was found, if there is one and it is still idle.
+// close evicts the connection that was found, if there is one and it is still idle.
 func (i *longestIdle) close() {
 	if i.conn != nil {
 		i.conn.evictIfIdle()
@@ -95,12 +95,12 @@
 	return connUsage{idle: c.evictableLocked(), reused: c.reusedLocked(), lastUsed: c.lastUsed}
 }
 
-// evictableLocked reports whether the connection is established and idle, so that it may be closed to free its descriptor.
+// evictableLocked reports whether the connection is established and idle, so that it may be evicted.
 func (c *conn) evictableLocked() bool {
 	return c.netConn != nil && c.state != connClosed && c.idleLocked()
 }
 
-// evictIfIdle closes the connection to free its descriptor, if the connection is still idle.
+// evictIfIdle evicts the connection, if it is still idle.
 func (c *conn) evictIfIdle() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/worker/connroom_test.go
+++ b/internal/worker/connroom_test.go
@@ -58,21 +58,21 @@
 }
 
 func TestEvictIdle(t *testing.T) {
-	usedOnce, reused := holder{}, holder{reused: true}
-	busyUsedOnce, busyReused := holder{busy: true}, holder{reused: true, busy: true}
+	notReused, reused := holder{}, holder{reused: true}
+	busyNotReused, busyReused := holder{busy: true}, holder{reused: true, busy: true}
 	const justNow, long = 0, evictRetryInterval
 	for name, test := range map[string]struct {
 		holders []holder
 		waited  time.Duration
 		closed  []int
 	}{
-		"longest idle of those not reused":                {[]holder{reused, busyUsedOnce, usedOnce, usedOnce}, justNow, []int{2}},
-		"only reused ones are idle":                       {[]holder{reused, busyUsedOnce, busyUsedOnce}, justNow, nil},
-		"only reused ones are idle, after a long wait":    {[]holder{reused, busyUsedOnce, reused, busyUsedOnce}, long, []int{0}},
-		"not reused, also after a long wait":              {[]holder{reused, usedOnce}, long, []int{1}},
-		"reused ones hold more than maxReusedFraction":    {[]holder{busyReused, reused, reused, reused, usedOnce}, justNow, []int{1}},
-		"reused ones hold no more than maxReusedFraction": {[]holder{busyReused, reused, reused, usedOnce}, justNow, []int{3}},
-		"none is idle": {[]holder{busyReused, busyUsedOnce}, long, nil},
+		"longest idle of those not reused":                {[]holder{reused, busyNotReused, notReused, notReused}, justNow, []int{2}},
+		"only reused ones are idle":                       {[]holder{reused, busyNotReused, busyNotReused}, justNow, nil},
+		"only reused ones are idle, after a long wait":    {[]holder{reused, busyNotReused, reused, busyNotReused}, long, []int{0}},
+		"not reused, also after a long wait":              {[]holder{reused, notReused}, long, []int{1}},
+		"reused ones hold more than maxReusedFraction":    {[]holder{busyReused, reused, reused, reused, notReused}, justNow, []int{1}},
+		"reused ones hold no more than maxReusedFraction": {[]holder{busyReused, reused, reused, notReused}, justNow, []int{3}},
+		"none is idle": {[]holder{busyReused, busyNotReused}, long, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newEvictionFixture(t, test.waited, test.holders...)
@@ -82,7 +82,7 @@
 	}
 }
 
-// A connection that becomes idle must be closed at once if another connection waits for a descriptor. A reused connection must
+// A connection that becomes idle must be evicted at once if another connection waits for a descriptor. A reused connection must
 // be kept until the other has waited for evictRetryInterval.
 func TestConnectionThatBecomesIdleIsEvicted(t *testing.T) {
 	for name, test := range map[string]struct {
--- a/internal/worker/connwait_test.go
+++ b/internal/worker/connwait_test.go
@@ -25,7 +25,7 @@
 		}
 		close(waiting.closed)
 		limit.release(holder)
-		if err := <-acquired; err == nil { // granted before the close was seen: its dial would release the descriptor
+		if err := <-acquired; err == nil { // granted before acquire saw the close; dial would then release the descriptor
 			limit.release(waiting)
 		}
 		assert.Zero(t, share.InUse())
--- a/internal/worker/connwrite.go
+++ b/internal/worker/connwrite.go
@@ -25,8 +25,7 @@
 	}
 }
 
-// checkIdle drops the ended ids that are older than idReuseDelay, and closes connections of the pool that are idle for too
-// long or no longer usable.
+// checkIdle drops the ids that ended more than idReuseDelay ago, and closes idle connections of the pool (see closeIdleLocked).
 func (c *conn) checkIdle(now time.Time) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -96,8 +95,8 @@
 }
 
 // writeFrame writes an encoded frame. request is the request that the frame starts, or nil for a cancellation. writeFrame ends
-// the connection if the write fails, or if the connection was closed during the write: the reader then left the request to the
-// writer.
+// the connection if the write fails, or if the connection was closed during the write: the first call of end has then left the
+// request to the writer.
 func (c *conn) writeFrame(data []byte, deadline time.Time, request *PendingRequest) {
 	c.netConn.SetWriteDeadline(deadline.Add(c.pool.config.DialTimeout))
 	failpoint.Hit("frame-before-write")
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -86,7 +86,7 @@
 	if request.code == codeCall {
 		select {
 		case c.writeQueue <- request:
-		default: // the queue is full because the worker does not read; the attempt ends there at its own deadline
+		default: // the queue is full because the worker does not read; the worker ends the attempt at its deadline
 		}
 	}
 	return written
@@ -227,12 +227,13 @@
 	go c.run(granted)
 }
 
-// closeIdleLocked closes the idle connections that are stale or unused for too long, and all idle ones of a removed worker.
+// closeIdleLocked closes the connections that have been idle for too long, and all idle ones that are stale or whose worker was
+// removed.
 func (p *Pool) closeIdleLocked(now time.Time) {
 	for _, c := range slices.Clone(p.conns) {
 		obsolete := c.state == connStale || p.state == permit.WorkerStateRemoved
-		unusedFor := now.Sub(c.lastUsed)
-		if c.idleLocked() && (obsolete || unusedFor > p.config.idleCloseAfter()) {
+		idleFor := now.Sub(c.lastUsed)
+		if c.idleLocked() && (obsolete || idleFor > p.config.idleCloseAfter()) {
 			closedIdle.count()
 			c.closeLocked()
 		}
