--- a/cmd/dispatcher/drain.go
+++ b/cmd/dispatcher/drain.go
@@ -10,10 +10,10 @@
 // drainPollInterval is the time between two checks for calls in flight and open client connections.
 const drainPollInterval = 5 * time.Millisecond
 
-// drain shuts the service down gracefully. The program still accepts all calls for the time that drain.State.AcceptAllFor
-// returns. Then drain closes the listener for clients, has the invoke API reject new invocations, and waits until all calls
-// in flight are answered and the frontend has closed all client connections, as s.drainState schedules. Finally drain stops
-// the invoke API and logs the metrics.
+// drain shuts the service down gracefully. The program still accepts new connections and all calls for the time that
+// drain.State.AcceptAllFor returns. Then drain closes the listener for clients, has the invoke API reject new
+// invocations, and waits until all calls in flight are answered and the frontend has closed all client connections, as
+// s.drainState schedules. Finally drain stops the invoke API and logs the metrics.
 func (s *server) drain() error {
 	s.phases.Enter(lifecycle.Draining)
 	s.drainState.Terminate(time.Now())
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -46,7 +46,7 @@
 )
 
 // killTest is a program that is killed and started again, with the state that outlives its process: its worker, its
-// clients, and the runs and answers that these have seen. A request is identified by its body.
+// clients, and the runs and answers that they have seen. A request is identified by its body.
 type killTest struct {
 	t          *testing.T
 	program    string
@@ -201,14 +201,14 @@
 	}
 }
 
-// submit sends a request, under an idempotency key, until the program has accepted it or ctx is done.
+// submit sends a request, under an Idempotency-Key, until the program has accepted it or ctx is done.
 func (k *killTest) submit(ctx context.Context, function, body string, async bool) {
 	for ctx.Err() == nil && !k.submitOnce(ctx, function, body, async) {
 		time.Sleep(clientRetryInterval)
 	}
 }
 
-// submitOnce sends a request once and reports whether the program has accepted it. If not, the idempotency key makes it
+// submitOnce sends a request once and reports whether the program has accepted it. If not, the Idempotency-Key makes it
 // safe to send the request again.
 func (k *killTest) submitOnce(ctx context.Context, function, body string, async bool) bool {
 	request, err := newInvocationRequest(k.url, function, body)
--- a/internal/invocation/effect.go
+++ b/internal/invocation/effect.go
@@ -5,7 +5,7 @@
 
 // The effects.
 const (
-	EffectPersist   Effect = 1 << iota // store the new state before any other effect, write to a worker or reply
+	EffectPersist   Effect = 1 << iota // store the new state, before the other effects, any write to a worker and any reply
 	EffectNotify                       // report the final outcome to the clients that wait for it
 	EffectCancelRun                    // cancel the run in progress at the dispatcher
 	EffectSchedule                     // hand the invocation to the scheduler for its next run
--- a/internal/invocation/errors.go
+++ b/internal/invocation/errors.go
@@ -3,7 +3,7 @@
 import "errors"
 
 // Errors shared by the packages that handle invocations. The store wraps every other error in ErrStorage. The messages
-// are shown to operators, who know an invocation as a ticket.
+// are shown to operators and therefore call an invocation a ticket.
 var (
 	ErrNotFound          = errors.New("no such ticket")
 	ErrExpired           = errors.New("the ticket has expired")
--- a/internal/invocation/event.go
+++ b/internal/invocation/event.go
@@ -8,8 +8,8 @@
 // Event is what happened to an invocation. Histories store the numbers, so they must not change.
 type Event uint8
 
-// The events. A run is one submission of the invocation to the dispatcher, which may make several attempts at workers.
-// EventServed, EventRejected and EventFailed end a run.
+// The events. A run is one submission of the invocation to the dispatcher, as a call, for which the dispatcher may make
+// several attempts at workers. EventServed, EventRejected and EventFailed end a run.
 const (
 	EventCreated  Event = 1 + iota // the request was accepted
 	EventSubmit                    // a run is about to be submitted to the dispatcher
@@ -20,9 +20,9 @@
 	EventCancel                    // the tenant that owns the invocation cancels it
 	EventExpire                    // the deadline passed while no run was in progress
 	EventRestart                   // the program has started and found the incomplete invocation in the store
-	EventWithdraw                  // at a start, the function is no longer in the operator's catalogue
+	EventWithdraw                  // the program has started, and the function is no longer in the operator's catalog
 	EventRedrive                   // an operator redrives the dead letter as a new invocation
-	EventDelete                    // the retention time is over, or an operator purges the dead letter
+	EventDelete                    // the retention has ended, or an operator purges the dead letter
 
 	lastEvent = EventDelete
 )
--- a/internal/invocation/executor/executor.go
+++ b/internal/invocation/executor/executor.go
@@ -2,8 +2,9 @@
 // invocation defines the state transitions of an invocation, and package schedule decides which deferred invocation
 // runs next.
 //
-// A deferred invocation is stored when it is accepted. A synchronous invocation, also called a foreground invocation, is
-// submitted to the dispatcher at once and is stored only where information could otherwise be lost:
+// A deferred invocation is stored when it is accepted. A foreground invocation, for which a client waits, is submitted to
+// the dispatcher at once and is stored only where information could otherwise be lost. (The invoke API calls it
+// synchronous.)
 //
 //   - An invocation that is not idempotent is stored just before its first byte is written to a worker.
 //   - An invocation with an Idempotency-Key is stored before its outcome is returned to a client.
@@ -32,19 +33,19 @@
 	Submit(*call.Call) (*dispatch.Handle, error)
 }
 
-// Function holds the properties of a catalogue entry that the scheduler needs.
+// Function holds the properties of a catalog entry that the scheduler needs.
 type Function struct {
 	Key  string  // the function's name at the workers
 	Cost float64 // cost of one run, relative to the runs of other functions
 }
 
-// Catalog is the operator's catalogue of functions. It is safe for concurrent use.
+// Catalog is the operator's catalog of functions. It is safe for concurrent use.
 type Catalog interface {
-	// Describe returns the function of the given name and reports whether the catalogue contains it.
+	// Describe returns the function of the given name and reports whether the catalog contains it.
 	Describe(function string) (Function, bool)
 
 	// Call returns the call that runs a request once. The executor sets the call's ID and deadline. Call fails if
-	// the catalogue does not contain the request's function.
+	// the catalog does not contain the request's function.
 	Call(request *invocation.Request) (*call.Call, error)
 }
 
@@ -58,11 +59,11 @@
 // Executor accepts requests and keeps their outcomes. It is safe for concurrent use. Its zero value is not usable; use
 // New.
 type Executor struct {
-	store     *store.Store
-	core      Core
-	catalogue Catalog
-	clock     *monotonic.Clock
-	feeder    *feeder
+	store   *store.Store
+	core    Core
+	catalog Catalog
+	clock   *monotonic.Clock
+	feeder  *feeder
 
 	foreground   foregroundSet
 	reservations keyReservations
@@ -77,7 +78,7 @@
 // New returns an executor that runs the invocations of a store, with the given configuration of the scheduler. Recover
 // starts the executor. New fails if the configuration is invalid.
 func New(
-	s *store.Store, core Core, catalogue Catalog, config schedule.Config, clock *monotonic.Clock,
+	s *store.Store, core Core, catalog Catalog, config schedule.Config, clock *monotonic.Clock,
 ) (*Executor, error) {
 	scheduler, err := schedule.New(config, mathrand.Uint64(), clock.Now())
 	if err != nil {
@@ -86,7 +87,7 @@
 	e := &Executor{
 		store:        s,
 		core:         core,
-		catalogue:    catalogue,
+		catalog:      catalog,
 		clock:        clock,
 		foreground:   foregroundSet{byID: map[string]*foregroundInvocation{}},
 		reservations: keyReservations{byKey: map[string]*keyReservation{}},
--- a/internal/invocation/executor/executor_test.go
+++ b/internal/invocation/executor/executor_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// Synchronous and deferred requests with the same Idempotency-Key arrive at the same time. They must cause one run and get
+// Foreground and deferred requests with the same Idempotency-Key arrive at the same time. They must cause one run and get
 // the same result. A different request with a used key must fail with ErrKeyReused.
 func TestConcurrentRequestsUnderOneKey(t *testing.T) {
 	worker := fakes.NewWorker(t)
@@ -208,7 +208,7 @@
 	assert.ErrorIs(t, err, invocation.ErrKeyReused)
 }
 
-// invokeOrSubmit makes a synchronous request if invoke is set, and a deferred one otherwise.
+// invokeOrSubmit makes a foreground request if invoke is set, and a deferred one otherwise.
 func invokeOrSubmit(h *harness, request invocation.Request, invoke bool) (View, error) {
 	if invoke {
 		return h.executor.Invoke(context.Background(), request)
@@ -218,7 +218,7 @@
 
 // The program restarts with invocations in different states. A running reserva must fail as a dead letter, since it may
 // have run; a running consulta must run again; a waiting invocation must run; one whose deadline has passed must expire;
-// one whose function is no longer in the catalogue must fail. The dead letter can then be redriven.
+// one whose function is no longer in the catalog must fail. The dead letter can then be redriven.
 func TestRestart(t *testing.T) {
 	worker := fakes.NewWorker(t)
 	h := newHarness(t, fakes.NewCore(t, worker))
@@ -237,7 +237,7 @@
 	forRemovedFunction := delayed
 	forRemovedFunction.Function = "g"
 	withdrawn := h.submit(forRemovedFunction)
-	h.catalogue.removed["g"] = true
+	h.catalog.removed["g"] = true
 
 	h.restart(fakes.NewCore(t, worker))
 	view := h.wait(runningReserva)
--- a/internal/invocation/executor/foreground.go
+++ b/internal/invocation/executor/foreground.go
@@ -16,8 +16,8 @@
 // reserved.
 var errKeyTaken = errors.New("the idempotency key belongs to another invocation")
 
-// foregroundInvocation is a synchronous invocation: a client waits for its outcome. It is held in memory only, until it
-// has to be stored; some foreground invocations are never stored (see the package comment).
+// foregroundInvocation is an invocation that is not deferred: a client waits for its outcome. It is held in memory only
+// until it has to be stored; some foreground invocations are never stored (see the package comment).
 type foregroundInvocation struct {
 	id          string
 	tenant      string
@@ -42,14 +42,14 @@
 	}
 }
 
-// view returns the current state.
+// view returns a snapshot of the invocation.
 func (fg *foregroundInvocation) view() View {
 	fg.mu.Lock()
 	defer fg.mu.Unlock()
 	return View{Invocation: new(*fg.invocation), Result: fg.result, Durable: fg.stored}
 }
 
-// wait returns the state once the invocation has completed, or the current state when ctx is done. It fails if the
+// wait returns the invocation once it has completed, or in its current state when ctx is done. It fails if the
 // invocation was not served and its outcome could not be stored.
 func (fg *foregroundInvocation) wait(ctx context.Context) (View, error) {
 	select {
--- a/internal/invocation/executor/harness_test.go
+++ b/internal/invocation/executor/harness_test.go
@@ -29,15 +29,15 @@
 	consulta = "consulta"
 )
 
-// fakeCatalogue contains a function for every name except the removed ones.
-type fakeCatalogue struct{ removed map[string]bool }
+// fakeCatalog contains a function for every name except the removed ones.
+type fakeCatalog struct{ removed map[string]bool }
 
-func (c *fakeCatalogue) Describe(name string) (Function, bool) {
+func (c *fakeCatalog) Describe(name string) (Function, bool) {
 	key := fmt.Sprintf("%016x", crc32.ChecksumIEEE([]byte(name)))
 	return Function{Key: key, Cost: 1}, !c.removed[name]
 }
 
-func (c *fakeCatalogue) Call(request *invocation.Request) (*call.Call, error) {
+func (c *fakeCatalog) Call(request *invocation.Request) (*call.Call, error) {
 	function, ok := c.Describe(request.Function)
 	if !ok {
 		return nil, invocation.ErrNotFound
@@ -59,7 +59,7 @@
 	core        *dispatch.Core
 	submissions atomic.Int64 // calls submitted to the dispatcher
 	executor    *Executor
-	catalogue   *fakeCatalogue
+	catalog     *fakeCatalog
 	config      schedule.Config
 	disk        *faultyDisk
 	createdAt   time.Time
@@ -78,7 +78,7 @@
 		t:         t,
 		path:      filepath.Join(t.TempDir(), "tickets.db"),
 		core:      core,
-		catalogue: &fakeCatalogue{removed: map[string]bool{}},
+		catalog:   &fakeCatalog{removed: map[string]bool{}},
 		config:    schedule.Default(),
 		disk:      &faultyDisk{},
 		createdAt: time.Now(),
@@ -109,7 +109,7 @@
 	begin := h.createdAt.Add(time.Since(h.createdAt))
 	clock, err := s.StartClock(begin.Add(h.clockOffset), monotonic.Uptime{})
 	require.NoError(h.t, err)
-	h.executor, err = New(s, h, h.catalogue, h.config, clock)
+	h.executor, err = New(s, h, h.catalog, h.config, clock)
 	require.NoError(h.t, err)
 	require.NoError(h.t, h.executor.Recover())
 }
--- a/internal/invocation/executor/invoke.go
+++ b/internal/invocation/executor/invoke.go
@@ -10,13 +10,13 @@
 	"kitefall/internal/schedule"
 )
 
-// Invoke runs a request at once, as a synchronous invocation. It returns the invocation once it has completed, or in its
+// Invoke runs a request at once, as a foreground invocation. It returns the invocation once it has completed, or in its
 // current state when ctx is done. If the request's Idempotency-Key already belongs to another invocation, Invoke runs
 // nothing and waits for that invocation. It fails with ErrNotFound for an unknown function, with ErrKeyReused, and with
 // ErrStorage.
 func (e *Executor) Invoke(ctx context.Context, request invocation.Request) (View, error) {
 	request.Deferred = false
-	coreCall, err := e.catalogue.Call(&request)
+	coreCall, err := e.catalog.Call(&request)
 	if err != nil {
 		return View{}, invocation.ErrNotFound
 	}
--- a/internal/invocation/executor/outage_test.go
+++ b/internal/invocation/executor/outage_test.go
@@ -45,9 +45,9 @@
 	c.byBody[body]++
 }
 
-// The whole fleet is unavailable, then returns without any loaded function while 5,000 deferred invocations wait. All of
-// them must be served, load orders must stay within the load budget throughout, and at least 95% of the synchronous
-// invocations made meanwhile must be served.
+// The whole fleet is unavailable, then returns without any loaded function while 5,000 deferred invocations wait. All
+// of them must be served, load orders must stay within the load budget throughout, and at least 95% of the foreground
+// invocations made from the return of the fleet on must be served.
 func TestFleetReturnsEmptyAfterOutage(t *testing.T) {
 	settings := fakes.Settings()
 	settings.LoadWindow = 10 * time.Second
@@ -115,7 +115,7 @@
 	return workers
 }
 
-// invokeDuringRecovery makes a synchronous invocation and reports whether it was served.
+// invokeDuringRecovery makes a foreground invocation and reports whether it was served.
 func invokeDuringRecovery(ctx context.Context, h *harness, number int) bool {
 	h.t.Helper()
 	request := h.newRequest(consulta, fmt.Sprintf("now %d", number))
--- a/internal/invocation/executor/recovery.go
+++ b/internal/invocation/executor/recovery.go
@@ -16,7 +16,7 @@
 	var initial []schedule.Event
 	err := e.store.ForEachIncomplete(func(inv *invocation.Invocation) error {
 		incomplete++
-		function, functionKnown := e.catalogue.Describe(inv.Function)
+		function, functionKnown := e.catalog.Describe(inv.Function)
 		restarted, effects, err := e.restart(inv, functionKnown)
 		if err != nil {
 			return err
@@ -39,7 +39,7 @@
 }
 
 // restart applies EventRestart to an invocation. If the invocation is then incomplete and its function is no longer in
-// the catalogue, restart also applies EventWithdraw.
+// the catalog, restart also applies EventWithdraw.
 func (e *Executor) restart(
 	inv *invocation.Invocation, functionKnown bool,
 ) (*invocation.Invocation, invocation.Effects, error) {
--- a/internal/invocation/executor/run.go
+++ b/internal/invocation/executor/run.go
@@ -26,8 +26,8 @@
 		e.abortRun(id, err)
 		return
 	}
-	coreCall, err := e.catalogue.Call(&inv.Request)
-	if err != nil { // the function was removed from the catalogue after the run had been scheduled
+	coreCall, err := e.catalog.Call(&inv.Request)
+	if err != nil { // the function was removed from the catalog after the run had been scheduled
 		e.completeRun(inv, call.Answer{Outcome: call.Rejected})
 		return
 	}
@@ -71,9 +71,9 @@
 	}
 }
 
-// schedule adds a waiting invocation to the scheduler, unless its function is no longer in the catalogue.
+// schedule adds a waiting invocation to the scheduler, unless its function is no longer in the catalog.
 func (e *Executor) schedule(inv *invocation.Invocation) {
-	if function, ok := e.catalogue.Describe(inv.Function); ok {
+	if function, ok := e.catalog.Describe(inv.Function); ok {
 		e.feeder.send(schedule.AddEvent{Job: newJob(inv, function)})
 	}
 }
--- a/internal/invocation/executor/submit.go
+++ b/internal/invocation/executor/submit.go
@@ -15,7 +15,7 @@
 // store.Create.
 func (e *Executor) Submit(request invocation.Request) (View, error) {
 	request.Deferred = true
-	function, ok := e.catalogue.Describe(request.Function)
+	function, ok := e.catalog.Describe(request.Function)
 	if !ok {
 		return View{}, invocation.ErrNotFound
 	}
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	function, ok := e.catalogue.Describe(deadLetter.Function)
+	function, ok := e.catalog.Describe(deadLetter.Function)
 	if !ok {
 		return nil, invocation.ErrNotFound
 	}
--- a/internal/invocation/invocation.go
+++ b/internal/invocation/invocation.go
@@ -1,6 +1,7 @@
-// Package invocation defines invocations and their state machine. An invocation is a call whose outcome can outlive the
-// client's connection. The package is pure: it does no I/O, reads no clock and starts no goroutine. Its values are not
-// safe for concurrent use. The store and the executor change the state of an invocation through Step only.
+// Package invocation defines invocations and their state machine. An invocation is a client's request to run a
+// function; its outcome can outlive the client's connection. The package is pure: it does no I/O, reads no clock and
+// starts no goroutine. Its values are not safe for concurrent use. The store and the executor change the state of an
+// invocation through Step only.
 package invocation
 
 import "time"
@@ -11,10 +12,10 @@
 	Tenant         string        `cbor:"1,keyasint"`
 	IdempotencyKey string        `cbor:"2,keyasint,omitempty"` // empty: none
 	Fingerprint    []byte        `cbor:"3,keyasint,omitempty"` // hash of what a repeat with the same key must have equal
-	Function       string        `cbor:"4,keyasint"`           // name in the operator's catalogue
+	Function       string        `cbor:"4,keyasint"`           // name in the operator's catalog
 	Class          string        `cbor:"5,keyasint"`
 	Idempotent     bool          `cbor:"6,keyasint,omitempty"` // the class allows the function to be executed more than once
-	Deferred       bool          `cbor:"7,keyasint,omitempty"` // scheduled, with retries; otherwise synchronous: one run, at once
+	Deferred       bool          `cbor:"7,keyasint,omitempty"` // scheduled, with retries; otherwise foreground: one run, at once
 	Urgency        Urgency       `cbor:"8,keyasint"`
 	NotBefore      time.Time     `cbor:"9,keyasint,omitzero"`  // earliest start of a run; zero: no limit
 	Expires        time.Time     `cbor:"10,keyasint,omitzero"` // deadline of the invocation, by which every run ends
@@ -41,8 +42,8 @@
 	RedrivenAs  string         `cbor:"36,keyasint,omitempty"` // ID of the invocation that redrives this dead letter
 	History     []HistoryEntry `cbor:"37,keyasint,omitempty"`
 
-	// Ephemeral is set for an invocation that is never stored: it is synchronous and idempotent, and has no idempotency
-	// key under which a client could ask for it later.
+	// Ephemeral is set for an invocation that is never stored: it is a foreground invocation, is idempotent, and has no
+	// Idempotency-Key with which a client could ask for it later.
 	Ephemeral bool `cbor:"-"`
 }
 
--- a/internal/invocation/store/apply.go
+++ b/internal/invocation/store/apply.go
@@ -10,10 +10,10 @@
 // stateNew is passed as the previous state of an invocation that was not stored before.
 const stateNew invocation.State = 0
 
-// Apply applies an input to an invocation, stores the new state and the result if the effects include EffectPersist, and
-// returns the invocation after the change. On an error nothing has changed in the store. With an error of invocation.Step,
-// such as ErrCompleted, the returned invocation is the unchanged one; with any other error it is nil or holds a change that
-// was not stored.
+// Apply applies an input to an invocation, stores the new state and the result if the effects include EffectPersist,
+// and returns the invocation after the change. On an error nothing has changed in the store. With an error of
+// invocation.Step, such as ErrCompleted, the returned invocation is unchanged; with any other error it is nil or holds
+// a change that was not stored.
 func (s *Store) Apply(
 	id string, input invocation.Input, result []byte, now time.Time,
 ) (inv *invocation.Invocation, effects invocation.Effects, err error) {
--- a/internal/invocation/store/benchmark_test.go
+++ b/internal/invocation/store/benchmark_test.go
@@ -38,9 +38,9 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "lives/s")
 }
 
-// BenchmarkOneReserva measures the time that the store adds to a synchronous non-idempotent call of a single client, for
-// which the start and the outcome are stored. For comparison, the same run measures two writes of as many bytes
-// (bareRecordSize each) to a plain file, each with a sync.
+// BenchmarkOneReserva measures the time that the store adds to a non-idempotent foreground invocation of a single
+// client, for which the start and the outcome are stored. For comparison, the same run measures two writes of as many
+// bytes (bareRecordSize each) to a plain file, each with a sync.
 func BenchmarkOneReserva(b *testing.B) {
 	s, path := openNew(b, Options{})
 	bare := newBareFile(b, filepath.Join(filepath.Dir(path), "bare"))
--- a/internal/invocation/store/clock.go
+++ b/internal/invocation/store/clock.go
@@ -8,10 +8,10 @@
 	"kitefall/internal/monotonic"
 )
 
-// StartClock returns the clock for all times in the store, for a run of the program that starts now. The clock continues
-// from the previous run: by the machine's uptime if the machine was not rebooted since then, and otherwise by the wall
-// clock. It never goes back. A wall clock that was set between two runs therefore neither expires nor delays invocations,
-// unless the machine was rebooted.
+// StartClock returns the clock for all times in the store, for a run of the program that starts now. The clock
+// continues from the previous run of the program: by the machine's uptime if the machine was not rebooted since then,
+// and otherwise by the wall clock. It never goes back. A wall clock that was set between two runs therefore neither
+// expires nor delays invocations, unless the machine was rebooted.
 func (s *Store) StartClock(wall time.Time, uptime monotonic.Uptime) (*monotonic.Clock, error) {
 	var begin time.Time
 	err := s.update(func(tx *durable.Tx) error {
@@ -26,7 +26,7 @@
 	return monotonic.Start(begin), nil
 }
 
-// clockStart returns the time at which the clock of this run starts.
+// clockStart returns the time at which the clock starts in this run of the program.
 func clockStart(tx *durable.Tx, wall time.Time, uptime monotonic.Uptime) time.Time {
 	begin := wall
 	lastBegin, lastUptime, known := decodeStart(tx.Get(clockBucket, startKey))
@@ -55,14 +55,15 @@
 	return latest, storageError(err)
 }
 
-// encodeStart returns the record of a run's start: the clock's time and the uptime (8 bytes each), then the boot ID.
+// encodeStart returns the record of a start of the program: the clock's time and the uptime (8 bytes each), then the
+// boot ID.
 func encodeStart(begin time.Time, uptime monotonic.Uptime) []byte {
 	record := encodeTime(begin)
 	record = binary.BigEndian.AppendUint64(record, uint64(uptime.Elapsed))
 	return append(record, uptime.BootID...)
 }
 
-// decodeStart decodes the record of a run's start. known is false if there is no such record.
+// decodeStart decodes the record of a start of the program. known is false if there is no such record.
 func decodeStart(record []byte) (begin time.Time, uptime monotonic.Uptime, known bool) {
 	if len(record) < startLength {
 		return time.Time{}, monotonic.Uptime{}, false
--- a/internal/invocation/store/deadletter.go
+++ b/internal/invocation/store/deadletter.go
@@ -7,11 +7,12 @@
 	"kitefall/internal/invocation"
 )
 
-// Redrive stores a new invocation with the request of a dead letter and, counted from now, as much time until its deadline.
-// If the dead letter may have run and is not idempotent, the operator must confirm that it did not run and give a reason;
-// otherwise Redrive fails with ErrNotConfirmed. The dead letter keeps its outcome. Its Idempotency-Key passes to the new
-// invocation, so that a late repeat by the client finds the new one. If another invocation holds the key already, Redrive
-// fails with ErrSuperseded.
+// Redrive stores a new invocation with the request of a dead letter. The deadline of the new invocation is as long
+// after now as the deadline of the dead letter was after its creation. If the dead letter may have run and is not
+// idempotent, the operator must confirm that it did not run and give a reason; otherwise Redrive fails with
+// ErrNotConfirmed. The dead letter keeps its outcome. Its Idempotency-Key passes to the new invocation, so that a late
+// repeat by the client finds the new one. If another invocation holds the key already, Redrive fails with
+// ErrSuperseded.
 func (s *Store) Redrive(
 	id, successorID string, confirmed bool, reason string, now time.Time,
 ) (successor *invocation.Invocation, err error) {
--- a/internal/invocation/store/expiry.go
+++ b/internal/invocation/store/expiry.go
@@ -13,7 +13,8 @@
 // carries out one at a time, are not held up for long.
 const maxDeleteBatch = 256
 
-// DeleteExpired deletes the invocations whose retention is over, and the records of earlier deletions that are over too.
+// DeleteExpired deletes the invocations whose retention has ended, and the records of deleted invocations that have been
+// kept for long enough.
 func (s *Store) DeleteExpired(now time.Time) error {
 	for {
 		deleted := 0
@@ -30,7 +31,8 @@
 	}
 }
 
-// deleteExpiredBatch deletes what is due for at most maxDeleteBatch index keys and returns the number of these keys.
+// deleteExpiredBatch deletes at most maxDeleteBatch due index keys, with the invocations and the records of deleted
+// invocations that they refer to. It returns the number of index keys deleted.
 func (s *Store) deleteExpiredBatch(tx *durable.Tx, now time.Time) (deleted int, err error) {
 	batch := deleteBatch{tx: tx, cutoff: timeKey(now, "")}
 	retentionErr := batch.deleteDue(retentionBucket, func(id string) error {
--- a/internal/invocation/store/layout.go
+++ b/internal/invocation/store/layout.go
@@ -43,7 +43,7 @@
 const (
 	timeLength  = 8
 	usageLength = 16
-	startLength = 16 // of the record of a run's start, without the boot ID
+	startLength = 16 // of the record of a start of the program, without the boot ID
 )
 
 // Keys in clockBucket.
--- a/internal/invocation/store/migrate_test.go
+++ b/internal/invocation/store/migrate_test.go
@@ -97,7 +97,7 @@
 	require.NoError(t, err)
 	m := &migration{
 		path:         path,
-		original:     filepath.Join(path+".missing", "tickets.db.v1"), // in a folder that does not exist
+		original:     filepath.Join(path+".missing", "tickets.db.v1"), // in a directory that does not exist
 		converted:    path + ".v2",
 		temporary:    path + ".migrating",
 		lockDeadline: time.Now().Add(time.Second),
--- a/internal/invocation/store/query.go
+++ b/internal/invocation/store/query.go
@@ -49,7 +49,7 @@
 type Filter struct {
 	Tenant      string `json:"Tenant"`
 	DeadLetters bool   `json:"Dead"` // dead letters only, in the order of completion
-	Incomplete  bool   `json:"Open"` // invocations without a final outcome only
+	Incomplete  bool   `json:"Open"` // incomplete invocations only
 	Limit       int    `json:"Most"` // maximum number of results; 0: no limit
 }
 
--- a/internal/invocation/store/store.go
+++ b/internal/invocation/store/store.go
@@ -1,8 +1,9 @@
 // Package store keeps invocations on disk, on top of package durable. The state machine in package invocation decides how
 // an invocation may change. layout.go describes the stored data.
 //
-// A Store is safe for concurrent use. Changes are carried out one after another on the writer goroutine of the underlying
-// durable.DB. A change is on the disk when the method that made it returns.
+// A Store is safe for concurrent use. Changes are carried out one after another on the writer goroutine of the
+// underlying durable.DB. A change is on the disk when the method that made it returns. The only exception is
+// EventSubmit, which is recorded in memory.
 package store
 
 import (
@@ -56,7 +57,7 @@
 	return s, nil
 }
 
-// Close closes the underlying database.
+// Close closes the underlying durable.DB.
 func (s *Store) Close() error { return s.db.Close() }
 
 // update runs change on the writer goroutine. If change returns an error, nothing that it wrote is kept.
--- a/internal/invocation/update.go
+++ b/internal/invocation/update.go
@@ -29,6 +29,6 @@
 	inv.RetryAt = now.Add(input.RetryAfter)
 }
 
-// setDeadLetter marks a deferred invocation as a dead letter, which operators can redrive or purge. A synchronous
-// invocation does not become one, because its client gets the outcome at once.
+// setDeadLetter marks a deferred invocation as a dead letter, which operators can redrive or purge. A foreground
+// invocation does not become one, because its client waits for the outcome and gets it at once.
 func setDeadLetter(inv *Invocation, _ Input, _ time.Time) { inv.DeadLetter = inv.Deferred }
--- a/internal/schedule/concurrency.go
+++ b/internal/schedule/concurrency.go
@@ -16,14 +16,14 @@
 // concurrencyLimit is the adaptive limit of the number of runs in flight. As in TCP congestion control, the limit grows
 // by 1 for each served run during slow start, and by 1/limit after it, that is, by 1 for each round of served runs.
 // It decreases by a factor when a run is rejected or fails, when the served runs of a function have become slow, and when
-// a foreground request is rejected.
+// a foreground invocation is rejected.
 type concurrencyLimit struct {
 	min, max           float64
 	current            float64
 	slowStartThreshold float64 // value of current at which slow start ends
 	lastDecrease       time.Time
 	noGrowthBefore     time.Time
-	foregroundBackoff  time.Duration // how long the limit does not grow after a rejected foreground request
+	foregroundBackoff  time.Duration // how long the limit does not grow after a rejected foreground invocation
 }
 
 func newConcurrencyLimit(c Config) concurrencyLimit {
@@ -64,8 +64,8 @@
 // runNotServed decreases the limit after a run that was rejected or failed.
 func (l *concurrencyLimit) runNotServed(now time.Time) { l.decrease(now, runNotServedFactor) }
 
-// foregroundRejected leaves more of the fleet to foreground requests after one was rejected: the limit decreases and does
-// not grow for foregroundBackoff.
+// foregroundRejected leaves more of the fleet to foreground invocations after one was rejected: the limit decreases and
+// does not grow for foregroundBackoff.
 func (l *concurrencyLimit) foregroundRejected(now time.Time) {
 	l.decrease(now, foregroundRejectedFactor)
 	l.noGrowthBefore = now.Add(l.foregroundBackoff)
--- a/internal/schedule/concurrency_test.go
+++ b/internal/schedule/concurrency_test.go
@@ -54,9 +54,9 @@
 	assert.Empty(t, sim.expired, "all jobs are served, none expires")
 }
 
-// While foreground requests are rejected, the concurrency limit of deferred runs decreases to the minimum and does not
-// grow.
-func TestRejectedForegroundRequestsDecreaseConcurrency(t *testing.T) {
+// While foreground invocations are rejected, the concurrency limit of deferred runs decreases to the minimum and does
+// not grow.
+func TestRejectedForegroundInvocationsDecreaseConcurrency(t *testing.T) {
 	sim := newSimulation(t, testConfig())
 	for i := range 9000 {
 		sim.add(Job{ID: fmt.Sprint(i), Function: fmt.Sprint(i % 4)})
--- a/internal/schedule/config.go
+++ b/internal/schedule/config.go
@@ -34,7 +34,7 @@
 	StallFailures     int           // rejected or failed runs in a row after which the fleet is stalled, if StallTime has passed
 	StallTime         time.Duration // minimum time since the last served run before the fleet is stalled
 	ProbeInterval     time.Duration // time between the starts of the runs that probe a stalled fleet
-	ForegroundBackoff time.Duration // how long concurrency does not grow after a rejected foreground request
+	ForegroundBackoff time.Duration // how long concurrency does not grow after a rejected foreground invocation
 }
 
 // coldStartPeriod is the time in which the cold-start budget gains Config.ColdStartBurst tokens.
--- a/internal/schedule/event.go
+++ b/internal/schedule/event.go
@@ -48,7 +48,7 @@
 // that one.
 type RemoveEvent struct{ ID string }
 
-// ForegroundEvent reports the end of a foreground request: a synchronous invocation, which does not pass through the
+// ForegroundEvent reports the end of a foreground invocation: one that is not deferred, so it does not pass through the
 // scheduler.
 type ForegroundEvent struct{ Rejected bool }
 
