--- a/cmd/dispatcher/server.go
+++ b/cmd/dispatcher/server.go
@@ -40,7 +40,7 @@
 	core         *dispatch.Core
 	watcher      *discovery.Watcher
 	frontend     *resp.Server
-	listener     net.Listener   // of the frontend
+	listener     net.Listener   // listener of the frontend
 	invokeConfig *invoke.Config // nil if the invoke API is off
 	invoke       *invokeService // nil if the invoke API is off
 	listening    atomic.Bool    // set once the frontend accepts clients
--- a/internal/durable/maintenance.go
+++ b/internal/durable/maintenance.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// newFileLockTimeout is how long openNewFile waits at most for the lock of a file that was just made.
+	// newFileLockTimeout is how long openNewFile waits at most for the lock of a file that it has just created.
 	newFileLockTimeout = time.Second
 
 	// compactTxBytes is the approximate number of bytes that Compact copies in one bbolt transaction.
--- a/internal/invocation/executor/executor.go
+++ b/internal/invocation/executor/executor.go
@@ -2,9 +2,9 @@
 // invocation defines the state transitions of an invocation, and package schedule decides which deferred invocation
 // runs next.
 //
-// A deferred invocation is stored when it is accepted. A foreground invocation, for which a client waits, is submitted to
-// the dispatcher at once and is stored only where information could otherwise be lost. (The invoke API calls it
-// synchronous.)
+// A deferred invocation is stored when it is accepted. A foreground invocation, which the invoke API calls synchronous
+// because a client waits for it, is submitted to the dispatcher at once and is stored only where information could
+// otherwise be lost:
 //
 //   - An invocation that is not idempotent is stored just before its first byte is written to a worker.
 //   - An invocation with an Idempotency-Key is stored before its outcome is returned to a client.
--- a/internal/invocation/invocation.go
+++ b/internal/invocation/invocation.go
@@ -11,7 +11,7 @@
 type Request struct {
 	Tenant         string        `cbor:"1,keyasint"`
 	IdempotencyKey string        `cbor:"2,keyasint,omitempty"` // empty: none
-	Fingerprint    []byte        `cbor:"3,keyasint,omitempty"` // hash of what a repeat with the same key must have equal
+	Fingerprint    []byte        `cbor:"3,keyasint,omitempty"` // hash of what must be equal in a repeat with the same key
 	Function       string        `cbor:"4,keyasint"`           // name in the operator's catalog
 	Class          string        `cbor:"5,keyasint"`
 	Idempotent     bool          `cbor:"6,keyasint,omitempty"` // the class allows the function to be executed more than once
@@ -30,7 +30,7 @@
 	CreatedAt time.Time `cbor:"20,keyasint,omitzero"`
 	State     State     `cbor:"21,keyasint"`
 	NextRunAt time.Time `cbor:"22,keyasint,omitzero"`  // in StateWaiting: earliest start of the next run
-	Runs      int       `cbor:"23,keyasint,omitempty"` // number of runs started; after a restart, of those that were stored
+	Runs      int       `cbor:"23,keyasint,omitempty"` // number of runs started, without those not stored before a restart
 	Bytes     int64     `cbor:"24,keyasint,omitempty"` // total size of body and result
 
 	Outcome     Outcome        `cbor:"30,keyasint,omitempty"`
--- a/internal/invocation/state.go
+++ b/internal/invocation/state.go
@@ -8,7 +8,7 @@
 // stored, before its first byte is written to a worker.
 const (
 	StateWaiting   State = 1 + iota // no run is in progress
-	StateSubmitted                  // a run was submitted to the dispatcher; unless idempotent, nothing was written to a worker
+	StateSubmitted                  // a run was submitted; nothing of it was written to a worker, unless it is idempotent
 	StateRunning                    // an attempt may have been written to a worker, and the store has recorded this
 	StateCompleted                  // the outcome is final
 )
--- a/internal/invocation/transitions.go
+++ b/internal/invocation/transitions.go
@@ -72,7 +72,7 @@
 		To: StateCompleted, Outcome: OutcomeDeadlineExceeded, Effects: persistAndNotify, update: setFailed},
 	{From: StateSubmitted, Event: EventFailed, guard: always,
 		To: StateCompleted, Outcome: OutcomeFailed, Effects: persistAndNotify, update: setFailed},
-	// In StateSubmitted only an idempotent function can have run: for any other, EventStart comes first.
+	// In StateSubmitted only the function of an idempotent invocation can have run: for any other, EventStart comes first.
 	{From: StateSubmitted, Event: EventCancel, guard: isIdempotent,
 		To: StateCompleted, Outcome: OutcomeCancelled, Effects: persistNotifyAndCancelRun, update: setMayHaveRun},
 	{From: StateSubmitted, Event: EventCancel, guard: always,
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -38,8 +38,8 @@
 	Leases = newCounter("leases")
 	// LoadOrders counts load orders that have ended, by status.
 	LoadOrders = newCounter("load_orders")
-	// Keepalives counts messages of keepalives to workers that have ended: queries for the number of loaded copies under the
-	// label asked, and load orders by status.
+	// Keepalives counts the messages of keepalives to workers, at their end. Queries for the number of loaded copies have the
+	// label asked; load orders have their status.
 	Keepalives = newCounter("keepalives")
 	// Polls counts polls of discovery that have ended, by outcome.
 	Polls = newCounter("polls")
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -4,7 +4,7 @@
 // no I/O, reads no clock and starts no goroutines. Equal configurations, seeds, events and times give equal actions.
 //
 // A job is a deferred invocation. A run of a job is one call to the dispatcher, which ends served, rejected or failed.
-// Package balancer chooses the worker of a run, repeats attempts within the run and decides on the admission of requests.
+// Package balancer chooses the worker of a run, makes further attempts within the run and decides on the admission of requests.
 // The design of this package is explained in docs/design/deferred.md.
 package schedule
 
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -14,8 +14,8 @@
 type document struct {
 	// The dispatchers of the fleet, and the position of this one.
 	Dispatchers      int          `json:"peers_total"`     // number of dispatchers, including this one
-	Position         int          `json:"position"`        // of this dispatcher among them, from 0
-	Zone             string       `json:"zone"`            // of this dispatcher
+	Position         int          `json:"position"`        // position of this dispatcher among them, counted from 0
+	Zone             string       `json:"zone"`            // zone of this dispatcher
 	Zones            []string     `json:"failure_domains"` // all zones
 	MinEventInterval Microseconds `json:"step_us"`         // shortest time between two deliveries of events
 
@@ -79,7 +79,7 @@
 type connsDocument struct {
 	Caps struct {
 		IdleClose  Microseconds `json:"idle_close_us"` // workers close a connection that was idle for this long
-		MaxStreams int          `json:"max_streams"`   // concurrent calls on one connection
+		MaxStreams int          `json:"max_streams"`   // maximum number of concurrent calls on one connection
 	} `json:"caps"`
 	Prices struct {
 		HandshakeCost float64 `json:"handshake"` // cost of a new connection, as a fraction of the weight of a call
--- a/internal/settings/requests.go
+++ b/internal/settings/requests.go
@@ -23,7 +23,7 @@
 	LateWeight       float64      `json:"late_value"` // fraction of Weight for an answer between LatencyObjective and Deadline
 	LatencyObjective Microseconds `json:"goal_time_us"`
 	ObjectiveStretch float64      `json:"aim_stretch"` // LatencyObjective grows by this multiple of the request's work estimate
-	Deadline         Microseconds `json:"deadline_us"` // for all attempts of a request together
+	Deadline         Microseconds `json:"deadline_us"` // time limit for all attempts of a request together
 	Effect           string       `json:"effect"`      // effectPure, effectToken
 	DedupScope       string       `json:"group"`       // dedupScopeZone, dedupScopeCell; only with effectToken
 	DedupWindow      Microseconds `json:"window_us"`   // how long repeats are dropped; only with effectToken
--- a/internal/settings/sections.go
+++ b/internal/settings/sections.go
@@ -6,11 +6,11 @@
 type capsSection struct {
 	CanCancel      bool         `json:"cancel"`             // attempts may be cancelled
 	Hedging        bool         `json:"second_copies"`      // two attempts of one request may be in flight at a time
-	MaxAttempts    int          `json:"try_limit"`          // attempts of one request
-	MaxInFlight    int          `json:"open_cap"`           // requests in flight
+	MaxAttempts    int          `json:"try_limit"`          // maximum number of attempts of one request
+	MaxInFlight    int          `json:"open_cap"`           // maximum number of requests in flight
 	SendRetryAfter bool         `json:"retry_after"`        // rejections may tell the client after which time to retry
 	MaxRetryAfter  Microseconds `json:"max_retry_after_us"` // longest time to retry after
-	DialTimeout    Microseconds `json:"dial_timeout_us"`    // for a connection to a worker
+	DialTimeout    Microseconds `json:"dial_timeout_us"`    // time limit for connecting to a worker
 }
 
 func (c *capsSection) apply(s *balancer.Settings) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,7 +37,7 @@
 // Conns are the settings that only a dispatcher on real sockets needs.
 type Conns struct {
 	IdleTimeout   time.Duration // workers close a connection that was idle for this long
-	MaxStreams    int           // concurrent calls on one connection
+	MaxStreams    int           // maximum number of concurrent calls on one connection
 	HandshakeCost float64       // cost of a new connection, as a fraction of the weight of a call; 0: no cost
 }
 
