--- a/cmd/dispatcher/invoke.go
+++ b/cmd/dispatcher/invoke.go
@@ -101,7 +101,7 @@
 	return invoke.WaitForIdentity(ctx, workloadAPI)
 }
 
-// startExecutor opens the store and starts the executor, which resumes the invocations that the last run of the program
+// startExecutor opens the store and starts the executor, which recovers the invocations that the last run of the program
 // left incomplete.
 func (s *invokeService) startExecutor(invokeConfig *invoke.Config) (*store.Store, error) {
 	invocationStore, clock, err := openStore(invokeConfig)
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -36,7 +36,7 @@
 const (
 	// defaultKills is the number of kills in CI.
 	defaultKills = 24
-	// failpointTimeout is how long the process may take, from when load is put on it, to reach its failpoint. After that
+	// failpointTimeout is how long the process may take, from the start of its clients, to reach its failpoint. After that
 	// it is killed wherever it is.
 	failpointTimeout = 1500 * time.Millisecond
 	// clientRetryInterval is the pause of a client before it repeats a request that was not accepted.
@@ -171,7 +171,7 @@
 	return process, exited
 }
 
-// startAndKill starts the program, puts load on it, and waits until it kills itself at the failpoint. If it does not reach
+// startAndKill starts the program, has submitLoad start clients, and waits until it kills itself at the failpoint. If it does not reach
 // the failpoint within failpointTimeout, it is killed wherever it is.
 func (k *killTest) startAndKill(failpoint string, submitLoad func()) {
 	process, exited := k.start(fmt.Sprintf("%s:%d", failpoint, 1+k.random.IntN(6)))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -20,8 +20,8 @@
 	// is not idempotent, confirmed and a reason are required: the operator confirms that it did not run, and the reason says
 	// how this was found out.
 	Redrive(id string, confirmed bool, reason string) (Invocation, error)
-	// Purge removes the dead letters with the given IDs, or all if there are no IDs, and returns how many it removed. It
-	// removes only those that completed at least minAge ago, by the clock of the store's times and not by the caller's.
+	// Purge deletes the dead letters with the given IDs, or all if there are no IDs, and returns how many it deleted. It
+	// deletes only those that completed at least minAge ago, by the clock of the store's times and not by the caller's.
 	Purge(ids []string, minAge time.Duration) (int, error)
 	// Snapshot writes a copy of the store to a new file. The path must be absolute.
 	Snapshot(path string) error
--- a/internal/control/operations.go
+++ b/internal/control/operations.go
@@ -37,7 +37,7 @@
 }
 
 // ForStore returns the operations on an open store, which the caller has to close; clock is the clock of the store's times. A
-// running dispatcher passes the clock and the redrive function of its executor, because the executor has to learn of the new
+// running dispatcher passes the clock and the redrive function of its executor, because the executor has to schedule the new
 // invocation. If redrive is nil, a redrive changes only the store.
 func ForStore(s *store.Store, clock *monotonic.Clock, redrive RedriveFunc) Operations {
 	if redrive == nil {
--- a/internal/invocation/store/apply.go
+++ b/internal/invocation/store/apply.go
@@ -84,7 +84,7 @@
 	return timeKey(inv.CompletedAt.Add(retention), inv.ID)
 }
 
-// delete removes an invocation. A record that it existed is kept until Options.Retention after now.
+// delete deletes an invocation. A record that it existed is kept until Options.Retention after now.
 func (s *Store) delete(tx *durable.Tx, inv *invocation.Invocation, now time.Time) {
 	id := []byte(inv.ID)
 	if inv.DeadLetter {
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -30,7 +30,7 @@
 	queue       *queue // set when the job becomes ready, kept while it runs
 }
 
-// tenant holds the ready jobs of one tenant, in one queue per function, and what is needed for weighted fair queueing
+// tenant holds the ready jobs of one tenant, in one queue per function, and the values for weighted fair queueing
 // among the tenants.
 type tenant struct {
 	name        string
