--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -36,7 +36,7 @@
 const (
 	// defaultKills is the number of kills in CI.
 	defaultKills = 24
-	// failpointTimeout is how long the process may take, from when load is put on it, to reach its failpoint. After that
+	// failpointTimeout is how long the process may take, from the start of its clients, to reach its failpoint. After that
 	// it is killed wherever it is.
 	failpointTimeout = 1500 * time.Millisecond
 	// clientRetryInterval is the pause of a client before it repeats a request that was not accepted.
@@ -46,7 +46,7 @@
 )
 
 // killTest is a program that is killed and started again, with the state that outlives its process: its worker, its
-// clients, and the runs and answers that these have seen. A request is identified by its body.
+// clients, and the runs and answers that they have seen. A request is identified by its body.
 type killTest struct {
 	t          *testing.T
 	program    string
@@ -171,7 +171,7 @@
 	return process, exited
 }
 
-// startAndKill starts the program, puts load on it, and waits until it kills itself at the failpoint. If it does not reach
+// startAndKill starts the program, has submitLoad start clients, and waits until it kills itself at the failpoint. If it does not reach
 // the failpoint within failpointTimeout, it is killed wherever it is.
 func (k *killTest) startAndKill(failpoint string, submitLoad func()) {
 	process, exited := k.start(fmt.Sprintf("%s:%d", failpoint, 1+k.random.IntN(6)))
@@ -201,14 +201,14 @@
 	}
 }
 
-// submit sends a request, under an idempotency key, until the program has accepted it or ctx is done.
+// submit sends a request, under an Idempotency-Key, until the program has accepted it or ctx is done.
 func (k *killTest) submit(ctx context.Context, function, body string, async bool) {
 	for ctx.Err() == nil && !k.submitOnce(ctx, function, body, async) {
 		time.Sleep(clientRetryInterval)
 	}
 }
 
-// submitOnce sends a request once and reports whether the program has accepted it. If not, the idempotency key makes it
+// submitOnce sends a request once and reports whether the program has accepted it. If not, the Idempotency-Key makes it
 // safe to send the request again.
 func (k *killTest) submitOnce(ctx context.Context, function, body string, async bool) bool {
 	request, err := newInvocationRequest(k.url, function, body)
