--- a/internal/balancer/actions.go
+++ b/internal/balancer/actions.go
@@ -30,8 +30,8 @@
 // Fail is a final answer which says that the request may have run, so that a retry may run it twice.
 type Fail struct{ ID RequestID }
 
-// Load orders a worker to hold at least Copies copies of a function. With 0 it only asks how many copies
-// the worker holds.
+// Load orders a worker to hold at least Copies copies of a function. An order for 0 copies is a query: it
+// only asks how many copies the worker holds.
 type Load struct {
 	Worker   WorkerID
 	Function FunctionID
@@ -39,9 +39,9 @@
 	// StartWithin is the time from now within which the order must reach the worker; after it the order
 	// must not be sent. 0: the order's timeout is the only limit.
 	StartWithin time.Duration
-	// ProofAge is set in the order of a keepalive, which is given where no copy was loaded. Once the
-	// order is carried out, it proves that the worker began a load at most this long before the order was
-	// written. 0: the order proves nothing.
+	// ProofAge is set in the order of a keepalive, which is given where no copy was loaded. Once the worker
+	// has carried out the order, this is evidence that the worker started a load at most ProofAge before the
+	// order was written. 0: the order gives no evidence.
 	ProofAge time.Duration
 }
 
@@ -63,13 +63,13 @@
 // Fetch asks for the whole endpoint list once.
 type Fetch struct{}
 
-// LeasesChanged reports that leases of workers have ended or are live again. It needs no action.
+// LeasesChanged reports that leases of workers have expired or are valid again. It needs no action.
 type LeasesChanged struct {
 	Workers   []WorkerID    // sorted
-	Ended     int           // leases that ended for lack of news of their worker
-	Contested int           // leases that ended since the worker rejects calls and discovery gives no reason
-	Renewed   int           // leases that are live again
-	Live      int           // live leases of all workers
+	Ended     int           // leases that expired because nothing renewed them
+	Contested int           // leases that expired while contested, see permit.Lease
+	Renewed   int           // leases that are valid again
+	Live      int           // valid leases of all workers
 	SyncAge   time.Duration // time since the poll of the last sync was sent
 }
 
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -37,7 +37,7 @@
 			r.weight *= b.settings.OverQuotaWeight
 		}
 	}
-	if r.Retry { // how long the first try waited is unknown; its objective has probably passed
+	if r.Retry { // the time since the client's first try is unknown; the latency objective has probably passed
 		r.weight *= (1 + r.class.LateWeight) / 2
 	}
 	longest := max(b.longestTimeLeft[r.class.Name], r.TimeLeft)
@@ -62,7 +62,7 @@
 func (b *Balancer) tooLate(r *request) bool { return b.now+2*sweepInterval >= r.deadline }
 
 // sendOrFinishAtHalfTime ends the wait of a request that has reached no worker when half of its time is
-// over: a later rejection costs more. If the load that the request waits for is under way, and its worker
+// over: a later rejection costs more. If the load order that the request waits for is pending, and its worker
 // may get the request, the request is sent there and waits at the worker; otherwise it is finished.
 func (b *Balancer) sendOrFinishAtHalfTime(r *request) {
 	p := r.waitingFor
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -23,7 +23,7 @@
 		f.endAttempt(f.sent[len(f.sent)-1].ID, 0, OK) // one more request may be sent
 		f.b.Handle(f.now, RequestEvent{ID: 9999, Class: "safe", Function: "fn", TimeLeft: time.Second, Concurrency: 1,
 			Retry: marks})
-		if r := f.b.requests[9999]; r.outstanding > 0 {
+		if r := f.b.requests[9999]; r.pendingCount > 0 {
 			t.Errorf("clients mark retries %v: a retry whose latency objective has passed took the only free place", marks)
 		}
 	}
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -39,9 +39,9 @@
 	if r.class.Idempotency != NotIdempotent && !b.settings.Hedging && !b.settings.CanCancel {
 		timeout = (r.deadline - b.now) / 2
 	}
-	// The attempt may have to wait for a connection. After this time workers would run a repeat again.
+	// The attempt may have to wait for a connection. After startWithin, workers no longer drop repeats.
 	startWithin, _ := r.dedupTimeLeft(b.now)
-	if w.unavailable() {
+	if w.ejected() {
 		b.postponeProbe(w)
 	}
 	if class := w.class(r.class.Name); class.consecutiveRejections >= maxConsecutiveRejections {
@@ -59,7 +59,7 @@
 	return permit.RetryConditions{
 		Attempts:    len(r.attempts),
 		MaxAttempts: b.settings.MaxAttempts,
-		Pending:     r.outstanding > 0,
+		Pending:     r.pendingCount > 0,
 		MayHaveRun:  r.mayHaveRun(),
 		Repeatable:  r.repeatable(),
 		Hedging:     b.settings.Hedging,
@@ -81,7 +81,7 @@
 	return deduplicated || r.class.Idempotency == Idempotent || !r.mayHaveRun()
 }
 
-// hedge sends another attempt for a request whose attempt is overdue at an unavailable worker. Without
+// hedge sends another attempt for a request whose attempt is overdue at an ejected worker. Without
 // hedging it cancels that attempt, if it may, so that a retry can follow.
 func (b *Balancer) hedge(r *request) {
 	a := r.attempts[len(r.attempts)-1]
@@ -90,7 +90,7 @@
 	}
 	r.excluded[a.worker.ID] = true
 	if b.settings.Hedging {
-		if w, ready := b.pickWorker(r, true); ready {
+		if w, sendNow := b.pickWorker(r, true); sendNow {
 			b.retryBudget.take()
 			b.send(r, w)
 		}
@@ -104,10 +104,10 @@
 }
 
 // mayHedge reports whether a request may be hedged, given its last attempt: the attempt is the only one
-// pending and overdue at an unavailable worker, and the request, its attempts and the retry budget allow
+// pending and overdue at an ejected worker, and the request, its attempts and the retry budget allow
 // another one.
 func (b *Balancer) mayHedge(r *request, a *attempt) bool {
-	onlyPending := r.outstanding == 1 && a.pending
+	onlyPending := r.pendingCount == 1 && a.pending
 	if r.streaming || r.cancelledForRetry || !onlyPending {
 		return false
 	}
@@ -115,13 +115,13 @@
 		return false
 	}
 	overdue := (b.now - a.sentAt).Seconds() >= r.function.meanAnswer
-	return overdue && a.worker.unavailable()
+	return overdue && a.worker.ejected()
 }
 
 // finish gives a request without pending attempts its final answer: Reject if the client may retry,
 // otherwise Fail. No other function emits these actions.
 func (b *Balancer) finish(r *request) {
-	if r.closed || r.outstanding > 0 {
+	if r.closed || r.pendingCount > 0 {
 		return
 	}
 	if r.retryIsHarmless() {
@@ -149,7 +149,7 @@
 	}
 	r.streaming = r.streaming || streaming
 	b.markClosed(r)
-	if r.outstanding == 0 || !b.settings.CanCancel || r.streaming {
+	if r.pendingCount == 0 || !b.settings.CanCancel || r.streaming {
 		return
 	}
 	for _, a := range r.attempts {
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -22,7 +22,7 @@
 
 	workers        map[WorkerID]*worker
 	zones          map[string]*zone
-	ready          []*worker // the workers that may be chosen, sorted by ID
+	ready          []*worker // the ready workers: available ones as of the last update, sorted by ID
 	changes        listChangeLog
 	leases         leases
 	restarts       restarts
@@ -30,7 +30,7 @@
 	rankBuffer     []rankedWorker // reused by rebuildOrder, to save allocations
 	emptyPlacement placement      // returned by peekPlacement for a worker without a record
 	meanLoad       float64        // mean of load over the ready workers
-	failOpen       bool           // most ready workers are unavailable: ejections are ignored
+	failOpen       bool           // most ready workers are ejected: ejections are ignored
 	functions      map[FunctionID]*function
 	hotSet         hotSet
 
--- a/internal/balancer/checks_test.go
+++ b/internal/balancer/checks_test.go
@@ -4,7 +4,7 @@
 
 // checkAction carries out an action, and fails the test if the action breaks a rule. The messages number the rules.
 // Rule 1: each request gets one final answer, in time. Rule 2: no attempt may run a request twice where that is
-// forbidden. Rule 3: nothing is begun at a worker that drains or is removed. Rule 4: slow start, which separate
+// forbidden. Rule 3: nothing is started at a worker that drains or is removed. Rule 4: slow start, which separate
 // tests check. Rule 5: the load budget.
 func (f *testFleet) checkAction(action Action) {
 	f.t.Helper()
--- a/internal/balancer/classhealth.go
+++ b/internal/balancer/classhealth.go
@@ -8,7 +8,7 @@
 // classHealth holds a worker's record with one class of requests.
 type classHealth struct {
 	lastAnswerAt          time.Duration // time of the last answer
-	failureScore          float64       // evidence that the worker fails more requests than the fleet does
+	failureScore          float64       // sum of the failure test; it is high for an outlier
 	consecutiveRejections int           // consecutive rejections; an answer halves the count
 	ejectedUntil          time.Duration // the worker gets no request of the class before this time
 }
@@ -30,14 +30,14 @@
 	}
 }
 
-// addFailure adds the evidence of a failure to the score, multiplied by its severity from 0 to 1. A score
-// above the limit is first lowered to the limit.
+// addFailure adds a failure to the score, multiplied by its severity from 0 to 1. A score above the limit is
+// first lowered to the limit.
 func (c *classHealth) addFailure(test failureTest, limit, severity float64) {
 	c.failureScore = math.Min(c.failureScore, limit) + severity*test.failure
 }
 
-// addResult adds the evidence of a result to the score: severity, from 0 to 1, is the part that counts as a
-// failure, and the rest counts as a success. A score above the limit is first lowered to the limit.
+// addResult adds a result to the score: severity, from 0 to 1, is the part that counts as a failure, and the
+// rest counts as a success. A score above the limit is first lowered to the limit.
 func (c *classHealth) addResult(test failureTest, limit, severity float64) {
 	score := math.Min(c.failureScore, limit) + severity*test.failure + (1-severity)*test.success
 	c.failureScore = math.Max(0, score)
--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -27,7 +27,7 @@
 	extend(nil)
 }
 
-// The events that may happen in any order while the first attempt of a request is in flight.
+// The events that may happen in any order while the first attempt of a request is pending.
 const (
 	attemptEnds = iota
 	workerDrains
@@ -38,7 +38,7 @@
 	concurrentEvents // the number of events above
 )
 
-// raceScenario is one request whose first attempt is in flight while other events happen.
+// raceScenario is one request whose first attempt is pending while other events happen.
 type raceScenario struct {
 	*testFleet
 	id         RequestID
--- a/internal/balancer/dedup.go
+++ b/internal/balancer/dedup.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// dedupTimeLeft returns for how long from now workers still drop repeats of every attempt that may run or
-// may have run. limited is false if there is no limit: the class has no keys, or no attempt may have run.
+// dedupTimeLeft returns the time from now until workers may run a repeat of the request, because the dedup
+// window of an attempt that may run or may have run is over. limited is false if there is no limit: the
+// class has no keys, or no attempt may have run.
 func (r *request) dedupTimeLeft(now time.Duration) (left time.Duration, limited bool) {
 	if r.class.Idempotency != IdempotentWithKey {
 		return 0, false
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -14,12 +14,12 @@
 //   - loadorders.go: load orders and their budget
 //   - slowstart.go: which requests a worker may get while it warms up
 //   - attempts.go: sending, retrying, hedging and the final answer
-//   - dedup.go: which workers drop a repeat, and for how long
+//   - dedup.go: which workers drop a repeat, and within which time
 //   - outcome.go: what changes when an attempt ends
 //   - starttimes.go: when workers started, according to the endpoint list
-//   - leases.go: when the last news of a worker is too old to be relied on
-//   - keepalive.go: load orders that renew the leases of workers before they end
-//   - restarts.go: workers that may have restarted while discovery is silent
+//   - leases.go: which workers have a valid lease
+//   - keepalive.go: load orders that renew the leases of workers before they expire
+//   - restarts.go: workers that may have restarted while discovery is out of sync
 //   - outlier.go: ejection of workers that fail, are slow, reject requests or do not answer
 //   - zone.go: ejection of zones that cannot be reached
 //
@@ -31,5 +31,19 @@
 // final answer in time) and their figures come from the deployment's settings and the platform's
 // protocol. Placement follows the design note on hot and rare functions.
 //
+// Terms:
+//
+//   - A ready worker is named as ready by the endpoint list and, with Settings.EndpointLeases, has a valid
+//     lease (see permit.Lease).
+//   - Evidence that a worker is ready is a call that it accepted or a load that it started.
+//   - Discovery is out of sync while the last sync is at least [StaleSync] old.
+//   - An attempt or a load order is pending, or in flight, from its Send or Load to the event of its end.
+//   - A copy is an instance of a function at a worker. Which copies are loaded is assumed from the attempts
+//     and load orders of this dispatcher.
+//   - The group of a function consists of the workers that serve it in turn. The group of a rare function,
+//     that is, one that is not hot, is its primary worker alone.
+//   - The calls of a function are this dispatcher's requests for it, counted with exponential decay
+//     (callDecay).
+//
 // Points in time are durations on the clock of Handle's now. Times in seconds are float64.
 package balancer
--- a/internal/balancer/estimates.go
+++ b/internal/balancer/estimates.go
@@ -22,7 +22,7 @@
 
 	latencyPriorAnswers = 1.5             // a latency ratio starts with this many mean answer times
 	latencyDecay        = 3 * time.Second // time constant with which a worker's own answer times are forgotten
-	silenceFactor       = 10.0            // mean answer times without a sign of life that make a worker silent
+	silenceFactor       = 10.0            // mean answer times without a sign of life until a worker is silent
 
 	// maxZoneAttemptFactor limits how much one attempt without an answer counts towards its zone being
 	// unreachable, in mean answer times: any single request may take long.
@@ -31,7 +31,7 @@
 	concurrencyDecrease = 0.8 // a decrease multiplies a concurrency window by this factor
 )
 
-// warmth returns the fraction of its capacity that a worker has for certain.
+// warmth returns the fraction of its capacity that a worker has at least.
 func (b *Balancer) warmth(w *worker) float64 {
 	if !w.slowStart.active { // fast path: each sweep checks every worker, and nearly all are warm
 		return 1
@@ -46,7 +46,7 @@
 
 // load estimates the requests in flight at a worker from all dispatchers, divided by its present capacity.
 func (b *Balancer) load(w *worker) float64 {
-	return float64(len(w.outstanding)) * float64(b.settings.Dispatchers) / b.capacity(w)
+	return float64(len(w.pendingAttempts)) * float64(b.settings.Dispatchers) / b.capacity(w)
 }
 
 // initialWindow returns the concurrency window of a worker without any outcomes yet.
@@ -58,7 +58,7 @@
 // requests. The mean answer times of functions cannot serve as the reference: a primary worker alone
 // answers its functions, so their means are its own answer times.
 func (b *Balancer) latencyRatio(w *worker) float64 {
-	ratio := w.latency.ratio(b.now, latencyPriorAnswers*b.stats.meanAnswer, latencyDecay, w.outstanding)
+	ratio := w.latency.ratio(b.now, latencyPriorAnswers*b.stats.meanAnswer, latencyDecay, w.pendingAttempts)
 	if b.stats.meanAnswer == 0 { // no answer yet to compare with
 		return 1
 	}
@@ -156,6 +156,6 @@
 
 // decreaseWindow shrinks the concurrency window of a worker, at most once per mean answer time.
 func (b *Balancer) decreaseWindow(w *worker) {
-	size := math.Min(w.window.size, float64(len(w.outstanding)+2)) * concurrencyDecrease
+	size := math.Min(w.window.size, float64(len(w.pendingAttempts)+2)) * concurrencyDecrease
 	w.window.decrease(b.now, seconds(b.stats.meanAnswer), math.Max(b.initialWindow()/2, size))
 }
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -57,7 +57,7 @@
 type EndpointsEvent struct {
 	Scope   UpdateScope
 	Workers []Worker
-	AsOf    time.Duration // with leases only: the update describes the list as of this time or later
+	AsOf    time.Duration // with EndpointLeases only: the update describes the list at this time or later
 }
 
 // EndpointsSyncedEvent means that everything that discovery knew at AsOf has been delivered.
@@ -88,7 +88,7 @@
 const (
 	Failed        Status = iota // the worker returned an error; the attempt may have run
 	OK                          // served
-	Rejected                    // rejected by the worker before it ran
+	Rejected                    // rejected by the worker without being run
 	TimedOut                    // no answer in time; the attempt may have run
 	ConnectFailed               // never sent: no connection to the worker came up
 	Reset                       // the connection broke; the attempt may have run
@@ -119,8 +119,8 @@
 	Answered   bool // the client has its final answer
 	Warmth     Warmth
 	QueueDepth int // requests for the same function at the worker when the attempt arrived, where reported
-	// Both with leases only. WrittenAt is when the first byte of the attempt was written; 0: never.
-	// ConnectedSince is the time since which there has always been a connection to the worker's process.
+	// Both are used with EndpointLeases only. WrittenAt is when the first byte of the attempt was written; 0:
+	// never. ConnectedSince is the time since which there has always been a connection to the worker's process.
 	WrittenAt      time.Duration
 	ConnectedSince time.Duration
 }
@@ -144,7 +144,7 @@
 	Status   Status
 	Elapsed  time.Duration
 	Copies   int // copies loaded at the worker now
-	// The same as in OutcomeEvent, for the load order. With leases only.
+	// The same as in OutcomeEvent, for the load order.
 	WrittenAt      time.Duration
 	ConnectedSince time.Duration
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -29,19 +29,19 @@
 func (b *Balancer) updateReady(workers []*worker) {
 	for _, w := range workers {
 		ready := b.available(w)
-		if ready == w.inReady && (!ready || w.fullWeight == w.listedWeight) {
+		if ready == w.inReady && (!ready || w.fullWeight == w.rankedWeight) {
 			continue
 		}
 		if ready != w.inReady {
-			b.setListed(w, ready)
+			b.setInReady(w, ready)
 		}
-		w.listedWeight = w.fullWeight
+		w.rankedWeight = w.fullWeight
 		b.changes.add(w)
 	}
 }
 
-// setListed adds a worker to b.ready or removes it.
-func (b *Balancer) setListed(w *worker, ready bool) {
+// setInReady adds a worker to b.ready or removes it from there.
+func (b *Balancer) setInReady(w *worker, ready bool) {
 	w.inReady = ready
 	index, _ := slices.BinarySearchFunc(b.ready, w, compareIDs)
 	if ready {
@@ -94,7 +94,7 @@
 func (b *Balancer) forgetRemoved() {
 	memory := b.settings.SlowStartDuration + b.settings.OverloadWindow
 	for id, w := range b.workers {
-		if w.State == Removed && len(w.outstanding) == 0 && b.now-w.removedAt > memory {
+		if w.State == Removed && len(w.pendingAttempts) == 0 && b.now-w.removedAt > memory {
 			b.forget(id)
 		}
 	}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -232,7 +232,7 @@
 // requestIDs returns the IDs of all requests so far, sorted.
 func (f *testFleet) requestIDs() []RequestID { return slices.Sorted(maps.Keys(f.open)) }
 
-// serve delivers a request for a function, ends its load orders and serves its first attempt, so that a copy is believed to be
+// serve delivers a request for a function, ends its load orders and serves its first attempt, so that a copy is assumed to be
 // loaded. It returns the worker of the attempt.
 func (f *testFleet) serve(class, function string) WorkerID {
 	f.t.Helper()
--- a/internal/balancer/function.go
+++ b/internal/balancer/function.go
@@ -41,14 +41,14 @@
 	worker       *worker
 	copies       int           // loaded at the worker, as last reported or inferred
 	inFlight     int           // pending attempts of this dispatcher
-	loadedUntil  time.Duration // the copies are assumed to be loaded until then
+	loadedUntil  time.Duration // until then the copies are assumed to be loaded
 	missed       bool          // an attempt missed, and no copy has been reported as loaded since
-	missingUntil time.Duration // assumed not to be loaded until then, whatever other dispatchers do
-	avoidUntil   time.Duration // an attempt was rejected or not answered: others go first until then
+	missingUntil time.Duration // until then no copy counts as loaded, not even by other dispatchers' calls
+	avoidUntil   time.Duration // until then other workers go first: an attempt was neither served nor a miss
 	orderPending bool          // a load order is pending
 	orderedAt    time.Duration // when the last load order was sent
 	keepalive    keepaliveStep // step of the keepalive that the pending load order belongs to
-	noOrderUntil time.Duration // no load order is sent before
+	noOrderUntil time.Duration // no load order is sent before this time
 }
 
 // functionOf returns the function that a request names, updated with what the request states about it. A
@@ -68,7 +68,7 @@
 }
 
 // countError records an error, and reports whether a request or a load of the function has succeeded. Only
-// then is the error evidence against the worker or the store.
+// then does the error count against the worker or the function store.
 func (f *function) countError(now time.Duration) (succeeded bool) {
 	if !f.succeeded {
 		f.errorsBeforeSuccess++
--- a/internal/balancer/hotset.go
+++ b/internal/balancer/hotset.go
@@ -7,7 +7,7 @@
 
 const (
 	// The hot set holds up to minHotSetSize functions, or one for every workersPerHotFunction workers if that
-	// is more.
+	// is more. Functions that are hot already stay up to a quarter beyond this limit.
 	minHotSetSize         = 10
 	workersPerHotFunction = 4
 
@@ -17,7 +17,7 @@
 	minGroupSize    = 3
 
 	maxGroupStarts = 5                // starting points that are compared for the group of a newly hot function
-	callDecay      = 10 * time.Second // time constant with which calls are forgotten
+	callDecay      = 10 * time.Second // time constant with which the counts of calls decay
 
 	// A function becomes hot at promotionThreshold times a worker's even share of the calls, and stays hot
 	// down to half of that. It is never hot with fewer than minHotCalls calls, estimated over all dispatchers.
--- a/internal/balancer/keepalive.go
+++ b/internal/balancer/keepalive.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// evidenceRenewalWindow is how long before the evidence of a worker expires calls are directed to the
-	// worker to renew it.
+	// Calls go to a worker first in the last evidenceRenewalWindow before its evidence expires, to renew
+	// the evidence.
 	evidenceRenewalWindow = 4 * time.Second
 	keepaliveInterval     = 100 * time.Millisecond // how often expiring leases are searched for
-	renewalLead           = time.Second            // a lease is renewed this long before it expires ...
-	lastLeaseLead         = 5 * time.Second / 2    // ... and this long if no other lease lasts longer
-	keepaliveTimeout      = 500 * time.Millisecond // a keepalive is expected to succeed only for this long
+	renewalLead           = time.Second            // a lease is renewed this long before it expires
+	lastLeaseLead         = 5 * time.Second / 2    // the same for the lease that expires last
+	keepaliveTimeout      = 500 * time.Millisecond // a keepalive that takes longer counts as lost
 	keepaliveRetryDelay   = 5 * time.Second        // pause at a worker after a keepalive that failed
 	// maxKeepaliveWorkers is the number of workers whose leases keepalives renew. If calls keep the
 	// leases of this many workers valid, there are no keepalives.
 	maxKeepaliveWorkers = 3
 	maxKeepaliveQueries = 4 // queries in one keepalive
 	// keepaliveOrderReserve is the number of load orders that calls leave in the load budget for
-	// keepalives while discovery is silent.
+	// keepalives while discovery is out of sync.
 	keepaliveOrderReserve = 1
 	// minRememberedFunctions is the number of functions that are kept in memory even if no client calls them,
 	// since a keepalive needs a function.
@@ -30,20 +30,20 @@
 
 // preferredWorker chooses between two workers that suit a request equally well. best may be nil.
 //
-// Without many calls, a worker with current evidence (accepted calls or loads) goes before one that is
-// ready only by the list. Thereby the dispatcher's calls keep evidence of as many workers as they can.
-// This matters because an answer of discovery without changes cannot be distinguished from an outage
-// behind discovery. Of two workers with evidence, other is chosen if its evidence expires within
-// evidenceRenewalWindow and before that of best, and best otherwise. While discovery is silent, the time
+// If calls are too few to renew the evidence of all workers, a worker with current evidence goes before one
+// that is ready only by the list. Thereby the dispatcher's calls keep current evidence of as many workers as
+// they can. This matters because an answer of discovery without changes cannot be distinguished from an
+// outage behind discovery. Of two workers with evidence, other is chosen if its evidence expires within
+// evidenceRenewalWindow and before that of best, and best otherwise. While discovery is out of sync, the time
 // left of the leases is compared instead of that of the evidence.
 //
-// With enough calls to renew the evidence of all workers, best is chosen while discovery is heard, since new
+// If calls suffice to renew the evidence of all workers and discovery is in sync, best is chosen, since new
 // workers have to get calls, too.
 func (b *Balancer) preferredWorker(best, other *worker) *worker {
 	if best == nil {
 		return other
 	}
-	if !b.outOfSync() && !b.fewCalls() {
+	if !b.outOfSync() && !b.tooFewCallsForEvidence() {
 		return best
 	}
 	left, bestLeft := b.evidenceLeft(other), b.evidenceLeft(best)
@@ -60,10 +60,11 @@
 	}
 }
 
-// fewCalls reports whether this dispatcher's calls are too few to keep current evidence of every worker.
-func (b *Balancer) fewCalls() bool { return b.hotSet.callsPerWorker < minOwnCalls }
+// tooFewCallsForEvidence reports whether this dispatcher's calls are too few to keep current evidence of
+// every worker.
+func (b *Balancer) tooFewCallsForEvidence() bool { return b.hotSet.callsPerWorker < minOwnCalls }
 
-// evidenceLeft returns how long from now a worker's own actions still show that it is ready.
+// evidenceLeft returns the time from now until the evidence that a worker is ready expires; 0 without leases.
 func (b *Balancer) evidenceLeft(w *worker) time.Duration {
 	if !b.settings.EndpointLeases {
 		return 0
@@ -71,7 +72,7 @@
 	return w.lease.EvidenceLeft(b.settings.leaseTerms, b.now)
 }
 
-// keepaliveStep is the current step of the keepalive that uses a function at a worker.
+// keepaliveStep is the current step of a keepalive with a function at a worker.
 type keepaliveStep int
 
 const (
@@ -86,7 +87,7 @@
 	orders []time.Duration // when the recent load orders of keepalives were given, sorted
 }
 
-// renewLeases renews the leases of a few workers by keepalives while discovery is silent and calls are
+// renewLeases renews the leases of a few workers by keepalives while discovery is out of sync and calls are
 // too rare to renew them. Without keepalives, all leases could expire, and no worker could be called
 // until the next sync.
 //
@@ -94,9 +95,9 @@
 // loads a copy for an order is therefore not draining. So a keepalive first asks how many copies of a
 // function are loaded, and orders a copy if there is none.
 //
-// These orders count in the load budget, which without calls suffices for two or three workers. So the
-// lease that expires last is renewed early, and the leases of further workers only if the budget still
-// suffices for the next renewal of that one.
+// The orders of keepalives count in the load budget, which without calls suffices for two or three workers.
+// So the lease that expires last is renewed early, and the leases of further workers only if the budget still
+// suffices for the next renewal of that last lease.
 func (b *Balancer) renewLeases() {
 	if !b.outOfSync() || !b.settings.LoadOrders || b.now < b.keepalives.nextAt {
 		return
@@ -125,7 +126,7 @@
 }
 
 // reservedOrders returns how many load orders calls must leave in the budget for keepalives: none while
-// discovery is heard, or if enough workers have leases that last.
+// discovery is in sync, or if enough workers have leases that last.
 func (b *Balancer) reservedOrders() float64 {
 	if !b.outOfSync() || b.lastingLeases(renewalLead).count >= maxKeepaliveWorkers {
 		return 0
@@ -161,7 +162,7 @@
 func (b *Balancer) lastingLeases(ahead time.Duration) lastingLeases {
 	lasting := lastingLeases{zones: map[*zone]int{}}
 	for _, w := range b.ready {
-		end := b.leaseEndsAt(w)
+		end := b.finalLeaseExpiry(w)
 		if w.keepaliveStartedAt > 0 && b.now-w.keepaliveStartedAt < keepaliveTimeout {
 			end = b.now + b.settings.leaseTerms.AfterLoad
 			lasting.pending = true
@@ -179,8 +180,8 @@
 	return lasting
 }
 
-// leaseEndsAt returns the time after which a worker's lease stays expired without further evidence.
-func (b *Balancer) leaseEndsAt(w *worker) time.Duration {
+// finalLeaseExpiry returns the time after which a worker's lease stays expired unless it is renewed.
+func (b *Balancer) finalLeaseExpiry(w *worker) time.Duration {
 	return w.lease.FinalExpiry(b.settings.leaseTerms, b.leases.syncedAt)
 }
 
@@ -195,7 +196,7 @@
 	var next *worker
 	var nextKey float64
 	for _, w := range b.ready {
-		if !b.mayStartKeepalive(w) || b.leaseEndsAt(w)-b.now > ahead {
+		if !b.mayStartKeepalive(w) || b.finalLeaseExpiry(w)-b.now > ahead {
 			continue
 		}
 		key := rendezvousKey(mix(b.seed), w.hash, w.fullWeight)
@@ -213,12 +214,12 @@
 
 // mayStartKeepalive reports whether a keepalive with a worker may start.
 func (b *Balancer) mayStartKeepalive(w *worker) bool {
-	return w.keepaliveStartedAt == 0 && b.now >= w.noKeepaliveUntil && !w.unavailable() && b.leaseLeft(w) >= 0
+	return w.keepaliveStartedAt == 0 && b.now >= w.noKeepaliveUntil && !w.ejected() && b.leaseLeft(w) >= 0
 }
 
 // startKeepaliveQuery starts a keepalive query at a worker, and reports whether there was a function for
-// it. The query is for the most called function that is not believed to be loaded there, or, if there is
-// none, for the least called of the others.
+// it. The query is for the most called function that is not assumed to be loaded there and may be ordered. If
+// there is none, the query is for the least called of the others.
 func (b *Balancer) startKeepaliveQuery(w *worker) bool {
 	var absent, loaded *function
 	for _, f := range b.functions {
@@ -262,8 +263,8 @@
 	return cmp.Or(cmp.Compare(f.calls.value, other.calls.value), cmp.Compare(other.id, f.id))
 }
 
-// endKeepalive handles the result of a keepalive's query or order, and reports whether it was that of a
-// query.
+// endKeepalive handles the end of a load order if the order belongs to a keepalive, and reports whether the
+// order was a query.
 func (b *Balancer) endKeepalive(f *function, p *placement, e LoadEndedEvent) (queried bool) {
 	step := p.keepalive
 	p.keepalive = keepaliveNone
--- a/internal/balancer/keepalive_test.go
+++ b/internal/balancer/keepalive_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// silentFleet simulates a fleet without syncs. It gets calls only where a test sends them.
-type silentFleet struct {
+// idleUnsyncedFleet simulates a fleet that gets no syncs and no calls after newIdleUnsyncedFleet has returned, unless a test
+// sends them.
+type idleUnsyncedFleet struct {
 	*testFleet
 	draining     map[WorkerID]bool         // workers that reject orders to load copies
 	loadedCopies func(l Load) (copies int) // the answer to a query for loaded copies
@@ -19,14 +20,14 @@
 	orders       map[WorkerID][]FunctionID // functions of the orders of keepalives, by worker
 }
 
-// newSilentFleet returns a fleet right after its last sync. The first workers drain, as many as draining says, and each of the
+// newIdleUnsyncedFleet returns a fleet right after its last sync. The first draining workers are draining, and each of the
 // functions was called once.
-func newSilentFleet(t *testing.T, workers, draining, functions int) *silentFleet {
+func newIdleUnsyncedFleet(t *testing.T, workers, draining, functions int) *idleUnsyncedFleet {
 	t.Helper()
 	s := testSettings()
 	s.EndpointLeases = true
 	s.LoadWindow, s.LoadBurst, s.LoadRatio = 10*time.Second, 6, 0.15
-	f := &silentFleet{testFleet: newFleet(t, s, 1), draining: map[WorkerID]bool{}, queries: map[WorkerID]int{},
+	f := &idleUnsyncedFleet{testFleet: newFleet(t, s, 1), draining: map[WorkerID]bool{}, queries: map[WorkerID]int{},
 		orders: map[WorkerID][]FunctionID{}}
 	f.loadedCopies = func(Load) int { return 0 }
 	f.advance(time.Second)
@@ -45,7 +46,7 @@
 }
 
 // runWithoutCalls advances the time without calls and ends load orders as workers do.
-func (f *silentFleet) runWithoutCalls(length time.Duration) {
+func (f *idleUnsyncedFleet) runWithoutCalls(length time.Duration) {
 	f.t.Helper()
 	f.liveLeases = nil
 	for end := f.now + length; f.now < end; {
@@ -60,7 +61,7 @@
 }
 
 // endLoad ends one load order or query as its worker would, and records it.
-func (f *silentFleet) endLoad(l Load) {
+func (f *idleUnsyncedFleet) endLoad(l Load) {
 	e := LoadEndedEvent{Worker: l.Worker, Function: l.Function, Status: OK, Copies: l.Copies, Elapsed: 50 * ms,
 		WrittenAt: f.now - 50*ms, ConnectedSince: time.Second}
 	switch {
@@ -79,7 +80,7 @@
 // Without calls and syncs, keepalives keep the leases of a few workers valid within the load budget. No draining worker is among
 // them once the leases by the last sync have expired.
 func TestKeepalivesRenewLeasesWithoutCalls(t *testing.T) {
-	f := newSilentFleet(t, 8, 2, 3)
+	f := newIdleUnsyncedFleet(t, 8, 2, 3)
 	f.runWithoutCalls(time.Minute)
 	assert.Positive(t, slices.Min(f.liveLeases))
 	for _, w := range f.b.ready {
@@ -93,7 +94,7 @@
 // There are no keepalives while syncs or calls renew the leases.
 func TestNoKeepaliveWhileLeasesAreRenewed(t *testing.T) {
 	const functions = 12 // enough that each worker is the primary worker of one of them
-	f := newSilentFleet(t, 3, 0, functions)
+	f := newIdleUnsyncedFleet(t, 3, 0, functions)
 	for range 10 {
 		f.runWithoutCalls(2 * time.Second)
 		f.sync(f.now)
@@ -110,14 +111,14 @@
 // A draining worker also carries out an order for a copy that is loaded already. So a keepalive orders no such copy. After a few
 // queries, it has the idle copies of a function unloaded first. If the copies stay loaded, no lease is renewed.
 func TestKeepaliveOrdersNoCopyThatIsLoaded(t *testing.T) {
-	f := newSilentFleet(t, 4, 0, 2)
+	f := newIdleUnsyncedFleet(t, 4, 0, 2)
 	f.loadedCopies = func(Load) int { return 1 }
 	f.runWithoutCalls(20 * time.Second)
 	assert.Empty(t, f.orders)
 	assert.Empty(t, f.b.ready)
 	assert.NotEmpty(t, f.unloads)
 
-	f = newSilentFleet(t, 4, 0, 2)
+	f = newIdleUnsyncedFleet(t, 4, 0, 2)
 	f.loadedCopies = func(l Load) int {
 		for _, u := range f.unloads {
 			if u.Worker == l.Worker && u.Function == l.Function {
@@ -133,7 +134,7 @@
 // The lease that expires last is renewed early if the load budget, after a burst of calls, would be spent when the renewal is
 // due.
 func TestKeepaliveComesBeforeTheBudgetIsSpent(t *testing.T) {
-	f := newSilentFleet(t, 6, 0, 4)
+	f := newIdleUnsyncedFleet(t, 6, 0, 4)
 	for range 60 {
 		f.serve("safe", "fn0")
 	}
@@ -147,7 +148,7 @@
 
 // A few functions are kept in memory regardless of when they were last called, since a keepalive needs a function.
 func TestFunctionsForKeepalivesAreKept(t *testing.T) {
-	f := newSilentFleet(t, 3, 0, 2*minRememberedFunctions)
+	f := newIdleUnsyncedFleet(t, 3, 0, 2*minRememberedFunctions)
 	f.advance(f.now + 10*time.Minute)
 	assert.Len(t, f.b.functions, minRememberedFunctions)
 	without := newFleet(t, testSettings(), 1)
--- a/internal/balancer/leases.go
+++ b/internal/balancer/leases.go
@@ -9,18 +9,18 @@
 // margin is needed because the lease is checked again when the choice is carried out.
 const LeaseChoiceMargin = 50 * time.Millisecond
 
-// leases is the state of the leases of all workers that the endpoint list calls ready. Leases are used
+// leases is the state of the leases of all workers that the endpoint list names as ready. Leases are used
 // only with Settings.EndpointLeases. A worker without a valid lease is excluded like a draining one: from
 // the hot set, from placement and from load orders.
 type leases struct {
 	syncedAt    time.Duration // when the poll of the last sync was sent
 	nextCheckAt time.Duration // no lease expires or resumes before this time without an event
-	expired     int           // workers that the list calls ready and whose lease has expired
+	expired     int           // workers that the list names as ready and whose lease has expired
 
 	contested []*worker // workers with a contested lease, and some that are no longer contested
 }
 
-// leaseLeft returns how long a worker may still be chosen. If it is negative, the worker may not be chosen.
+// leaseLeft returns the time from now during which a worker may be chosen; negative if it may not be chosen.
 func (b *Balancer) leaseLeft(w *worker) time.Duration {
 	if !b.settings.EndpointLeases {
 		return 0
@@ -34,7 +34,8 @@
 	return b.settings.EndpointLeases && b.now-b.leases.syncedAt >= StaleSync
 }
 
-// available reports whether a worker may be chosen: the list calls it ready, and its lease is valid.
+// available reports whether a worker may be chosen: the list names it as ready, and its lease is valid. The
+// workers that were available at the last update are the ready workers, b.ready.
 func (b *Balancer) available(w *worker) bool { return w.State == Ready && b.leaseLeft(w) >= 0 }
 
 // onEndpointsSynced handles a sync: all changes that discovery knew of at e.AsOf have been received. A
@@ -122,7 +123,7 @@
 	}
 }
 
-// expiredWarmWeight returns the total weight of the warm workers that the list calls ready and whose lease
+// expiredWarmWeight returns the total weight of the warm workers that the list names as ready and whose lease
 // has expired. They have served a part of the counted calls, and still serve calls of dispatchers that
 // have a valid lease for them.
 func (b *Balancer) expiredWarmWeight() float64 {
@@ -139,7 +140,7 @@
 }
 
 // nextLeaseChange returns when the first of the workers' leases expires or becomes valid again without
-// further events, but no later than one sync term from now.
+// further events, but at most LeaseTerms.AfterSync from now.
 func (b *Balancer) nextLeaseChange(workers []*worker) time.Duration {
 	next := b.now + b.settings.leaseTerms.AfterSync
 	for _, w := range workers {
--- a/internal/balancer/leases_test.go
+++ b/internal/balancer/leases_test.go
@@ -21,8 +21,8 @@
 	return f, f.now
 }
 
-// leaseEnd returns when a lease expires that was last renewed by a sync at a time.
-func (f *testFleet) leaseEnd(syncedAt time.Duration) time.Duration {
+// leaseExpiry returns when a lease expires that was last renewed by a sync at a time.
+func (f *testFleet) leaseExpiry(syncedAt time.Duration) time.Duration {
 	return syncedAt + permit.NewLeaseTerms(f.settings.DrainGrace).AfterSync
 }
 
@@ -33,7 +33,7 @@
 // after the sync (incident 3).
 func TestNothingIsSentOnceLeasesHaveEnded(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
-	f.advance(f.leaseEnd(listedAt) - 2*LeaseChoiceMargin)
+	f.advance(f.leaseExpiry(listedAt) - 2*LeaseChoiceMargin)
 	f.serve("safe", "before")
 	f.advance(f.now + permit.MaxNotificationDelay) // the lease renewed by the served call has expired, too
 	sent, loads := len(f.sent), len(f.loads)
@@ -55,7 +55,7 @@
 // If all leases have expired and no sync comes, a request is rejected and not sent.
 func TestRequestIsRejectedWithoutValidLeases(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
-	f.advance(f.leaseEnd(listedAt))
+	f.advance(f.leaseExpiry(listedAt))
 	id := f.request("unsafe", "fn", 400*ms)
 	f.advance(f.now + 400*ms)
 	assert.True(t, f.rejected[id])
@@ -66,7 +66,7 @@
 func TestServedCallsRenewTheLeaseOfTheirWorker(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 6)
 	lastServed := map[WorkerID]time.Duration{}
-	for f.now < f.leaseEnd(listedAt)+10*time.Second {
+	for f.now < f.leaseExpiry(listedAt)+10*time.Second {
 		f.advance(f.now + 2*time.Second)
 		sentAt := f.now
 		lastServed[f.serve("safe", "fn")] = sentAt
@@ -80,8 +80,8 @@
 	assert.Len(t, f.b.ready, 6)
 }
 
-// A draining worker rejects calls, so a call that was served, missed or failed shows that its worker was ready, and renews the
-// lease. A rejection, a reset and a call without an answer do not.
+// A worker that has been draining for long rejects calls, so a call that was served, missed or failed is evidence that its worker
+// was ready, and renews the lease. A rejection, a reset and a call without an answer do not.
 func TestAcceptedCallsRenewTheLease(t *testing.T) {
 	for status, renews := range map[Status]bool{OK: true, Miss: true, Failed: true, Rejected: false, Reset: false, TimedOut: false,
 		ConnectFailed: false, NotSent: false} {
@@ -89,7 +89,7 @@
 		w := f.b.workers["w00"]
 		f.advance(listedAt + 5*time.Second)
 		f.b.updateLease(w, OutcomeEvent{Status: status, WrittenAt: f.now, ConnectedSince: listedAt})
-		f.advance(f.leaseEnd(listedAt) + time.Second)
+		f.advance(f.leaseExpiry(listedAt) + time.Second)
 		assert.Equal(t, renews, f.b.available(w), "%v", status)
 	}
 }
@@ -102,7 +102,7 @@
 	id := f.request("safe", "fn", 2*time.Second)
 	require.Equal(t, w, f.firstWorker(id))
 	f.endAttempt(id, 0, Rejected)
-	for f.now < f.leaseEnd(listedAt)+time.Second {
+	for f.now < f.leaseExpiry(listedAt)+time.Second {
 		f.advance(f.now + time.Second)
 		f.sync(f.now)
 	}
@@ -141,9 +141,9 @@
 // Operators get a report of which leases expire or are renewed, and how many workers have a valid lease.
 func TestLeaseChangesAreReported(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 2)
-	f.advance(f.leaseEnd(listedAt) - LeaseChoiceMargin)
+	f.advance(f.leaseExpiry(listedAt) - LeaseChoiceMargin)
 	var reported []LeasesChanged
-	f.now = f.leaseEnd(listedAt) + 1
+	f.now = f.leaseExpiry(listedAt) + 1
 	for _, e := range []Event{TimerEvent{TimerID: f.b.timer.id}, EndpointsSyncedEvent{AsOf: f.now - 2}} {
 		for _, a := range f.b.Handle(f.now, e) {
 			if change, ok := a.(LeasesChanged); ok {
@@ -164,14 +164,14 @@
 	assert.Len(t, f.b.ready, 2)
 }
 
-// While discovery is silent, calls of a function go first to the worker of its group whose lease expires next, since only served
-// calls renew leases then.
+// While discovery is out of sync, calls of a function go first to the worker of its group whose lease expires next, since only
+// accepted calls renew leases then.
 func TestCallsRenewTheLeaseThatExpiresNext(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
 	for range 12 { // makes the function hot, with the whole fleet as its group
 		f.serve("safe", "fn")
 	}
-	f.advance(f.leaseEnd(listedAt) - 2*time.Second)
+	f.advance(f.leaseExpiry(listedAt) - 2*time.Second)
 	for range 30 {
 		f.advance(f.now + 300*ms)
 		f.serve("safe", "fn")
@@ -232,7 +232,7 @@
 	f, listedAt := newLeaseFleet(t, 1)
 	f.serve("safe", "fn")
 	fn := f.b.functions["fn"]
-	f.b.now = f.leaseEnd(listedAt) + permit.MaxNotificationDelay
+	f.b.now = f.leaseExpiry(listedAt) + permit.MaxNotificationDelay
 	assert.False(t, f.b.orderLoad(fn, fn.placement(f.b.workers["w00"]), 2, 8))
 	f.b.leases.syncedAt = f.b.now
 	assert.True(t, f.b.orderLoad(fn, fn.placement(f.b.workers["w00"]), 2, 8))
@@ -241,7 +241,7 @@
 // A request stops waiting for a load at a worker whose lease expires during the load.
 func TestRequestStopsWaitingForALoadWithoutALease(t *testing.T) {
 	f, listedAt := newLeaseFleet(t, 3)
-	f.advance(f.leaseEnd(listedAt) - 200*ms)
+	f.advance(f.leaseExpiry(listedAt) - 200*ms)
 	id := f.request("safe", "slow", 3*time.Second)
 	r := f.b.requests[id]
 	require.NotNil(t, r.waitingFor)
@@ -265,7 +265,7 @@
 	connectedSince := f.now
 	f.advance(f.now + 3*time.Second)
 	f.b.updateLease(w, OutcomeEvent{Status: OK, WrittenAt: f.now, ConnectedSince: connectedSince})
-	f.advance(f.leaseEnd(listedAt) + 300*ms)
+	f.advance(f.leaseExpiry(listedAt) + 300*ms)
 	assert.Empty(t, f.b.ready)
 	f.advance(connectedSince + permit.MaxNotificationDelay + time.Second)
 	assert.Len(t, f.b.ready, 1)
@@ -276,7 +276,7 @@
 func TestContestedLeasesExcludeAtMostHalfOfTheFleet(t *testing.T) {
 	for workers, excluded := range map[int]int{1: 0, 2: 1, 5: 2} {
 		f, listedAt := newLeaseFleet(t, workers)
-		for f.now < f.leaseEnd(listedAt)+time.Second {
+		for f.now < f.leaseExpiry(listedAt)+time.Second {
 			f.advance(f.now + time.Second)
 			f.sync(f.now)
 		}
--- a/internal/balancer/loadorders.go
+++ b/internal/balancer/loadorders.go
@@ -60,14 +60,14 @@
 	b.emit(order)
 }
 
-// creditLoadBudget credits a request to the load budget, as of its arrival, once a worker has accepted it as
-// a request. Requests that clients cancel at once, or that name unknown functions, earn no orders: clients
-// can send many of them.
+// creditLoadBudget credits a request to the load budget, as of its arrival, once an attempt of the request
+// was served, rejected or a miss. Requests that clients cancel at once, or that name unknown functions,
+// earn no orders: clients can send many of them.
 func (b *Balancer) creditLoadBudget(r *request) {
-	if r.countedForLoadBudget {
+	if r.creditedToLoadBudget {
 		return
 	}
-	r.countedForLoadBudget = true
+	r.creditedToLoadBudget = true
 	b.loads.budget.Earn(r.arrivedAt())
 }
 
@@ -80,7 +80,7 @@
 	}
 	p := f.placement(w)
 	b.loads.orderEnded(f, p)
-	if asked := b.endKeepalive(f, p, e); !asked {
+	if queried := b.endKeepalive(f, p, e); !queried {
 		p.copies = e.Copies
 		pause := seconds(f.loadTime / 2)
 		if slow := b.recordLoadResult(f, p, e); slow {
@@ -97,7 +97,7 @@
 }
 
 // recordLoadResult updates a function and its placement from the end of a load. slow reports whether the
-// load took long or failed, as happens when the store is overloaded.
+// load took long or failed, as happens when the function store is overloaded.
 func (b *Balancer) recordLoadResult(f *function, p *placement, e LoadEndedEvent) (slow bool) {
 	elapsed := e.Elapsed.Seconds()
 	usual := f.loadTime
@@ -124,10 +124,10 @@
 }
 
 // loadWaitOver reports whether a request should stop waiting for a load order: the order has ended, the
-// request has waited long enough, or the worker is not available.
+// request has waited long enough, or the worker is not available or is ejected.
 func (b *Balancer) loadWaitOver(r *request) bool {
 	p := r.waitingFor
-	workerUnusable := !b.available(p.worker) || p.worker.unavailable()
+	workerUnusable := !b.available(p.worker) || p.worker.ejected()
 	return !p.orderPending || b.now > r.loadWaitUntil || workerUnusable
 }
 
@@ -177,6 +177,6 @@
 	if b.isLoaded(p) || !b.needsLoadOrder(p) || b.now < p.noOrderUntil {
 		return false
 	}
-	return !p.worker.unavailable() &&
+	return !p.worker.ejected() &&
 		p.worker.healthOf(f.class).consecutiveRejections < maxConsecutiveRejections
 }
--- a/internal/balancer/loadorders_test.go
+++ b/internal/balancer/loadorders_test.go
@@ -212,7 +212,7 @@
 }
 
 // New versions of functions are released on ordinary days too. After a miss where a copy was loaded, the copies of
-// that function at all workers are in doubt. Guards against ordering all missing copies at once: even without a load
+// that function at all workers count as not loaded. Guards against ordering all missing copies at once: even without a load
 // budget, the load window must limit the orders in flight.
 func TestLoadWindowLimitsOrdersAfterRelease(t *testing.T) {
 	f := newFleet(t, testSettings(), 1)
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -39,7 +39,7 @@
 		r.excluded[a.worker.ID] = true
 		a.placement.avoidUntil = b.now + b.assumedLoadedTime()
 	}
-	if r.outstanding > 0 {
+	if r.pendingCount > 0 {
 		return
 	}
 	if a.mayHaveRun && !b.retryBudget.take() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// onAnswer updates estimates, the copies believed to be loaded and the worker's concurrency window after an
+// onAnswer updates estimates, the copies assumed to be loaded and the worker's concurrency window after an
 // answer. It orders another copy where all copies are busy.
 func (b *Balancer) onAnswer(a *attempt, e OutcomeEvent) {
 	f := a.request.function
@@ -67,7 +67,7 @@
 	b.recordAnswerTime(a, e.Elapsed.Seconds())
 	if w.latency.objectiveRatio > maxObjectiveRatio {
 		b.decreaseWindow(w)
-	} else if w.window.full(len(w.outstanding) + 2) {
+	} else if w.window.full(len(w.pendingAttempts) + 2) {
 		w.window.increase()
 	}
 	b.updateDemand(f, e.QueueDepth)
@@ -92,7 +92,7 @@
 	b.decreaseWindow(a.worker)
 }
 
-// onMiss records that no copy is loaded at a worker. If one was believed to be loaded, a new release of the
+// onMiss records that no copy is loaded at a worker. If one was assumed to be loaded, a new release of the
 // function or an unload may have removed the copies at other workers too.
 func (b *Balancer) onMiss(a *attempt, e OutcomeEvent) {
 	f := a.request.function
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -36,7 +36,7 @@
 	minClassEjection          = 250 * time.Millisecond
 	maxClassEjectionDoublings = 5
 
-	// Ejections are ignored while more than this part of the ready workers is unavailable.
+	// Ejections are ignored while more than this part of the ready workers is ejected.
 	failOpenShare = 0.5
 )
 
@@ -45,8 +45,8 @@
 var failureSeverity = map[Status]float64{Failed: 1, TimedOut: 1, Reset: resetSeverity}
 
 // healthy reports whether a request may go to a worker, by the worker's health: it neither fails nor
-// rejects too many requests of the class, the request does not exclude it, and it is available or may be
-// probed. An unavailable worker also passes while ejections are ignored.
+// rejects too many requests of the class, the request does not exclude it, and it is not ejected or may be
+// probed. While ejections are ignored, an ejected worker counts as healthy, too.
 func (b *Balancer) healthy(r *request, w *worker) bool {
 	class := w.healthOf(r.class.Name)
 	limit := b.failureScoreLimit()
@@ -56,15 +56,15 @@
 	if r.excluded[w.ID] || b.now < class.ejectedUntil || class.failureScore > limit {
 		return false
 	}
-	return !w.unavailable() || b.failOpen || b.mayProbe(r, w)
+	return !w.ejected() || b.failOpen || b.mayProbe(r, w)
 }
 
-// mayProbe reports whether a request may probe an unavailable worker: a probe is due, the worker has no
+// mayProbe reports whether a request may probe an ejected worker: a probe is due, the worker has no
 // attempt in flight, and the request is idempotent and has an attempt left after this one.
 func (b *Balancer) mayProbe(r *request, w *worker) bool {
 	due := b.now >= max(w.ejection.probeAt, w.zone.ejection.probeAt)
 	repeatable := r.class.Idempotency == Idempotent && len(r.attempts)+1 < b.settings.MaxAttempts
-	return due && repeatable && len(w.outstanding) == 0
+	return due && repeatable && len(w.pendingAttempts) == 0
 }
 
 // postponeProbe postpones the next probe of a worker, and that of its zone if the zone is unreachable.
@@ -124,8 +124,8 @@
 	class.ejectedUntil = b.now + min(minClassEjection<<doublings, maxProbeBackoff/4)
 }
 
-// recordReset records that a connection to a worker broke, and reports whether this is a new break: one break
-// ends all attempts on its connection, and is reported for each of them. A single break is weak evidence,
+// recordReset records that a connection to a worker broke, and reports whether this is a new break: one
+// break ends all attempts on its connection, and is reported for each of them. A single break shows little,
 // since a healthy worker may cause one too. A worker is ejected at a second break with no sign of life in
 // between.
 func (b *Balancer) recordReset(w *worker) bool {
@@ -153,30 +153,30 @@
 }
 
 // checkWorkers updates the mean load, and ejects silent workers and unreachable zones. If most ready
-// workers are unavailable, it fails open: ejections are then ignored.
+// workers are ejected, it fails open: ejections are then ignored.
 func (b *Balancer) checkWorkers() {
-	unavailable := 0
+	ejected := 0
 	b.meanLoad = 0
 	for _, z := range b.zones {
 		z.totalWait = z.endedWait
 		b.ejectIfUnreachable(z)
 	}
 	for _, w := range b.ready {
-		if len(w.outstanding) == 0 && !w.unavailable() { // no load, as with most workers of a large fleet
+		if len(w.pendingAttempts) == 0 && !w.ejected() { // no load, as with most workers of a large fleet
 			continue
 		}
 		b.meanLoad += b.load(w) / float64(len(b.ready))
-		if len(w.outstanding) > 0 && b.stats.meanAnswer > 0 {
-			oldest := w.outstanding[0].sentAt
+		if len(w.pendingAttempts) > 0 && b.stats.meanAnswer > 0 {
+			oldest := w.pendingAttempts[0].sentAt
 			if b.now-max(oldest, w.lastContact) > b.silenceLimit() {
 				b.eject(w)
 			}
 			w.zone.totalWait += b.unansweredTime(w.zone, b.now-oldest)
 		}
 		b.ejectIfUnreachable(w.zone)
-		if w.unavailable() {
-			unavailable++
+		if w.ejected() {
+			ejected++
 		}
 	}
-	b.failOpen = float64(unavailable) > failOpenShare*float64(len(b.ready))
+	b.failOpen = float64(ejected) > failOpenShare*float64(len(b.ready))
 }
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -8,9 +8,8 @@
 const (
 	maxCandidates = 128 // healthy workers that are examined for one request
 
-	// maxProvenCandidates is how many workers beyond the group are searched for one that is proven to be
-	// ready.
-	maxProvenCandidates = 16
+	// maxEvidenceCandidates is how many workers beyond the group are searched for one with current evidence.
+	maxEvidenceCandidates = 16
 
 	maxExtraCandidates = 3   // a request's group is extended until it has this many extra workers
 	minCallsPerIdleTTL = 3.0 // expected calls per IdleTTL from which on a copy is assumed to stay loaded
@@ -55,13 +54,13 @@
 		b.finish(r)
 		return
 	}
-	w, ready := b.pickWorker(r, false)
+	w, sendNow := b.pickWorker(r, false)
 	if w == nil { // held: the next sweep tries again
 		return
 	}
 	p := f.placement(w)
 	switch {
-	case ready:
+	case sendNow:
 		b.send(r, w)
 	case b.orderLoad(f, p, 1, 2*b.loads.window.size) || p.orderPending:
 		r.waitingFor = p
@@ -72,10 +71,10 @@
 	}
 }
 
-// pickWorker chooses a worker from the group in rotation, or after it in rendezvous order. ready reports
-// whether the request may be sent at once; otherwise a copy should first be ordered at the worker. With
-// loadedOnly, pickWorker neither orders a copy nor returns a worker that is not ready.
-func (b *Balancer) pickWorker(r *request, loadedOnly bool) (w *worker, ready bool) {
+// pickWorker chooses a worker from the group in rotation, or after it in rendezvous order. sendNow
+// reports whether the request may be sent there at once; otherwise a copy should first be ordered at the
+// worker. With loadedOnly, pickWorker orders no copy and returns a worker only if sendNow is true.
+func (b *Balancer) pickWorker(r *request, loadedOnly bool) (w *worker, sendNow bool) {
 	f := r.function
 	found := b.findCandidates(r)
 	if b.lowTraffic() && found.best == nil && !loadedOnly {
@@ -102,8 +101,8 @@
 }
 
 // findCandidates examines the workers in the function's order until it finds a suitable one. With endpoint
-// leases it examines the whole group, because the calls that workers accept are the proof that they are
-// ready.
+// leases it examines the whole group, because accepted calls renew the evidence that workers are ready, see
+// preferredWorker.
 func (b *Balancer) findCandidates(r *request) candidates {
 	f := r.function
 	var found candidates
@@ -112,7 +111,7 @@
 	leasesEnd := b.settings.EndpointLeases
 	for i := range b.ready {
 		if found.best != nil && i >= f.groupSize+r.extraCandidates {
-			b.preferProvenWorker(r, &found, i)
+			b.preferWorkerWithEvidence(r, &found, i)
 			break
 		}
 		w := b.candidate(f, r.rotation, i)
@@ -150,14 +149,15 @@
 	return found
 }
 
-// preferProvenWorker replaces the best worker if that one is not proven to be ready, that is, by calls that
-// it accepted or loads that it began. It takes the next worker in the function's order that is proven to be
-// ready and has a loaded copy.
-func (b *Balancer) preferProvenWorker(r *request, found *candidates, start int) {
-	if !b.settings.EndpointLeases || b.outOfSync() || !b.fewCalls() || b.evidenceLeft(found.best) > 0 {
+// preferWorkerWithEvidence replaces the best worker if there is no current evidence that it is ready. The
+// replacement is the next worker in the function's order that has current evidence and a copy that is assumed
+// to be loaded.
+func (b *Balancer) preferWorkerWithEvidence(r *request, found *candidates, start int) {
+	if !b.settings.EndpointLeases || b.outOfSync() ||
+		!b.tooFewCallsForEvidence() || b.evidenceLeft(found.best) > 0 {
 		return
 	}
-	for i := start; i < min(start+maxProvenCandidates, len(b.ready)); i++ {
+	for i := start; i < min(start+maxEvidenceCandidates, len(b.ready)); i++ {
 		w := b.candidate(r.function, r.rotation, i)
 		p := b.peekPlacement(r.function, w)
 		if !b.isLoaded(p) || b.evidenceLeft(w) <= 0 || b.now < p.avoidUntil || b.overloaded(w) {
--- a/internal/balancer/ranking.go
+++ b/internal/balancer/ranking.go
@@ -17,7 +17,7 @@
 	updatedAt      time.Duration
 	callsPerWorker float64 // this dispatcher's counted calls, divided by the number of ready workers
 	rareCalls      float64 // this dispatcher's counted calls of functions that are not hot
-	warmWeight     float64 // of all warm workers that the endpoint list calls ready, with or without a lease
+	warmWeight     float64 // of all warm workers that the list names as ready, with or without a valid lease
 }
 
 // resetHotSet empties the hot set and computes its totals from the calls of all functions.
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -15,10 +15,10 @@
 	objective            time.Duration // end of the latency objective
 	deadline             time.Duration // when the time left at arrival is over
 	attempts             []*attempt
-	outstanding          int // number of pending attempts
+	pendingCount         int // number of pending attempts
 	closed               bool
 	streaming            bool       // the client receives a stream
-	countedForLoadBudget bool       // the request was counted for the load budget
+	creditedToLoadBudget bool       // the request was credited to the load budget
 	cancelledForRetry    bool       // the pending attempt was cancelled so that a retry can follow
 	waitingFor           *placement // placement whose load order the request waits for, until loadWaitUntil
 	loadWaitUntil        time.Duration
@@ -81,9 +81,9 @@
 	}
 	r.attempts = append(r.attempts, a)
 	r.waitingFor = nil
-	r.outstanding++
+	r.pendingCount++
 	a.placement.inFlight++
-	w.outstanding = append(w.outstanding, a)
+	w.pendingAttempts = append(w.pendingAttempts, a)
 }
 
 // end records the end of a pending attempt.
@@ -91,9 +91,9 @@
 	a.pending = false
 	a.notWritten = status == ConnectFailed || status == NotSent
 	a.mayHaveRun = !a.notWritten && status != Rejected && status != Miss
-	a.request.outstanding--
+	a.request.pendingCount--
 	a.placement.inFlight--
-	a.worker.outstanding = remove(a.worker.outstanding, a)
+	a.worker.pendingAttempts = remove(a.worker.pendingAttempts, a)
 }
 
 // abandonLoadWait ends the request's wait for a load order and excludes the worker of that order.
@@ -110,7 +110,7 @@
 		r.function.references--
 		b.unanswered = remove(b.unanswered, r)
 	}
-	if r.outstanding == 0 {
+	if r.pendingCount == 0 {
 		delete(b.requests, r.ID)
 	}
 }
--- a/internal/balancer/restarts.go
+++ b/internal/balancer/restarts.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// StaleSync is the age of the last sync from which discovery counts as silent: the endpoint list is no
-// longer expected to report restarts, and operators are notified. At this age, two polls in a row have
-// failed or were answered by a server that lags behind.
+// StaleSync is the age of the last sync from which discovery counts as out of sync: the endpoint list is no
+// longer expected to report restarts, and the operators' log and metrics show the outage. At this age, two
+// polls in a row have failed or were answered by a server that lags behind.
 const StaleSync = 3 * time.Second
 
-// restarts holds the workers whose processes seem to have ended since the last sync. While discovery is
-// silent, there is no report that such a worker has restarted and is cold, yet the dispatcher counts as
-// notified of the restart. So the balancer assumes it.
+// restarts holds the workers whose processes seem to have ended since the last sync. While discovery is out
+// of sync, there is no report that one of these workers has restarted and is cold, yet the dispatcher counts
+// as notified of a restart. So the balancer assumes the restart.
 type restarts struct {
 	gone []*worker // workers whose goneAt is set
 }
@@ -30,7 +30,7 @@
 }
 
 // assumeRestarts treats workers whose processes seem to have ended since the last sync as restarted now,
-// and thus as cold. It does nothing while discovery is heard, since the list then reports restarts.
+// and thus as cold. It does nothing while discovery is in sync, since the list then reports restarts.
 func (b *Balancer) assumeRestarts() {
 	if !b.outOfSync() {
 		return
@@ -45,7 +45,8 @@
 }
 
 // recordFirstContact moves the assumed start of a worker to the time of the first attempt that reached the
-// worker again. The worker may have started at any time before this attempt.
+// worker again. The worker may have started at any time before this attempt, and the latest possible start
+// makes it count as coldest.
 func (b *Balancer) recordFirstContact(a *attempt) {
 	w := a.worker
 	if w.assumedCold && w.slowStart.startedAt <= w.goneAt && a.sentAt > w.goneAt {
--- a/internal/balancer/restarts_test.go
+++ b/internal/balancer/restarts_test.go
@@ -20,9 +20,9 @@
 	return f, f.b.workers[id]
 }
 
-// A worker that was gone while discovery is silent may have restarted and be cold, and the dispatcher counts as notified of that.
-// So the worker counts as cold: it gets only a part of the calls of a warm worker, and is believed to have no copies loaded
-// (incident 3, sweep).
+// A worker that was gone while discovery is out of sync may have restarted and be cold, and the dispatcher counts as notified of
+// the restart. So the worker counts as cold: it gets only a part of the calls of a warm worker, and no copies are assumed to be
+// loaded there (incident 3, sweep).
 func TestReturnDuringAnOutageCountsAsAColdStart(t *testing.T) {
 	f, w := newFleetWithGoneWorker(t, StaleSync)
 	assert.Less(t, f.b.warmth(w), 0.3)
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -72,7 +72,7 @@
 
 	// Permissions and limits of requests and attempts.
 	CanCancel      bool          // Cancel may be used
-	Hedging        bool          // two attempts of one request may be in flight at the same time
+	Hedging        bool          // two attempts of one request may be pending at the same time
 	MaxAttempts    int           // attempts allowed per request
 	MaxInFlight    int           // requests in flight at the same time
 	SendRetryAfter bool          // a Reject may carry a RetryAfter
@@ -81,11 +81,11 @@
 	// The endpoint list and connections to workers.
 	PollEndpoints bool          // the list is delivered only after a Watch or Fetch action
 	PollTimeout   time.Duration // with PollEndpoints: silence after which the list counts as known
-	LiveWeights   bool          // Worker.Weight falls while the worker is loaded
+	LiveWeights   bool          // Worker.Weight falls while the worker is under load
 	DialTimeout   time.Duration // of one connection attempt to a worker
 
-	// EndpointLeases makes what the list tells about a worker expire, see permit.Lease. It requires that
-	// EndpointsSyncedEvent is delivered.
+	// EndpointLeases gives each worker a lease, which expires unless it is renewed, see permit.Lease. It
+	// requires that EndpointsSyncedEvent is delivered.
 	EndpointLeases bool
 
 	leaseTerms permit.LeaseTerms
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -12,8 +12,8 @@
 
 // skippedInSlowStart reports whether a worker that is warming up is passed over as the candidate at an
 // index. With many dispatchers it gets a request only as the first candidate, for a first attempt of a hot
-// function: the expected requests, by which slowStartAllows draws, count a request at its first candidate
-// only.
+// function. slowStartAllows relies on this: the number of requests that it expects at a worker counts each
+// request at its first candidate only.
 func (b *Balancer) skippedInSlowStart(r *request, w *worker, index int) bool {
 	firstChoice := r.function.groupSize > 1 && index+len(r.attempts) == 0
 	return w.slowStart.active && b.settings.Dispatchers >= manyDispatchers && !firstChoice
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against incident 3: a worker that was warming up was sent too much. A worker's answer rate is estimated from
-// the answers of all workers that the endpoint list calls ready. Here four of nine workers lose their leases. An
+// the answers of all workers that the endpoint list names as ready. Here four of nine workers lose their leases. An
 // estimate that left them out would take the rate of each other worker to be about twice as high.
 func TestAnswerRateCountsWorkersWithoutALease(t *testing.T) {
 	f, _ := newLeaseFleet(t, 8)
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -28,7 +28,7 @@
 	failureRate map[string]float64 // fraction of the attempts that fail, by class
 }
 
-// assumedLoadedTime returns how long after its last use a copy of a function is believed to be still loaded.
+// assumedLoadedTime returns how long after its last use a copy of a function is assumed to be loaded.
 func (b *Balancer) assumedLoadedTime() time.Duration {
 	return time.Duration(assumedLoadedRatio * float64(b.settings.IdleTTL))
 }
--- a/internal/balancer/sweep.go
+++ b/internal/balancer/sweep.go
@@ -25,7 +25,7 @@
 	var waiting []*request
 	for _, r := range slices.Clone(b.unanswered) {
 		switch {
-		case r.outstanding > 0:
+		case r.pendingCount > 0:
 			b.hedge(r)
 		case b.tooLate(r):
 			b.finish(r)
@@ -56,7 +56,7 @@
 			continue
 		}
 		b.place(r)
-		stillWaiting := !r.closed && r.outstanding == 0 && r.waitingFor == nil
+		stillWaiting := !r.closed && r.pendingCount == 0 && r.waitingFor == nil
 		b.backlogged = b.backlogged || stillWaiting
 	}
 }
--- a/internal/balancer/worker.go
+++ b/internal/balancer/worker.go
@@ -12,15 +12,15 @@
 	zone              *zone         // the record of Worker.Zone
 	fullWeight        float64       // Worker.Weight, or its largest value so far with Settings.LiveWeights
 	hash              uint64        // hash of the ID
-	inReady           bool          // the list calls the worker ready, and its lease is valid
-	listedWeight      float64       // fullWeight when the ready workers last changed by this worker
+	inReady           bool          // the worker is in Balancer.ready
+	rankedWeight      float64       // fullWeight at the last change of this worker in Balancer.changes
 	hotCalls          float64       // the worker's share of this dispatcher's calls of hot functions
 	removedAt         time.Duration // when the endpoint list last removed the worker
-	outstanding       []*attempt    // pending attempts, oldest first
+	pendingAttempts   []*attempt    // pending attempts, oldest first
 	slowStart         slowStart
 	window            concurrencyWindow // limits this dispatcher's attempts in flight
 	latency           latencyHistory
-	lastContact       time.Duration // when the worker last showed that it is reachable
+	lastContact       time.Duration // last sign of life: the worker answered an attempt, or loaded copies
 	lastReset         time.Duration // when a connection to the worker last broke
 	ejection          ejection
 	countsAsFullUntil time.Duration           // the worker counts as full until then, as it rejected an attempt
@@ -88,9 +88,9 @@
 // hasRoom reports whether the worker's concurrency window is not full, and the worker has not rejected an
 // attempt recently for lack of capacity.
 func (w *worker) hasRoom(now time.Duration) bool {
-	return now >= w.countsAsFullUntil && !w.window.full(len(w.outstanding))
+	return now >= w.countsAsFullUntil && !w.window.full(len(w.pendingAttempts))
 }
 
-// unavailable reports whether the worker is excluded from placement, because it is ejected or its zone is
+// ejected reports whether the worker is excluded from placement, because it is ejected itself or its zone is
 // ejected as unreachable.
-func (w *worker) unavailable() bool { return w.ejection.active || w.zone.ejection.active }
+func (w *worker) ejected() bool { return w.ejection.active || w.zone.ejection.active }
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -5,7 +5,7 @@
 const zoneUnreachableFactor = 5.0
 
 // recordContact records what the end of an attempt shows about whether its worker and zone can be
-// reached. A request that was answered, rejected or missed counts for the load budget.
+// reached. A request with an attempt that was served, rejected or a miss is credited to the load budget.
 func (b *Balancer) recordContact(a *attempt, e OutcomeEvent) {
 	w := a.worker
 	switch e.Status {
--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -9,16 +9,17 @@
 	"kitefall/internal/metrics"
 )
 
-// Both log lines are throttled, since a discovery server can repeatedly go out of sync and come back.
+// Both log lines are throttled, since discovery can go out of sync and be in sync again many times in a row.
 var (
 	outOfSyncLog = logthrottle.New()
 	inSyncLog    = logthrottle.New()
 )
 
-// syncTracker tracks the time of the last sync with the discovery server. Only the goroutine of Run uses it.
+// syncTracker tracks the time of the last sync with the discovery server. Discovery is out of sync while the last sync is at
+// least balancer.StaleSync old. Only the goroutine of Run uses the tracker.
 type syncTracker struct {
 	lastSync  time.Time // when the poll of the last sync was sent; before the first sync, when the watcher was created
-	outOfSync bool      // the last sync is older than balancer.StaleSync, and this was logged
+	outOfSync bool      // discovery is out of sync, and this was logged
 }
 
 // recordPoll records the outcome of a poll, and logs when discovery goes out of sync or is in sync again.
--- a/internal/discovery/polloutcome.go
+++ b/internal/discovery/polloutcome.go
@@ -3,7 +3,8 @@
 // pollOutcome is the result of a poll, as the metrics name it.
 type pollOutcome string
 
-// Poll outcomes. The first two are syncs: the server has sent every event that it knew of when the poll was sent.
+// Poll outcomes. The first two are syncs: the answer is complete, that is, the server has sent every event that it knew of
+// when the poll was sent.
 const (
 	pollEvents     pollOutcome = "events"      // new events, up to the revision of the answer
 	pollNothingNew pollOutcome = "nothing_new" // no event is newer than the last known one
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -22,11 +22,11 @@
 
 const (
 	// pollWait is how long the server may hold a poll; the protocol allows 5 s at most. It is short because a server that
-	// hangs with its connections open is detected only when a poll times out: pollWait and pollTimeout bound the age of the
-	// list, and a draining worker must get no new work from 1 s after the event on.
+	// hangs with its connections open is detected only when a poll times out. pollWait and pollTimeout thus bound the age of
+	// the list, and a draining worker must get no new work from 1 s after the event on.
 	pollWait = time.Second
 
-	// pollTimeout is how long after it was sent an unanswered poll counts as failed.
+	// pollTimeout is the time from the sending of a poll after which the poll counts as failed if it is not answered.
 	pollTimeout = pollWait + 400*time.Millisecond
 
 	// pollBackoff is the pause after a poll that failed or was answered early without new events. It doubles up to
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -17,12 +17,12 @@
 // this line at any rate, by cancelling calls at that moment.
 var notPersistedLog = logthrottle.New()
 
-// attemptState is the progress of an attempt.
+// attemptState is the progress of an attempt. An attempt is pending until it has ended.
 type attemptState int
 
 const (
 	attemptPreparing  attemptState = iota // not yet handed to a worker's pool; BeforeFirstAttempt may be running
-	attemptInFlight                       // handed to the worker's pool, not ended
+	attemptInFlight                       // handed to the worker's pool and not ended
 	attemptNotRun                         // ended; the worker did not run it
 	attemptMayHaveRun                     // ended; the worker may have run it
 )
@@ -96,7 +96,7 @@
 		a.startBy = now.Add(send.StartWithin)
 	}
 	r.attempts = append(r.attempts, a)
-	r.activeAttempts++
+	r.pendingAttempts++
 	if r.prepared {
 		c.sendAttempt(a)
 		return
@@ -189,7 +189,7 @@
 	a.status = result.Status
 	metrics.Attempts.Add(result.Status.String())
 	r := a.request
-	r.activeAttempts--
+	r.pendingAttempts--
 	c.timers.remove(a.timeout)
 	writtenAt := c.renewLeaseFromAttempt(a, result)
 	if result.Status == balancer.OK {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -72,7 +72,8 @@
 func New(config Config) (*Core, error) {
 	// The balancer always suggests a retry delay; the frontends decide whether to send it to the client as Retry-After.
 	config.Settings.SendRetryAfter = true
-	// A change of the endpoint list is binding even if its event never arrives, so list entries must expire.
+	// The dispatcher counts as notified of a change of the endpoint list even if the event never arrives (see
+	// permit.MaxNotificationDelay), so workers need leases that expire.
 	config.Settings.EndpointLeases = true
 	b, err := balancer.New(config.Settings, config.Seed)
 	if err != nil {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -63,7 +63,7 @@
 	c.notifyBalancer(balancer.EndpointsSyncedEvent{AsOf: confirmedAt})
 }
 
-// logLeases logs and counts leases that have ended, are contested or were renewed.
+// logLeases logs and counts leases that have expired, contested or not, or are valid again.
 func logLeases(change balancer.LeasesChanged) {
 	metrics.Leases.AddMany("ended", change.Ended)
 	metrics.Leases.AddMany("contested", change.Contested)
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -24,7 +24,7 @@
 type loadOrder struct {
 	key      loadKey
 	created  time.Time
-	copies   int           // 0: the order only asks for the number of loaded copies, as a keepalive
+	copies   int           // 0: the order is a query for the number of loaded copies
 	proofAge time.Duration // greater than 0 for load orders that serve as keepalives, see balancer.Load
 
 	// The following fields are set once the worker's pool has accepted the order.
@@ -116,7 +116,7 @@
 }
 
 // renewLeaseFromLoad renews the lease of a worker if the order was a keepalive and the worker has executed it. It returns the
-// balancer time at which the order was written, or 0 if the result proves nothing about the worker: the order was not
+// balancer time at which the order was written, or 0 if the result is no evidence of the worker's state: the order was not
 // answered, or the worker's pool has been replaced since.
 func (c *Core) renewLeaseFromLoad(order *loadOrder, result worker.Result) (writtenAt time.Duration) {
 	e := c.endpoints[order.key.worker]
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -83,7 +83,7 @@
 	return e.state
 }
 
-// leaseLeft returns the remaining time of a worker's lease. It is negative if the lease has ended or the worker is unknown.
+// leaseLeft returns the remaining time of a worker's lease. It is negative if the lease has expired or the worker is unknown.
 func (c *Core) leaseLeft(id balancer.WorkerID, now time.Time) time.Duration {
 	e := c.endpoints[id]
 	if e == nil {
@@ -92,7 +92,7 @@
 	return e.lease.Left(c.permits.leaseTerms, c.syncedAt, c.clock.balancerTime(now))
 }
 
-// leaseEnd returns when the lease of a worker ends.
+// leaseEnd returns when the lease of a worker expires.
 func (c *Core) leaseEnd(id balancer.WorkerID) time.Time {
 	now := time.Now()
 	return now.Add(c.leaseLeft(id, now))
@@ -100,7 +100,7 @@
 
 // renewLeaseFromAttempt renews the lease of a worker if the result of an attempt shows that the worker accepted it: a worker
 // that has been draining for long accepts nothing. It returns the balancer time at which the attempt was written, or 0 if
-// the result proves nothing about the worker: the attempt was not answered, or the worker's pool has been replaced since.
+// the result is no evidence of the worker's state: the attempt was not answered, or the worker's pool has been replaced since.
 func (c *Core) renewLeaseFromAttempt(a *attempt, result worker.Result) (writtenAt time.Duration) {
 	e := c.endpoints[a.workerID]
 	if e == nil || e.pool != a.pool || result.WrittenAt.IsZero() {
@@ -115,11 +115,11 @@
 }
 
 // isViolation reports whether a refused decision, which the balancer made at chosenAt, was wrong when it was made. A lease may
-// end between the decision and the check, but the balancer chooses only workers whose lease lasts at least
+// expire between the decision and the check, but the balancer chooses only workers whose lease lasts at least
 // LeaseChoiceMargin longer.
 func isViolation(reason permit.Reason, chosenAt time.Time) bool {
-	endedTooSoon := reason == permit.LeaseEnded && time.Since(chosenAt) < balancer.LeaseChoiceMargin
-	return reason.IsViolation() || endedTooSoon
+	expiredTooSoon := reason == permit.LeaseEnded && time.Since(chosenAt) < balancer.LeaseChoiceMargin
+	return reason.IsViolation() || expiredTooSoon
 }
 
 // recordRefusal counts a refused decision that the balancer made at chosenAt. If the decision was a violation, it is also
--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -88,7 +88,7 @@
 	assert.Equal(t, violations, metrics.Violations.Get("worker_draining"))
 }
 
-// A faulty balancer chooses a worker whose lease has ended, which counts as a violation. If the lease ends while an attempt
+// A faulty balancer chooses a worker whose lease has expired, which counts as a violation. If the lease expires while an attempt
 // waits to be sent, the attempt is refused too, but this is no violation.
 func TestNoAttemptOrLoadOrderStartsWithoutALease(t *testing.T) {
 	c, scripted := newScriptedCore(t, idempotentSettings(), func(id balancer.RequestID) []balancer.Action {
@@ -128,7 +128,7 @@
 }
 
 // A load order with ProofAge that the worker executes renews the worker's lease from the earliest time at which the load may have
-// begun. Other load orders, and orders for 0 copies, do not renew it. An order for 0 copies is not deducted from the load budget.
+// started. Other load orders and queries (orders for 0 copies) do not renew it. A query is not deducted from the load budget.
 func TestLeaseIsRenewedByKeepalives(t *testing.T) {
 	settings := idempotentSettings()
 	settings.LoadBurst = 3
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -21,14 +21,14 @@
 
 // request is an accepted call. It is kept until it is closed and all its attempts have ended.
 type request struct {
-	id             balancer.RequestID
-	call           *call.Call
-	handle         *Handle
-	attempts       []*attempt // indexed by attempt.number
-	activeAttempts int        // number of attempts that have not ended
-	prepared       bool       // BeforeFirstAttempt has succeeded or is not set
-	closed         bool       // answered, or cancelled by its client
-	fallbackTimer  *timer     // fires answerOverdue, if the balancer has not answered by then
+	id              balancer.RequestID
+	call            *call.Call
+	handle          *Handle
+	attempts        []*attempt // indexed by attempt.number
+	pendingAttempts int        // number of pending attempts, that is, of attempts that have not ended
+	prepared        bool       // BeforeFirstAttempt has succeeded or is not set
+	closed          bool       // answered, or cancelled by its client
+	fallbackTimer   *timer     // fires answerOverdue, if the balancer has not answered by then
 }
 
 // logID returns the id of the call in the notation of the worker protocol and the log.
@@ -133,7 +133,7 @@
 
 // removeIfDone deletes a request that is closed and whose attempts have all ended.
 func (c *Core) removeIfDone(r *request) {
-	if r.closed && r.activeAttempts == 0 {
+	if r.closed && r.pendingAttempts == 0 {
 		delete(c.requests, r.id)
 	}
 }
--- a/internal/drain/schedule.go
+++ b/internal/drain/schedule.go
@@ -1,6 +1,6 @@
 // Package drain decides how a process drains its clients: at the request of operators (evacuation), or on
-// SIGTERM or an interrupt (termination). It alone decides which requests are still accepted and when a
-// client's connection is closed. The frontend consults it for each request and each connection.
+// SIGTERM or an interrupt (termination). Only this package decides which requests are still accepted and when
+// a client's connection is closed. The frontend consults it for each request and each connection.
 //
 // The package does no I/O and reads no clock: callers pass the time, as read from the monotonic clock.
 //
--- a/internal/permit/attempt.go
+++ b/internal/permit/attempt.go
@@ -26,7 +26,7 @@
 	Worker     WorkerState
 	ClientGone bool          // the client no longer waits for an answer; always false for a load order
 	TimeLeft   time.Duration // until the latest permitted start; if negative, the start is refused
-	LeaseLeft  time.Duration // until the worker's lease ends; if negative, the start is refused
+	LeaseLeft  time.Duration // until the worker's lease expires; if negative, the start is refused
 }
 
 // Check returns Allowed, or the reason why the start is refused.
@@ -51,7 +51,7 @@
 type RetryConditions struct {
 	Attempts    int  // attempts of the request that were started before
 	MaxAttempts int  // attempts that the request may have in total
-	Pending     bool // an earlier attempt is pending
+	Pending     bool // an earlier attempt is pending, that is, has not ended
 	MayHaveRun  bool // an earlier attempt may have run, or may still run
 	Repeatable  bool // the request may run more than once
 	Hedging     bool // two attempts may be pending at the same time
--- a/internal/permit/lease_test.go
+++ b/internal/permit/lease_test.go
@@ -93,7 +93,7 @@
 }
 
 // A call served on a new connection renews the lease only from the time at which the dispatcher counts as notified of a restart.
-// Until then only the evidence from before the connection counts.
+// Until that time only the evidence from before the connection counts.
 func TestLeaseOfAWorkerWithANewConnection(t *testing.T) {
 	const listed, connected, served = time.Hour, time.Hour + 3*time.Second, time.Hour + 6*time.Second
 	terms := NewLeaseTerms(time.Second)
@@ -101,8 +101,8 @@
 	l.RecordListed(listed)
 	l.RecordAccepted(served, connected, listed)
 	for _, test := range []struct {
-		now  time.Duration
-		live bool
+		now   time.Duration
+		valid bool
 	}{
 		{served, true},
 		{listed + terms.AfterSync, true},
@@ -112,7 +112,7 @@
 		{served + terms.AfterAccepted, true},
 		{served + terms.AfterAccepted + 1, false},
 	} {
-		assert.Equal(t, test.live, l.Left(terms, listed, test.now) >= 0, "%s", test.now-listed)
+		assert.Equal(t, test.valid, l.Left(terms, listed, test.now) >= 0, "%s", test.now-listed)
 	}
 	assert.Equal(t, connected+restartNotificationDelay, l.ResumesAt(terms, served))
 	assert.Equal(t, served+terms.AfterAccepted, l.FinalExpiry(terms, listed), "although the lease is expired for a while before")
--- a/internal/permit/reason.go
+++ b/internal/permit/reason.go
@@ -14,10 +14,10 @@
 const (
 	Allowed           Reason = iota
 	ClientGone               // the request was answered or cancelled, or its client closed the connection
-	TooLate                  // the time for the start is over
+	TooLate                  // the time of the latest permitted start has passed
 	WorkerDraining           // the worker accepts no new calls or load orders
 	WorkerRemoved            // the worker left the list, and another may listen at its address
-	LeaseEnded               // the last evidence that the worker is ready is too old
+	LeaseEnded               // the worker's lease has expired
 	RepeatForbidden          // the request may have run, and must not run twice
 	AttemptPending           // another attempt is pending, and the request may have only one at a time
 	AttemptsExhausted        // the request has had the maximum number of attempts
@@ -43,8 +43,8 @@
 func (r Reason) String() string { return reasonNames[r] }
 
 // IsViolation reports whether the reason shows a fault in the code that chose the operation. The other
-// reasons can also arise after a correct choice: clients leave, workers drain and time passes before it
-// is carried out.
+// reasons can also arise after a correct choice: clients leave, workers drain and time passes before the
+// operation is carried out.
 func (r Reason) IsViolation() bool {
 	return r == RepeatForbidden || r == AttemptPending || r == AttemptsExhausted || r == BudgetSpent
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -11,7 +11,7 @@
 	"kitefall/internal/settings"
 )
 
-// Decoder decodes batches. It stores the numbered worker lists to which events refer. It is not safe for concurrent use.
+// Decoder decodes batches. It stores the worker lists to which events refer by ID. It is not safe for concurrent use.
 type Decoder struct {
 	lists map[int][]balancer.Worker
 }
@@ -36,7 +36,7 @@
 	for i := range *raw.Events {
 		m := &(*raw.Events)[i]
 		if m.Name == messageCatalog {
-			d.lists[m.ListNumber] = decodeWorkers(m.Entries)
+			d.lists[m.ListID] = decodeWorkers(m.Entries)
 			continue
 		}
 		event, err := d.decodeEvent(m)
@@ -96,7 +96,7 @@
 	case scope == balancer.ScopeFailed:
 		return balancer.EndpointsEvent{Scope: scope}
 	default:
-		return balancer.EndpointsEvent{Scope: scope, Workers: d.lists[m.ListNumber]}
+		return balancer.EndpointsEvent{Scope: scope, Workers: d.lists[m.ListID]}
 	}
 }
 
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -44,7 +44,7 @@
 
 	// messageIncoming
 	MemoryMB     float64               `json:"mem_mb"`      // of one copy of the function
-	WorkEstimate settings.Microseconds `json:"estimate_us"` // work of the request, roughly
+	WorkEstimate settings.Microseconds `json:"estimate_us"` // approximate time that the request takes at a worker
 	Class        string                `json:"band"`
 	TimeLeft     settings.Microseconds `json:"time_left_us"`
 	Retry        bool                  `json:"again_by_client"` // the client marks a retry
@@ -60,9 +60,9 @@
 	Settings json.RawMessage `json:"profile_data"`
 
 	// messageCatalog and messageBackendsChanged
-	ListNumber int         `json:"slot"`  // number of a worker list, see Decoder
-	Scope      string      `json:"scope"` // see updateScopes
-	Entries    []listEntry `json:"members"`
+	ListID  int         `json:"slot"`  // ID of a worker list, see Decoder
+	Scope   string      `json:"scope"` // see updateScopes
+	Entries []listEntry `json:"members"`
 }
 
 // listEntry is one worker of a worker list.
