--- a/internal/drain/schedule.go
+++ b/internal/drain/schedule.go
@@ -81,7 +81,7 @@
 const (
 	Keep           Action = iota // leave the connection open
 	CloseIfIdle                  // close the connection if nothing is in use on it
-	AnswerAndClose               // fail the open requests of the connection at once, then close it
+	AnswerAndClose               // fail the requests in flight on the connection at once, then close it
 	Close                        // close the connection even if it is in use
 )
 
--- a/internal/durable/options.go
+++ b/internal/durable/options.go
@@ -14,7 +14,7 @@
 	CheckpointInterval time.Duration // interval at which a checkpoint starts if changes are in memory
 	MaxBufferedBytes   int64         // limit of the changes in memory; above it, updates wait for a checkpoint or fail if it fails
 	MaxGroupUpdates    int           // maximum number of updates that share one sync of the log
-	LockDeadline       time.Time     // until when Open waits if another process holds the file
+	LockDeadline       time.Time     // deadline for Open's wait for another process to release the file
 	ReadOnly           bool          // nothing is written; no other process may hold the file for writing
 	VerifyOnOpen       bool          // Open checks all pages and values of the file
 	OnRollback         func()        // called by the writer when a group of updates failed because it was not written to the log
--- a/internal/invocation/store/migrate.go
+++ b/internal/invocation/store/migrate.go
@@ -19,7 +19,7 @@
 	original     string    // where the file in the first format is kept
 	converted    string    // the complete new file, until it is renamed to path
 	temporary    string    // the new store, while it is being written
-	lockDeadline time.Time // until when to wait for another process to release the file
+	lockDeadline time.Time // deadline for the wait for another process to release the file
 }
 
 // migrate converts a store in the first format to the current one and keeps the old file as PATH.v1. After an interruption
--- a/internal/invocation/store/store.go
+++ b/internal/invocation/store/store.go
@@ -15,7 +15,7 @@
 	"kitefall/internal/invocation"
 )
 
-// Options set how many invocations are kept, and for how long.
+// Options set the retention times of invocations, the limits of their number and total size, and the options of the durable.DB.
 type Options struct {
 	// Retention is how long an invocation is kept after it has completed. After its deletion, a record that it existed is
 	// kept for another Retention.
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -111,7 +111,7 @@
 	e.addProblem("the dispatcher is not ready in time after the call to rejoin")
 }
 
-// setConnectUntil sets until when clients open new connections to a dispatcher; 0: without a limit.
+// setConnectUntil sets when clients stop opening connections to a dispatcher; 0: never.
 func (f *Fleet) setConnectUntil(number int, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -23,7 +23,7 @@
 	RuleSlowStart Rule = "slowstart" // a worker that has just started is not sent more calls than it can run
 	RuleCrash     Rule = "crash"     // dispatchers end only by SIGKILL, or without an error after SIGTERM
 	RuleFrame     Rule = "frame"     // workers can read every frame that they are sent
-	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher sends its clients away in time, and takes clients again after a rejoin
+	RuleEvacuate  Rule = "evacuate"  // an evacuated dispatcher drains its connections in time, and takes clients again after a rejoin
 	RuleLimits    Rule = "limits"    // no more descriptors and memory are used than the limits allow
 	RuleServe     Rule = "serve"     // the fleet goes on serving during an outage of discovery
 	RuleChoice    Rule = "choice"    // no dispatcher had to stop a choice of its balancer that would have broken a rule
--- a/internal/soak/reproduction_test.go
+++ b/internal/soak/reproduction_test.go
@@ -41,7 +41,7 @@
 const (
 	steadyTime    = 4 * time.Second        // how long a single function is called, before the releases
 	releases      = 3                      // how many sets of new functions are called, one after the other
-	releaseLength = 700 * time.Millisecond // for how long each set is called
+	releaseLength = 700 * time.Millisecond // how long the functions of each set are called
 )
 
 // playRelease runs two dispatchers, the first with the given steps of its wall clock, and returns the violations. Clients first
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// setConnectUntilUnlessTerminated sets until when clients open new connections to a dispatcher; 0: without a limit. It changes
-// nothing once the current process has got SIGTERM.
+// setConnectUntilUnlessTerminated sets when clients stop opening connections to a dispatcher; 0: never. It changes nothing once
+// the dispatcher's current process has got SIGTERM.
 func (f *Fleet) setConnectUntilUnlessTerminated(number int, until time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
