--- a/docs/measure/lives.sh
+++ b/docs/measure/lives.sh
@@ -64,5 +64,5 @@
 	printf 'turn %s, before: ' "$turn"
 	./before.test -test.run '^$' -test.bench Lives -test.benchtime 3000x | grep -o '[0-9.]* lives/s'
 	printf 'turn %s, now:    ' "$turn"
-	./now.test -test.run '^$' -test.bench Lives -test.benchtime 60000x | grep -o '[0-9.]* lives/s'
+	./now.test -test.run '^$' -test.bench Lifecycles -test.benchtime 60000x | grep -o '[0-9.]* lives/s'
 done
