--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -1,7 +1,7 @@
 package balancer
 
-// maxObjectiveRatio is the mean part of the latency objective that a worker's answers may take: above it,
-// the worker's concurrency window shrinks.
+// maxObjectiveRatio limits a worker's running mean of the ratio of answer time to the class's latency
+// objective. While the mean is above it, answers shrink the worker's concurrency window.
 const maxObjectiveRatio = 0.3
 
 // onOutcome records the end of an attempt, then ends or retries its request.
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -103,7 +103,7 @@
 		}
 	}
 	class := w.class(className)
-	if class.failureScore <= limit { // the fleet's rate leaves outliers out
+	if class.failureScore <= limit { // an outlier's results do not count in the fleet's failure rate
 		updateMean(&rate, severity, fleetFailureSmoothing)
 		b.stats.failureRate[className] = rate
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -154,7 +154,7 @@
 func functionName(number int) string { return fmt.Sprintf("%016x", 0x7f3a000000000001+uint64(number)) }
 
 // openConn returns the connection at an index. It opens a new one if the last has ended, and returns nil if that fails. An open
-// connection stays in use, even while its dispatcher is being evacuated.
+// connection stays in use until it is closed, even while its dispatcher drains after an evacuate call or SIGTERM.
 func (c *client) openConn(index int) *clientConn {
 	c.mu.Lock()
 	existing := c.conns[index]
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -46,8 +46,8 @@
 	record Evacuation
 }
 
-// EvacuateDispatcher makes a dispatcher send its clients away, checks after evacuationTimeLimit that it has done so, and makes it
-// take clients again after length.
+// EvacuateDispatcher makes a dispatcher drain its client connections, checks after evacuationTimeLimit that it has done so, and
+// makes it take clients again when length has passed since the check.
 func (f *Fleet) EvacuateDispatcher(number int, length time.Duration) {
 	e := &evacuationCheck{fleet: f, number: number, record: Evacuation{Dispatcher: number, Run: f.currentRun(number),
 		CalledAt: Now()}}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -30,7 +30,7 @@
 	FaultQuiet         FaultKind = "quiet"         // clients send nothing
 	FaultNewFunctions  FaultKind = "new-functions" // clients call another range of functions
 	FaultBurst         FaultKind = "burst"         // clients send burstFactor times as much
-	FaultEvacuate      FaultKind = "evacuate"      // operators make a dispatcher send its clients away and take them again
+	FaultEvacuate      FaultKind = "evacuate"      // operators make a dispatcher drain its connections, then take clients again
 	FaultSeries        FaultKind = "series"        // signals and operators' calls in quick succession, with SIGTERM as the last
 	FaultCrowd         FaultKind = "crowd"         // connections that never complete a request
 )
